--- a/src/wire/records.ts
+++ b/src/wire/records.ts
@@ -86,21 +86,37 @@
   }),
 });
 
-/** Writes a job's record. */
-export function writeJob(record: JobRecord): unknown {
-  const { dependencies, ...spec } = record.spec;
-  return {
-    st: record.standing,
-    at: record.submitted.toISOString(),
-    s: {
-      ...spec,
-      estimate: toSeconds(spec.estimate),
-      checkpoint: toSeconds(spec.checkpoint),
-      save: toSeconds(spec.save),
-      due: spec.due === null ? null : toSeconds(spec.due),
-      ...(dependencies.length === 0 ? {} : { dependencies }),
-    },
+/**
+ * Writes a job's record. Each field is named, in the order of the stored bytes: what is stored must not follow the names
+ * used inside.
+ */
+export function writeJob({ spec, submitted, standing }: JobRecord): unknown {
+  const s = {
+    id: spec.id,
+    class: spec.class,
+    team: spec.team,
+    kind: spec.kind,
+    priority: spec.priority,
+    tasks: spec.tasks,
+    cpus: spec.cpus,
+    gpus: spec.gpus,
+    memory: spec.memory,
+    types: spec.types,
+    zone: spec.zone,
+    oneZone: spec.oneZone,
+    spread: spec.spread,
+    spot: spec.spot,
+    image: spec.image,
+    imageGb: spec.imageGb,
+    estimate: toSeconds(spec.estimate),
+    checkpoint: toSeconds(spec.checkpoint),
+    save: toSeconds(spec.save),
+    due: spec.due === null ? null : toSeconds(spec.due),
   };
+  const at = submitted.toISOString();
+  const { dependencies } = spec;
+  if (dependencies.length === 0) return { st: standing, at, s };
+  return { st: standing, at, s: { ...s, dependencies: dependencies } };
 }
 
 /** What is kept in memory of a job that is over and of which nothing is placed any more. */
@@ -134,16 +150,31 @@
 }
 
 function parseJob(v: unknown): JobRecord {
-  const r = jobRecord.parse(v);
+  const { st, at, s } = jobRecord.parse(v);
   const spec: Spec = {
-    ...r.s,
-    estimate: seconds(r.s.estimate),
-    checkpoint: seconds(r.s.checkpoint),
-    save: seconds(r.s.save),
-    due: r.s.due === null ? null : seconds(r.s.due),
-    dependencies: r.s.dependencies ?? [],
+    id: s.id,
+    class: s.class,
+    team: s.team,
+    kind: s.kind,
+    priority: s.priority,
+    tasks: s.tasks,
+    cpus: s.cpus,
+    gpus: s.gpus,
+    memory: s.memory,
+    types: s.types,
+    zone: s.zone,
+    oneZone: s.oneZone,
+    spread: s.spread,
+    spot: s.spot,
+    image: s.image,
+    imageGb: s.imageGb,
+    estimate: seconds(s.estimate),
+    checkpoint: seconds(s.checkpoint),
+    save: seconds(s.save),
+    due: s.due === null ? null : seconds(s.due),
+    dependencies: s.dependencies ?? [],
   };
-  return { spec, submitted: new Date(r.at), standing: r.st };
+  return { spec, submitted: new Date(at), standing: st };
 }
 
 /** Whether a value can be what its key says. Pages are taken apart only by who needs them. */
