--- a/measure/cost.ts
+++ b/measure/cost.ts
@@ -15,7 +15,7 @@
   fleet.helloAll();
   fleet.helloAll();
   const tasks = machines * 4;
-  const array = { cpus: 10, gpus: 1, memory: 54, tasks: 40, priority: 'low' as const };
+  const array = { cpus: 10, gpus: 1, memory: 54, taskCount: 40, priority: 'low' as const };
   let id = 0;
   const out: Record<string, number> = { machines, tasks };
   const fill = Math.ceil(tasks / 40) - 1;
@@ -28,7 +28,9 @@
   out['changes, a placed task'] = fleet.changes / (fill * 40);
   fleet.helloAll();
   fleet.helloAll();
-  out['report'] = micros(2000, (k) => fleet.event({ kind: 'report', report: fleet.report(k % machines) }));
+  out['report'] = micros(2000, (k) =>
+    fleet.event({ kind: 'heartbeat', heartbeat: fleet.report(k % machines) }),
+  );
   out['report and answer'] = micros(2000, (k) => fleet.hello(k % machines));
   for (let k = 0; k < 20; k++) fleet.submit(`req-${++id}`, array);
   fleet.advance(0.3);
@@ -38,7 +40,13 @@
     fleet.event({ kind: 'tick' });
   });
   for (let k = 0; k < 20; k++)
-    fleet.submit(`req-${++id}`, { ...array, priority: 'normal', kind: 'gang', tasks: 4, oneZone: true });
+    fleet.submit(`req-${++id}`, {
+      ...array,
+      priority: 'normal',
+      kind: 'gang',
+      taskCount: 4,
+      singleZone: true,
+    });
   out['pass, and 20 gangs'] = micros(10, () => {
     fleet.advance(0.3);
     fleet.event({ kind: 'tick' });
--- a/measure/memory.ts
+++ b/measure/memory.ts
@@ -1,9 +1,9 @@
 import { connect, createServer, type Socket } from 'node:net';
 import { Subject } from 'rxjs';
-import { Owner } from '../src/core/owner.js';
-import { othersQuietFrom } from '../src/core/ownership-timing.js';
-import type { JobRecord, Report } from '../src/core/model.js';
-import { seconds, type Now } from '../src/core/time.js';
+import { ClusterScheduler } from '../src/core/owner.js';
+import { previousLeadersDeadlineFrom } from '../src/core/ownership-timing.js';
+import type { JobRecord, Heartbeat } from '../src/core/model.js';
+import { seconds, type Timestamp } from '../src/core/time.js';
 import { Counts } from '../src/edge/counts.js';
 import { DecodedPages } from '../src/edge/decoded-pages.js';
 import { EndedJobs } from '../src/edge/ended-jobs.js';
@@ -46,8 +46,8 @@
   last = now;
 }
 
-const at = (s: number): Now => ({
-  steady: seconds(1000 + s),
+const at = (s: number): Timestamp => ({
+  monotonic: seconds(1000 + s),
   wall: new Date(Date.UTC(2030, 0, 1) + s * 1000),
 });
 
@@ -70,31 +70,31 @@
   }
 }
 
-const owner = new Owner(FACTS, DEFAULT_SETTINGS, {
-  token: 1,
-  began: at(0).steady,
-  contact: at(0).steady,
-  othersQuiet: othersQuietFrom(FACTS, at(0).steady),
+const owner = new ClusterScheduler(FACTS, DEFAULT_SETTINGS, {
+  fencingToken: 1,
+  startedAt: at(0).monotonic,
+  confirmedAt: at(0).monotonic,
+  previousLeadersDeadline: previousLeadersDeadlineFrom(FACTS, at(0).monotonic),
 });
-owner.handle({ kind: 'types', types: [TYPE] }, at(0));
+owner.handle({ kind: 'machine-types', types: [TYPE] }, at(0));
 
 const nameOf = (n: number): string => `n-${String(n).padStart(6, '0')}`;
 
-function reportOf(n: number, seq: number): Report {
+function reportOf(n: number, seq: number): Heartbeat {
   const machine = {
-    machine: nameOf(n),
+    machineName: nameOf(n),
     endpoint: `10.1.0.${n}:9000`,
     type: 'big',
     zone: 'east',
     spot: false,
   };
-  return { ...machine, session: 1, seq, token: 1, notice: null, tasks: [] };
+  return { ...machine, agentEpoch: 1, sequence: seq, fencingToken: 1, preemptionNotice: null, tasks: [] };
 }
 
-const recordOf = (n: number, standing: JobRecord['standing']): JobRecord => ({
-  spec: spec(`req-${n}`, { tasks: TASKS }),
-  submitted: at(0).wall,
-  standing,
+const recordOf = (n: number, standing: JobRecord['status']): JobRecord => ({
+  spec: spec(`req-${n}`, { taskCount: TASKS }),
+  submittedAt: at(0).wall,
+  status: standing,
 });
 
 async function connections(): Promise<() => void> {
@@ -132,10 +132,13 @@
   console.log(
     `engine and program (compiled by tsx): resident ${megabytes(last.rss)} MB, heap ${megabytes(last.heap)} MB`,
   );
-  for (let n = 0; n < machines; n++) owner.handle({ kind: 'report', report: reportOf(n, 1) }, at(0));
+  for (let n = 0; n < machines; n++) owner.handle({ kind: 'heartbeat', heartbeat: reportOf(n, 1) }, at(0));
   tell(`${machines} machine records`);
   for (let n = 0; n < openJobs; n++)
-    owner.handle({ kind: 'job', id: `req-${n}`, record: recordOf(n, 'open'), stamp: n + 1 }, at(1));
+    owner.handle(
+      { kind: 'job-changed', id: `req-${n}`, record: recordOf(n, 'open'), modRevision: n + 1 },
+      at(1),
+    );
   tell(`${openJobs} open jobs of ${TASKS} tasks, as placed by the owner`);
   const copy = new Copy();
   const counts = new Counts(copy as unknown as Store);
@@ -146,11 +149,20 @@
   tell('their records in the followed copy');
   for (let n = 0; n < openJobs / 2; n++) {
     const intents = Array.from({ length: 40 }, (_, task) => ({
-      ...{ task, attempt: 1, machine: nameOf(task), session: 1, zone: 'east' },
+      ...{ taskIndex: task, attempt: 1, machineName: nameOf(task), agentEpoch: 1, zone: 'east' },
     }));
     copy.put(
       pageKey('all', n),
-      writePage([{ job: `req-${n}`, index: 0, record: { attempt: 1, done: [], intents } }], FACTS.zones),
+      writePage(
+        [
+          {
+            jobId: `req-${n}`,
+            chunkIndex: 0,
+            record: { highestAttempt: 1, completedTasks: [], assignments: intents },
+          },
+        ],
+        FACTS.zones,
+      ),
     );
     const entry = copy.copy.get(pageKey('all', n));
     if (entry !== undefined) pages.of(entry);
--- a/packages/zone-recovery/src/index.ts
+++ b/packages/zone-recovery/src/index.ts
@@ -4,9 +4,9 @@
   ZoneChange,
   ZoneObservation,
   ZonePolicy,
-  ZoneRequest,
+  ZoneAdmissionRequest,
 } from '../../../src/core/zone-policy.js';
-import { seconds, type Now, type Span } from '../../../src/core/time.js';
+import { seconds, type Timestamp, type Duration } from '../../../src/core/time.js';
 import { newZone, nextHealth, type ZoneHealth, type ZonePhase, type ZoneTiming } from './zone-health.js';
 import { readZones, writeZones } from './zone-record.js';
 
@@ -15,11 +15,12 @@
 export { readZones, writeZones, type ZonesRecord } from './zone-record.js';
 
 /** Work that has waited for so long goes where it fits, whatever the zone's state: the largest jobs begin in time. */
-const PATIENCE: Span = seconds(150);
+const PATIENCE: Duration = seconds(150);
 /** Another zone counts as heard from this share of its machines on. */
 const HEARD_SHARE = 0.5;
 
-const isHeard = (seen: ZoneObservation): boolean => seen.known > 0 && seen.heard >= seen.known * HEARD_SHARE;
+const isHeard = (seen: ZoneObservation): boolean =>
+  seen.known > 0 && seen.responsive >= seen.known * HEARD_SHARE;
 
 /** Decides by the health of zones which machines take what. */
 export class ZoneRecovery implements ZonePolicy {
@@ -29,7 +30,7 @@
   /** What was last kept, or found. */
   private record = '[]';
   private unkept = false;
-  private lastSeen: Now | null = null;
+  private lastSeen: Timestamp | null = null;
 
   constructor(private readonly timing: ZoneTiming) {}
 
@@ -38,27 +39,27 @@
     return this.zones.get(zone)?.phase ?? 'healthy';
   }
 
-  observe(seen: FleetObservation, now: Now): readonly ZoneChange[] {
+  observe(seen: FleetObservation, now: Timestamp): readonly ZoneChange[] {
     this.lastSeen = now;
     const changes: ZoneChange[] = [];
     for (const zone of seen.zones) {
-      const before = this.zones.get(zone.zone) ?? newZone(now.steady);
+      const before = this.zones.get(zone.zone) ?? newZone(now.monotonic);
       const around = {
         othersHeard: seen.zones.some((other) => other !== zone && isHeard(other)),
-        inContact: seen.inContact,
+        inContact: seen.leadershipConfirmed,
         replicasMissing: seen.replicasMissing,
-        startTakes: seen.startTakes,
+        startTakes: seen.slowestStart,
       };
-      const { health, why } = nextHealth(before, zone, around, this.timing, now.steady);
+      const { health, why } = nextHealth(before, zone, around, this.timing, now.monotonic);
       this.zones.set(zone.zone, health);
       this.admit(zone, health);
-      if (why !== null) changes.push({ zone: zone.zone, from: before.phase, to: health.phase, why });
+      if (why !== null) changes.push({ zone: zone.zone, from: before.phase, to: health.phase, reason: why });
     }
     this.noteRecord(now);
     return changes;
   }
 
-  admits(zone: string, machine: string, request: ZoneRequest): boolean {
+  admits(zone: string, machine: string, request: ZoneAdmissionRequest): boolean {
     switch (this.phaseOf(zone)) {
       case 'healthy':
       case 'suspect':
@@ -66,30 +67,30 @@
       case 'lost':
         return false;
       case 'held-down':
-        return request.waited >= PATIENCE;
+        return request.pendingFor >= PATIENCE;
       case 'returning':
-        if (request.kind === 'service' || request.waited >= PATIENCE) return true;
+        if (request.kind === 'service' || request.pendingFor >= PATIENCE) return true;
         return this.admittedMachines.get(zone)?.has(machine) === true;
     }
   }
 
-  isOut(zone: string): boolean {
+  isUnavailable(zone: string): boolean {
     const phase = this.phaseOf(zone);
     return phase === 'lost' || phase === 'held-down';
   }
 
-  isEvacuated(zone: string): boolean {
+  isEvacuating(zone: string): boolean {
     const phase = this.phaseOf(zone);
     return phase === 'suspect' || phase === 'lost';
   }
 
-  takeRecord(): unknown {
+  takeUnsavedRecord(): unknown {
     if (!this.unkept || this.lastSeen === null) return null;
     this.unkept = false;
     return writeZones(this.zones, this.lastSeen);
   }
 
-  restore(record: unknown, now: Now): void {
+  restore(record: unknown, now: Timestamp): void {
     const zones = readZones(record, now);
     if (zones !== null) this.zones = zones;
     this.noteRecord(now);
@@ -102,11 +103,11 @@
       this.admittedMachines.delete(seen.zone);
       return;
     }
-    const names = [...seen.names].sort().slice(0, health.admitted);
+    const names = [...seen.responsiveMachines].sort().slice(0, health.admitted);
     this.admittedMachines.set(seen.zone, new Set(names));
   }
 
-  private noteRecord(now: Now): void {
+  private noteRecord(now: Timestamp): void {
     // Without the times, which differ each time they are converted.
     const { zones } = writeZones(this.zones, now);
     const record = JSON.stringify(
--- a/packages/zone-recovery/src/zone-health.ts
+++ b/packages/zone-recovery/src/zone-health.ts
@@ -3,7 +3,7 @@
  * while other zones are heard, and being lost changes where work is placed, not what counts as proof that a task is gone.
  */
 import type { ZoneObservation } from '../../../src/core/zone-policy.js';
-import type { Span, Steady } from '../../../src/core/time.js';
+import type { Duration, MonotonicTime } from '../../../src/core/time.js';
 
 /** How a zone stands. */
 export type ZonePhase = 'healthy' | 'suspect' | 'lost' | 'held-down' | 'returning';
@@ -12,16 +12,16 @@
 export interface ZoneHealth {
   readonly phase: ZonePhase;
   /** When it came into this phase. */
-  readonly since: Steady;
+  readonly since: MonotonicTime;
   /** How often it was lost of late. */
   readonly losses: number;
   /** When the number of losses last changed. */
-  readonly countedAt: Steady;
+  readonly countedAt: MonotonicTime;
   /** Held down: until when. */
-  readonly holdUntil: Steady;
+  readonly holdUntil: MonotonicTime;
   /** Returning: how many of its machines take ordinary work, and since when. */
   readonly admitted: number;
-  readonly steppedAt: Steady;
+  readonly steppedAt: MonotonicTime;
 }
 
 /** What the judgement of a zone depends on beside the zone itself. */
@@ -30,13 +30,13 @@
   readonly othersHeard: boolean;
   readonly inContact: boolean;
   readonly replicasMissing: number;
-  readonly startTakes: Span;
+  readonly startTakes: Duration;
 }
 
 /** Spans that follow from the deployment's settings. */
 export interface ZoneTiming {
-  readonly lease: Span;
-  readonly report: Span;
+  readonly lease: Duration;
+  readonly report: Duration;
 }
 
 /** What a step leads to; `why` is null where the phase stays. */
@@ -45,7 +45,7 @@
   readonly why: string | null;
 }
 
-const SECOND: Span = 1_000_000_000n;
+const SECOND: Duration = 1_000_000_000n;
 /** Silent machines, as a share of those known, that make a zone suspect, and that clear it. */
 const SUSPECT_SHARE = 0.5;
 const CLEAR_SHARE = 0.25;
@@ -54,13 +54,13 @@
 /** The first step of a return admits this share of the machines; each further step twice as many. */
 const FIRST_SHARE = 0.1;
 /** The longest hold-down: capacity is not shut out for good, and the largest jobs still begin in time. */
-export const LONGEST_HOLD: Span = 120n * SECOND;
+export const LONGEST_HOLD: Duration = 120n * SECOND;
 /** A loss is forgotten after so many leases of health, but not sooner than this. */
 const DECAY_LEASES = 12n;
-const LEAST_DECAY: Span = 120n * SECOND;
+const LEAST_DECAY: Duration = 120n * SECOND;
 
 /** A zone of which nothing is known. */
-export const newZone = (now: Steady): ZoneHealth => ({
+export const newZone = (now: MonotonicTime): ZoneHealth => ({
   phase: 'healthy',
   since: now,
   losses: 0,
@@ -70,28 +70,34 @@
   steppedAt: now,
 });
 
-const shorter = (a: Span, b: Span): Span => (a < b ? a : b);
-const longer = (a: Span, b: Span): Span => (a > b ? a : b);
+const shorter = (a: Duration, b: Duration): Duration => (a < b ? a : b);
+const longer = (a: Duration, b: Duration): Duration => (a > b ? a : b);
 
 /** How long a zone is held down after so many losses: not at all after the first, then twice as long each time. */
-export function holdDown(losses: number, timing: ZoneTiming): Span {
+export function holdDown(losses: number, timing: ZoneTiming): Duration {
   if (losses < 2) return 0n;
   const doublings = BigInt(Math.min(losses - 2, 16));
   return shorter(timing.lease * 2n ** doublings, LONGEST_HOLD);
 }
 
-const silentShare = (seen: ZoneObservation): number => (seen.known === 0 ? 1 : 1 - seen.heard / seen.known);
+const silentShare = (seen: ZoneObservation): number =>
+  seen.known === 0 ? 1 : 1 - seen.responsive / seen.known;
 
-const moved = (health: ZoneHealth, phase: ZonePhase, now: Steady, why: string): ZoneStep => ({
+const moved = (health: ZoneHealth, phase: ZonePhase, now: MonotonicTime, why: string): ZoneStep => ({
   health: { ...health, phase, since: now },
   why,
 });
 
-function lose(health: ZoneHealth, now: Steady, why: string): ZoneStep {
+function lose(health: ZoneHealth, now: MonotonicTime, why: string): ZoneStep {
   return moved({ ...health, losses: health.losses + 1, countedAt: now, admitted: 0 }, 'lost', now, why);
 }
 
-function comeBack(health: ZoneHealth, seen: ZoneObservation, timing: ZoneTiming, now: Steady): ZoneStep {
+function comeBack(
+  health: ZoneHealth,
+  seen: ZoneObservation,
+  timing: ZoneTiming,
+  now: MonotonicTime,
+): ZoneStep {
   const hold = holdDown(health.losses, timing);
   if (hold > 0n)
     return moved(
@@ -103,9 +109,9 @@
   return beginReturn(health, seen, now, 'heard again');
 }
 
-const firstStep = (seen: ZoneObservation): number => Math.max(1, Math.ceil(seen.heard * FIRST_SHARE));
+const firstStep = (seen: ZoneObservation): number => Math.max(1, Math.ceil(seen.responsive * FIRST_SHARE));
 
-function beginReturn(health: ZoneHealth, seen: ZoneObservation, now: Steady, why: string): ZoneStep {
+function beginReturn(health: ZoneHealth, seen: ZoneObservation, now: MonotonicTime, why: string): ZoneStep {
   return moved({ ...health, admitted: firstStep(seen), steppedAt: now }, 'returning', now, why);
 }
 
@@ -115,17 +121,18 @@
   seen: ZoneObservation,
   around: Surroundings,
   timing: ZoneTiming,
-  now: Steady,
+  now: MonotonicTime,
 ): ZoneStep {
   const passed = now - health.steppedAt;
   const atLeast = longer(shorter(around.startTakes, timing.lease), timing.report * 2n);
   const served = around.replicasMissing === 0 && passed >= atLeast;
   if (!served && passed < timing.lease * 2n) return { health, why: null };
-  if (health.admitted >= seen.heard) return moved(health, 'healthy', now, 'all that came back is admitted');
+  if (health.admitted >= seen.responsive)
+    return moved(health, 'healthy', now, 'all that came back is admitted');
   return { health: { ...health, admitted: health.admitted * 2, steppedAt: now }, why: null };
 }
 
-function decay(health: ZoneHealth, timing: ZoneTiming, now: Steady): ZoneStep {
+function decay(health: ZoneHealth, timing: ZoneTiming, now: MonotonicTime): ZoneStep {
   const after = longer(timing.lease * DECAY_LEASES, LEAST_DECAY);
   if (health.losses === 0 || now - health.countedAt < after) return { health, why: null };
   return { health: { ...health, losses: health.losses - 1, countedAt: now }, why: null };
@@ -137,7 +144,7 @@
   seen: ZoneObservation,
   around: Surroundings,
   timing: ZoneTiming,
-  now: Steady,
+  now: MonotonicTime,
 ): ZoneStep {
   // Whoever has lost sight of everything, or of the state service, concludes nothing.
   if (!around.inContact) return { health, why: null };
@@ -145,14 +152,19 @@
   switch (health.phase) {
     case 'healthy':
       return gone
-        ? moved(health, 'suspect', now, `${seen.known - seen.heard} of ${seen.known} machines are silent`)
+        ? moved(
+            health,
+            'suspect',
+            now,
+            `${seen.known - seen.responsive} of ${seen.known} machines are silent`,
+          )
         : decay(health, timing, now);
     case 'suspect':
       if (silentShare(seen) < CLEAR_SHARE) return moved(health, 'healthy', now, 'heard again in time');
       if (gone && now - health.since >= timing.lease) return lose(health, now, 'silent for a lease');
       return { health, why: null };
     case 'lost':
-      return seen.heard > 0 ? comeBack(health, seen, timing, now) : { health, why: null };
+      return seen.responsive > 0 ? comeBack(health, seen, timing, now) : { health, why: null };
     case 'held-down':
       if (gone) return lose(health, now, 'silent again while held down');
       return now >= health.holdUntil
--- a/packages/zone-recovery/src/zone-record.ts
+++ b/packages/zone-recovery/src/zone-record.ts
@@ -1,6 +1,6 @@
 /** What the next owner must know of zones, as it is kept in the state service. */
 import * as z from 'zod';
-import type { Now, Steady } from '../../../src/core/time.js';
+import type { Timestamp, MonotonicTime } from '../../../src/core/time.js';
 import { LONGEST_HOLD, type ZoneHealth, type ZonePhase } from './zone-health.js';
 
 const PHASES = [
@@ -30,13 +30,13 @@
 const MILLIS_PER_SECOND = 1000;
 
 /** The first whole second that is not before a moment. */
-function wallSecond(moment: Steady, now: Now): number {
-  const millis = now.wall.getTime() + Number((moment - now.steady) / 1_000_000n);
+function wallSecond(moment: MonotonicTime, now: Timestamp): number {
+  const millis = now.wall.getTime() + Number((moment - now.monotonic) / 1_000_000n);
   return Math.ceil(millis / MILLIS_PER_SECOND);
 }
 
 /** What is to be kept. Times go by the time of day, since the steady clocks of controllers have nothing in common. */
-export function writeZones(zones: ReadonlyMap<string, ZoneHealth>, now: Now): ZonesRecord {
+export function writeZones(zones: ReadonlyMap<string, ZoneHealth>, now: Timestamp): ZonesRecord {
   const out: ZonesRecord['zones'] = [];
   for (const [zone, health] of zones) {
     if (health.phase === 'healthy' && health.losses === 0) continue;
@@ -48,7 +48,7 @@
 }
 
 /** What an earlier owner kept; null if it cannot be read. */
-export function readZones(value: unknown, now: Now): Map<string, ZoneHealth> | null {
+export function readZones(value: unknown, now: Timestamp): Map<string, ZoneHealth> | null {
   const record = recordSchema.safeParse(value);
   if (!record.success) return null;
   const zones = new Map<string, ZoneHealth>();
@@ -58,12 +58,12 @@
     const left = BigInt(leftMillis) * 1_000_000n;
     zones.set(zone, {
       phase,
-      since: now.steady,
+      since: now.monotonic,
       losses: Math.min(losses, MOST_LOSSES),
-      countedAt: now.steady,
-      holdUntil: now.steady + (left < LONGEST_HOLD ? left : LONGEST_HOLD),
+      countedAt: now.monotonic,
+      holdUntil: now.monotonic + (left < LONGEST_HOLD ? left : LONGEST_HOLD),
       admitted,
-      steppedAt: now.steady,
+      steppedAt: now.monotonic,
     });
   }
   return zones;
--- a/packages/zone-recovery/test/scenario.ts
+++ b/packages/zone-recovery/test/scenario.ts
@@ -51,14 +51,20 @@
 /** Plays a scenario on full machines, with or without zone recovery. */
 export function play(scenario: Scenario, withRecovery: boolean, seed: number): Played {
   const world = new ZoneWorld(MACHINES_PER_ZONE, withRecovery, randomOf(seed));
-  const service = { kind: 'service', priority: 'production', spread: true, imageGb: 4 } as const;
-  for (const id of SERVICES) world.submit(id, { ...service, tasks: REPLICAS, image: `img-${id}` });
+  const service = { kind: 'service', priority: 'production', spreadAcrossZones: true, imageGb: 4 } as const;
+  for (const id of SERVICES) world.submit(id, { ...service, taskCount: REPLICAS, image: `img-${id}` });
   let jobs = 100;
   const flood = (count: number): void => {
     for (let n = 0; n < count; n++) {
       jobs += 1;
       const image = `img-${jobs % 5}`;
-      world.submit(`req-${jobs}`, { tasks: 8, priority: 'low', image, imageGb: 3, estimate: seconds(20) });
+      world.submit(`req-${jobs}`, {
+        taskCount: 8,
+        priority: 'low',
+        image,
+        imageGb: 3,
+        estimatedDuration: seconds(20),
+      });
     }
   };
   flood(6);
--- a/packages/zone-recovery/test/zone-health.test.ts
+++ b/packages/zone-recovery/test/zone-health.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import * as fc from 'fast-check';
-import type { ZoneObservation, ZoneRequest } from '../../../src/core/zone-policy.js';
-import { seconds, type Now } from '../../../src/core/time.js';
+import type { ZoneObservation, ZoneAdmissionRequest } from '../../../src/core/zone-policy.js';
+import { seconds, type Timestamp } from '../../../src/core/time.js';
 import { decode, encode } from '../../../src/wire/cbor.js';
 import {
   holdDown,
@@ -21,8 +21,8 @@
 const TIMING = { lease: seconds(24), report: seconds(4) };
 const MACHINES = 40;
 
-const at = (s: number): Now => ({
-  steady: seconds(1000 + s),
+const at = (s: number): Timestamp => ({
+  monotonic: seconds(1000 + s),
   wall: new Date(Date.UTC(2030, 0, 1) + s * 1000),
 });
 
@@ -32,9 +32,9 @@
 const seenIn = (zone: string, heard: number, known = MACHINES): ZoneObservation => ({
   zone,
   known,
-  heard,
+  responsive: heard,
   gpus: heard * 4,
-  names: names(zone, heard),
+  responsiveMachines: names(zone, heard),
 });
 
 const AROUND: Surroundings = {
@@ -67,20 +67,20 @@
 
 /** Plays a life second by second; the state goes through its kept record at each takeover. */
 function live(life: readonly Stretch[], check: (step: Lived) => void): ZoneHealth {
-  let health = newZone(at(0).steady);
+  let health = newZone(at(0).monotonic);
   let s = 0;
   for (const each of life) {
     for (let n = 0; n < each.lasts; n++) {
       s += 1;
       const around = { ...AROUND, ...each };
       const before = health;
-      health = nextHealth(before, seenIn('a', each.heard), around, TIMING, at(s).steady).health;
+      health = nextHealth(before, seenIn('a', each.heard), around, TIMING, at(s).monotonic).health;
       check({ before, after: health, around, heard: each.heard, s });
     }
     if (!each.takeover) continue;
     const kept = writeZones(new Map([['a', health]]), at(s));
-    const by = { steady: at(s).steady, wall: new Date(at(s).wall.getTime() + each.driftMs) };
-    health = readZones(JSON.parse(JSON.stringify(kept)), by)?.get('a') ?? newZone(at(s).steady);
+    const by = { monotonic: at(s).monotonic, wall: new Date(at(s).wall.getTime() + each.driftMs) };
+    health = readZones(JSON.parse(JSON.stringify(kept)), by)?.get('a') ?? newZone(at(s).monotonic);
   }
   return health;
 }
@@ -126,7 +126,7 @@
           seenIn('a', MACHINES),
           { ...AROUND, replicasMissing },
           TIMING,
-          at(2000 + s).steady,
+          at(2000 + s).monotonic,
         ).health;
       assert.equal(health.phase, 'healthy');
     }),
@@ -137,12 +137,12 @@
 test('hold-downs grow with each loss up to the longest, and decay with health', () => {
   const spans = [1, 2, 3, 4, 5, 9, 40].map((losses) => Number(holdDown(losses, TIMING) / seconds(1)));
   assert.deepEqual(spans, [0, 24, 48, 96, 120, 120, 120]);
-  let health: ZoneHealth = { ...newZone(at(0).steady), losses: 2 };
+  let health: ZoneHealth = { ...newZone(at(0).monotonic), losses: 2 };
   for (let s = 0; s < 288; s++)
-    health = nextHealth(health, seenIn('a', 40), AROUND, TIMING, at(s).steady).health;
+    health = nextHealth(health, seenIn('a', 40), AROUND, TIMING, at(s).monotonic).health;
   assert.equal(health.losses, 2);
   for (let s = 288; s < 580; s++)
-    health = nextHealth(health, seenIn('a', 40), AROUND, TIMING, at(s).steady).health;
+    health = nextHealth(health, seenIn('a', 40), AROUND, TIMING, at(s).monotonic).health;
   assert.equal(health.losses, 0);
 });
 
@@ -150,16 +150,16 @@
   fc.assert(
     fc.property(fc.integer({ min: -3600, max: 3600 }), fc.integer({ min: 0, max: 120 }), (driftS, holdS) => {
       const health: ZoneHealth = {
-        ...newZone(at(0).steady),
+        ...newZone(at(0).monotonic),
         phase: 'held-down',
         losses: 3,
-        holdUntil: at(holdS).steady,
+        holdUntil: at(holdS).monotonic,
       };
-      const by = { steady: at(0).steady, wall: new Date(at(0).wall.getTime() + driftS * 1000) };
+      const by = { monotonic: at(0).monotonic, wall: new Date(at(0).wall.getTime() + driftS * 1000) };
       const read = readZones(writeZones(new Map([['a', health]]), at(0)), by)?.get('a');
       assert.ok(read !== undefined);
       assert.deepEqual([read.phase, read.losses], ['held-down', 3]);
-      const left = read.holdUntil - by.steady;
+      const left = read.holdUntil - by.monotonic;
       assert.ok(left >= 0n && left <= LONGEST_HOLD);
       if (driftS === 0) assert.equal(left, seconds(holdS));
     }),
@@ -184,14 +184,19 @@
     { version: 1, zones: [{ zone: 'a', phase: 'odd' }] },
   ])
     assert.equal(readZones(bad, at(0)), null, JSON.stringify(bad));
-  const kept = writeZones(zones, { steady: 0n, wall: new Date(Date.UTC(2038, 0, 1)) });
+  const kept = writeZones(zones, { monotonic: 0n, wall: new Date(Date.UTC(2038, 0, 1)) });
   assert.deepEqual(decode(encode(kept)), kept, 'it comes back as it was written');
   const recovery = new ZoneRecovery(TIMING);
   recovery.restore({ zones: 'cut sho' }, at(0));
   assert.equal(recovery.phaseOf('a'), 'healthy');
 });
 
-const REQUEST: ZoneRequest = { kind: 'array', priority: 'low', bound: false, waited: 0n };
+const REQUEST: ZoneAdmissionRequest = {
+  kind: 'array',
+  priority: 'low',
+  restrictedToZone: false,
+  pendingFor: 0n,
+};
 
 /** Lets a recovery see zone a with so many machines for a while, beside a healthy zone b. */
 function watch(
@@ -205,16 +210,16 @@
     recovery.observe(
       {
         zones: [seenIn('a', heard), seenIn('b', MACHINES)],
-        inContact: true,
+        leadershipConfirmed: true,
         replicasMissing,
-        startTakes: seconds(10),
+        slowestStart: seconds(10),
       },
       at(s),
     );
   return from + forS;
 }
 
-const admitted = (recovery: ZoneRecovery, request: ZoneRequest): number =>
+const admitted = (recovery: ZoneRecovery, request: ZoneAdmissionRequest): number =>
   names('a', MACHINES).filter((name) => recovery.admits('a', name, request)).length;
 
 test('a zone comes back in steps: services at once, other work on twice as many machines each step', () => {
@@ -222,7 +227,7 @@
   let s = watch(recovery, 0, 5, MACHINES);
   s = watch(recovery, s, 40, 0);
   assert.equal(recovery.phaseOf('a'), 'lost');
-  assert.ok(recovery.isOut('a') && recovery.isEvacuated('a'));
+  assert.ok(recovery.isUnavailable('a') && recovery.isEvacuating('a'));
   assert.equal(admitted(recovery, { ...REQUEST, kind: 'service' }), 0);
   s = watch(recovery, s, 1, MACHINES);
   assert.equal(recovery.phaseOf('a'), 'returning');
@@ -234,7 +239,7 @@
   }
   assert.deepEqual(seen, [4, 8, 16, 32]);
   assert.equal(
-    admitted(recovery, { ...REQUEST, waited: seconds(150) }),
+    admitted(recovery, { ...REQUEST, pendingFor: seconds(150) }),
     MACHINES,
     'the largest still begin in time',
   );
@@ -259,7 +264,7 @@
   assert.equal(recovery.phaseOf('a'), 'lost', 'at once: it was returning');
   s = watch(recovery, s, 1, 20);
   assert.equal(recovery.phaseOf('a'), 'held-down');
-  assert.ok(recovery.isOut('a'));
+  assert.ok(recovery.isUnavailable('a'));
   assert.equal(admitted(recovery, { ...REQUEST, kind: 'service' }), 0);
   s = watch(recovery, s, 25, 25);
   assert.equal(recovery.phaseOf('a'), 'returning');
@@ -270,13 +275,13 @@
 test('a change is kept once, and the next owner goes on from it', () => {
   const recovery = new ZoneRecovery(TIMING);
   watch(recovery, 0, 3, MACHINES);
-  assert.equal(recovery.takeRecord(), null, 'nothing to keep while all is well');
+  assert.equal(recovery.takeUnsavedRecord(), null, 'nothing to keep while all is well');
   watch(recovery, 3, 40, 0);
-  const record = recovery.takeRecord();
+  const record = recovery.takeUnsavedRecord();
   assert.ok(record !== null);
-  assert.equal(recovery.takeRecord(), null);
+  assert.equal(recovery.takeUnsavedRecord(), null);
   const next = new ZoneRecovery(TIMING);
   next.restore(record, at(50));
   assert.equal(next.phaseOf('a'), 'lost');
-  assert.equal(next.takeRecord(), null, 'what was read need not be written');
+  assert.equal(next.takeUnsavedRecord(), null, 'what was read need not be written');
 });
--- a/packages/zone-recovery/test/zone-world.ts
+++ b/packages/zone-recovery/test/zone-world.ts
@@ -1,9 +1,16 @@
-import type { Effect, Order } from '../../../src/core/cluster-state.js';
-import type { Facts, JobRecord, MachineType, Report, SeenTask, Spec } from '../../../src/core/model.js';
-import { Owner, type Event } from '../../../src/core/owner.js';
-import { othersQuietFrom } from '../../../src/core/ownership-timing.js';
+import type { Effect, WorkerCommand } from '../../../src/core/cluster-state.js';
+import type {
+  ClusterConfig,
+  JobRecord,
+  MachineType,
+  Heartbeat,
+  ReportedTask,
+  JobSpec,
+} from '../../../src/core/model.js';
+import { ClusterScheduler, type Event } from '../../../src/core/owner.js';
+import { previousLeadersDeadlineFrom } from '../../../src/core/ownership-timing.js';
 import type { PageEntry } from '../../../src/core/record-pages.js';
-import { seconds, toSeconds, type Now } from '../../../src/core/time.js';
+import { seconds, toSeconds, type Timestamp } from '../../../src/core/time.js';
 import { DEFAULT_SETTINGS } from '../../../src/edge/operator-settings.js';
 import { FACTS, TYPE, spec } from '../../../test/player.js';
 import { ZoneRecovery } from '../src/index.js';
@@ -13,8 +20,8 @@
 
 const STEP_S = 0.25;
 const BOOT_S = 10;
-const WORLD_TYPE: MachineType = { ...TYPE, zones: [...ZONES], boot: seconds(BOOT_S), fetchGbPerS: 0.5 };
-const WORLD_FACTS: Facts = { ...FACTS, zones: [...ZONES] };
+const WORLD_TYPE: MachineType = { ...TYPE, zones: [...ZONES], bootTime: seconds(BOOT_S), fetchGbPerS: 0.5 };
+const WORLD_FACTS: ClusterConfig = { ...FACTS, zones: [...ZONES] };
 
 /** What machines did, as they saw it: a checker judges by this alone. */
 export type Entry =
@@ -32,7 +39,7 @@
   | { readonly kind: 'lease over' | 'cut' | 'back'; readonly at: number; readonly machine: string }
   | { readonly kind: 'fetch'; readonly at: number; readonly machine: string };
 
-interface Held extends SeenTask {
+interface Held extends ReportedTask {
   readonly ready: number;
   readonly ends: number;
 }
@@ -57,25 +64,27 @@
     this.renewed = up;
   }
 
-  report(): Report {
+  report(): Heartbeat {
     this.seq += 1;
     return {
       ...{
-        machine: this.name,
+        machineName: this.name,
         endpoint: `${this.name}:1`,
         type: WORLD_TYPE.name,
         zone: this.zone,
         spot: false,
       },
-      ...{ session: this.session, seq: this.seq, token: this.token, notice: null },
-      tasks: this.held.map(({ job, task, attempt, state, why, saved }) => ({
-        job,
-        task,
-        attempt,
-        state,
-        why,
-        saved,
-      })),
+      ...{ agentEpoch: this.session, sequence: this.seq, fencingToken: this.token, preemptionNotice: null },
+      tasks: this.held.map(
+        ({ jobId: job, taskIndex: task, attempt, state, exitReason: why, checkpointed: saved }) => ({
+          jobId: job,
+          taskIndex: task,
+          attempt,
+          state,
+          exitReason: why,
+          checkpointed: saved,
+        }),
+      ),
     };
   }
 }
@@ -84,10 +93,10 @@
 export class ZoneWorld {
   at = 0;
   readonly record: Entry[] = [];
-  private owner: Owner;
+  private owner: ClusterScheduler;
   private machines: SimulatedMachine[] = [];
-  private readonly jobs = new Map<string, { record: JobRecord; stamp: number }>();
-  private readonly pages = new Map<number, { entries: readonly PageEntry[]; stamp: number }>();
+  private readonly jobs = new Map<string, { record: JobRecord; modRevision: number }>();
+  private readonly pages = new Map<number, { entries: readonly PageEntry[]; modRevision: number }>();
   private readonly later: { readonly due: number; readonly run: () => void }[] = [];
   private kept: unknown = null;
   private stamp = 100;
@@ -103,33 +112,33 @@
   }
 
   /** A new owner reads what is kept and goes on. */
-  takeOver(): Owner {
-    const began = this.now().steady;
+  takeOver(): ClusterScheduler {
+    const began = this.now().monotonic;
     const policy = this.withRecovery
-      ? new ZoneRecovery({ lease: WORLD_FACTS.lease, report: WORLD_FACTS.report })
+      ? new ZoneRecovery({ lease: WORLD_FACTS.workerLease, report: WORLD_FACTS.heartbeatInterval })
       : null;
     this.stamp += 1;
     const term = {
-      token: this.stamp,
-      began,
-      contact: began,
-      othersQuiet: othersQuietFrom(WORLD_FACTS, began),
+      fencingToken: this.stamp,
+      startedAt: began,
+      confirmedAt: began,
+      previousLeadersDeadline: previousLeadersDeadlineFrom(WORLD_FACTS, began),
     };
-    this.owner = new Owner(WORLD_FACTS, DEFAULT_SETTINGS, term, policy);
-    this.event({ kind: 'types', types: [WORLD_TYPE] });
-    this.event({ kind: 'list', machines: [], sent: began });
-    for (const [id, job] of this.jobs) this.event({ kind: 'job', id, ...job });
-    for (const [id, page] of this.pages) this.event({ kind: 'page', id, ...page });
-    this.event({ kind: 'loaded' });
+    this.owner = new ClusterScheduler(WORLD_FACTS, DEFAULT_SETTINGS, term, policy);
+    this.event({ kind: 'machine-types', types: [WORLD_TYPE] });
+    this.event({ kind: 'instance-inventory', machines: [], requestedAt: began });
+    for (const [id, job] of this.jobs) this.event({ kind: 'job-changed', id, ...job });
+    for (const [id, page] of this.pages) this.event({ kind: 'page-loaded', id, ...page });
+    this.event({ kind: 'load-completed' });
     policy?.restore(this.kept, this.now());
     return this.owner;
   }
 
-  submit(id: string, over: Partial<Spec>): void {
-    const record: JobRecord = { spec: spec(id, over), submitted: this.now().wall, standing: 'open' };
+  submit(id: string, over: Partial<JobSpec>): void {
+    const record: JobRecord = { spec: spec(id, over), submittedAt: this.now().wall, status: 'open' };
     this.stamp += 1;
-    this.jobs.set(id, { record, stamp: this.stamp });
-    this.event({ kind: 'job', id, record, stamp: this.stamp });
+    this.jobs.set(id, { record, modRevision: this.stamp });
+    this.event({ kind: 'job-changed', id, record, modRevision: this.stamp });
   }
 
   /** The zone's machines reach nobody and are reached by nobody. */
@@ -157,13 +166,13 @@
   running(job: string): number {
     return this.machines.reduce(
       (sum, machine) =>
-        sum + machine.held.filter((each) => each.job === job && each.state === 'running').length,
+        sum + machine.held.filter((each) => each.jobId === job && each.state === 'running').length,
       0,
     );
   }
 
-  private now(): Now {
-    return { steady: seconds(1000 + this.at), wall: new Date(Date.UTC(2030, 0, 1) + this.at * 1000) };
+  private now(): Timestamp {
+    return { monotonic: seconds(1000 + this.at), wall: new Date(Date.UTC(2030, 0, 1) + this.at * 1000) };
   }
 
   private in(zone: string): SimulatedMachine[] {
@@ -189,20 +198,20 @@
       due.run();
     }
     for (const machine of this.machines) if (this.at >= machine.up) this.stepMachine(machine);
-    this.event({ kind: 'contact', at: this.now().steady });
+    this.event({ kind: 'leadership-confirmed', confirmedAt: this.now().monotonic });
     this.event({ kind: 'tick' });
     this.commit();
   }
 
   private stepMachine(machine: SimulatedMachine): void {
     this.progress(machine);
-    if (this.at - machine.renewed > toSeconds(WORLD_FACTS.lease)) this.endLease(machine);
+    if (this.at - machine.renewed > toSeconds(WORLD_FACTS.workerLease)) this.endLease(machine);
     // Not all at the same moment.
     const due = Math.round(this.at / STEP_S + machine.name.charCodeAt(machine.name.length - 1)) % 4 === 0;
     if (!machine.reachable || !due) return;
     const report = machine.report();
-    this.event({ kind: 'report', report });
-    const orders = this.owner.answer(report, this.now());
+    this.event({ kind: 'heartbeat', heartbeat: report });
+    const orders = this.owner.answerHeartbeat(report, this.now());
     machine.token = Math.max(machine.token, this.owner.state.token);
     machine.renewed = this.at;
     this.carryOut(machine, orders);
@@ -211,14 +220,14 @@
   private progress(machine: SimulatedMachine): void {
     machine.held = machine.held.map((each): Held => {
       if (each.state === 'fetching' && each.ready <= this.at) {
-        const name = `${each.job}/${each.task}`;
-        machine.images.add(this.specOf(each.job).image);
+        const name = `${each.jobId}/${each.taskIndex}`;
+        machine.images.add(this.specOf(each.jobId).image);
         this.record.push({ kind: 'start', at: this.at, task: name, machine: machine.name });
         return { ...each, state: 'running' };
       }
       if (each.state === 'running' && each.ends <= this.at) {
         this.noteEnd(machine, each, true);
-        return { ...each, state: 'exited', why: 'done' };
+        return { ...each, state: 'exited', exitReason: 'done' };
       }
       return each;
     });
@@ -233,49 +242,50 @@
     machine.renewed = this.at;
   }
 
-  private noteEnd(machine: SimulatedMachine, task: SeenTask, done = false): void {
-    const name = `${task.job}/${task.task}`;
+  private noteEnd(machine: SimulatedMachine, task: ReportedTask, done = false): void {
+    const name = `${task.jobId}/${task.taskIndex}`;
     this.record.push({ kind: 'end', at: this.at, task: name, machine: machine.name, done });
   }
 
-  private specOf(job: string): Spec {
+  private specOf(job: string): JobSpec {
     const known = this.jobs.get(job);
     if (known === undefined) throw new Error(`no job ${job}`);
     return known.record.spec;
   }
 
-  private carryOut(machine: SimulatedMachine, orders: readonly Order[]): void {
+  private carryOut(machine: SimulatedMachine, orders: readonly WorkerCommand[]): void {
     for (const order of orders) {
       const at = machine.held.findIndex(
-        (each) => each.job === order.job && each.task === order.task && each.attempt === order.attempt,
+        (each) =>
+          each.jobId === order.jobId && each.taskIndex === order.taskIndex && each.attempt === order.attempt,
       );
       const held = machine.held[at];
       if (order.op === 'start' && held === undefined) this.startTask(machine, order);
       if (order.op === 'forget' && held !== undefined) machine.held.splice(at, 1);
       if (order.op !== 'stop' || held === undefined || held.state === 'exited') continue;
       if (held.state === 'running') {
-        const task = `${order.job}/${order.task}`;
+        const task = `${order.jobId}/${order.taskIndex}`;
         this.record.push({ kind: 'stopped', at: this.at, task, machine: machine.name });
         this.noteEnd(machine, held);
       }
-      machine.held[at] = { ...held, state: 'exited', why: 'stopped' };
+      machine.held[at] = { ...held, state: 'exited', exitReason: 'stopped' };
     }
   }
 
-  private startTask(machine: SimulatedMachine, order: Order): void {
-    const { kind, image, imageGb, estimate } = this.specOf(order.job);
+  private startTask(machine: SimulatedMachine, order: WorkerCommand): void {
+    const { kind, image, imageGb, estimatedDuration: estimate } = this.specOf(order.jobId);
     const cached = machine.images.has(image);
     if (!cached) this.record.push({ kind: 'fetch', at: this.at, machine: machine.name });
     const ready = this.at + (cached ? 0 : imageGb / WORLD_TYPE.fetchGbPerS) * (0.8 + 0.4 * this.random());
     const runs = kind === 'service' ? Infinity : toSeconds(estimate) * (0.7 + 0.6 * this.random());
-    const { job, task, attempt } = order;
+    const { jobId: job, taskIndex: task, attempt } = order;
     machine.held.push({
-      job,
-      task,
+      jobId: job,
+      taskIndex: task,
       attempt,
       state: 'fetching',
-      why: null,
-      saved: false,
+      exitReason: null,
+      checkpointed: false,
       ready,
       ends: ready + runs,
     });
@@ -286,16 +296,20 @@
   }
 
   private effect(effect: Effect): void {
-    if (effect.kind === 'keep zones') this.kept = JSON.parse(JSON.stringify(effect.record));
-    else if (effect.kind === 'return') this.giveBack(effect.machines);
-    else if (effect.kind === 'rent') {
-      const { zone, count } = effect.order;
+    if (effect.kind === 'persist-zones') this.kept = JSON.parse(JSON.stringify(effect.record));
+    else if (effect.kind === 'scale-in') this.giveBack(effect.machineNames);
+    else if (effect.kind === 'scale-out') {
+      const { zone, count } = effect.request;
       const name = `r-${this.stamp}-${this.made}-${zone}-${count}`;
-      this.event({ kind: 'renting', name, order: effect.order });
+      this.event({ kind: 'scale-out-started', name, request: effect.request });
       const up = this.at + BOOT_S;
       const machines = Array.from({ length: count }, () => this.addMachine(zone, up));
-      this.later.push({ due: this.at + STEP_S, run: () => this.event({ kind: 'rented', name, machines }) });
-    } else if (effect.kind === 'direct') this.direct(effect.machine, effect.session, effect.orders);
+      this.later.push({
+        due: this.at + STEP_S,
+        run: () => this.event({ kind: 'scale-out-answered', name, machines }),
+      });
+    } else if (effect.kind === 'send-commands')
+      this.direct(effect.machineName, effect.agentEpoch, effect.commands);
   }
 
   private giveBack(names: readonly string[]): void {
@@ -305,16 +319,24 @@
     this.machines = this.machines.filter((machine) => !names.includes(machine.name));
     this.later.push({
       due: this.at + STEP_S,
-      run: () => this.event({ kind: 'returned', machines: names, ok: true }),
+      run: () => this.event({ kind: 'scale-in-answered', machines: names, succeeded: true }),
     });
   }
 
-  private direct(name: string, session: number, orders: readonly Order[]): void {
+  private direct(name: string, session: number, orders: readonly WorkerCommand[]): void {
     const token = this.owner.state.token;
     const owner = this.owner;
-    const answer = (outcome: 'executed' | 'refused' | 'unknown', report: Report | null): void => {
+    const answer = (outcome: 'executed' | 'refused' | 'unknown', report: Heartbeat | null): void => {
       if (owner === this.owner)
-        this.event({ kind: 'direct', machine: name, session, token, orders, outcome, report });
+        this.event({
+          kind: 'commands-answered',
+          machineName: name,
+          agentEpoch: session,
+          fencingToken: token,
+          commands: orders,
+          outcome,
+          heartbeat: report,
+        });
     };
     const machine = this.machines.find((each) => each.name === name && this.at >= each.up);
     if (machine === undefined || !machine.reachable) {
@@ -334,12 +356,14 @@
       if (transaction === null) return;
       this.stamp += 1;
       const stamp = this.stamp;
-      for (const page of transaction.pages) this.pages.set(page.id, { entries: page.entries, stamp });
-      for (const id of transaction.done) {
+      for (const page of transaction.pages)
+        this.pages.set(page.id, { entries: page.entries, modRevision: stamp });
+      for (const id of transaction.completedJobs) {
         const job = this.jobs.get(id);
-        if (job !== undefined) this.jobs.set(id, { record: { ...job.record, standing: 'done' }, stamp });
+        if (job !== undefined)
+          this.jobs.set(id, { record: { ...job.record, status: 'done' }, modRevision: stamp });
       }
-      this.event({ kind: 'settled', transaction, stamp });
+      this.event({ kind: 'transaction-committed', transaction, modRevision: stamp });
     }
   }
 }
--- a/src/core/capacity.ts
+++ b/src/core/capacity.ts
@@ -1,59 +1,67 @@
 /** @file Which machines take tasks now, and what is free on them. */
 import type { ClusterState } from './cluster-state.js';
-import { leaseEnd } from './leases.js';
-import type { Machine, Spec } from './model.js';
-import type { Free } from './placement.js';
-import { type Steady, seconds } from './time.js';
+import { leaseExpiry } from './leases.js';
+import type { Machine, JobSpec } from './model.js';
+import type { Resources } from './placement.js';
+import { type MonotonicTime, seconds } from './time.js';
 
 /** Whether a task may be placed here now. */
-export function isUsable(state: ClusterState, machine: Machine, now: Steady): boolean {
-  if (!machine.fenced || machine.session === 0 || machine.session <= machine.deadSession) return false;
+export function isUsable(state: ClusterState, machine: Machine, now: MonotonicTime): boolean {
+  if (!machine.fenced || machine.agentEpoch === 0 || machine.agentEpoch <= machine.lastExpiredEpoch)
+    return false;
   if (
-    machine.setAside ||
-    machine.returning ||
-    machine.notice !== null ||
-    machine.listed === 'failed' ||
-    machine.deafSince !== null
+    machine.quarantined ||
+    machine.releasing ||
+    machine.preemptionAt !== null ||
+    machine.instanceState === 'failed' ||
+    machine.unreachableSince !== null
   )
     return false;
   // Without an answer to it the worker goes on to its next session soon, and what it holds is gone.
-  if (now >= leaseEnd(state, machine)) return false;
-  return now - machine.heard <= (state.facts.report * 5n) / 2n + seconds(1) && state.types.has(machine.type);
+  if (now >= leaseExpiry(state, machine)) return false;
+  return (
+    now - machine.lastHeartbeatAt <= (state.facts.heartbeatInterval * 5n) / 2n + seconds(1) &&
+    state.types.has(machine.type)
+  );
 }
 
 /** What is free on a machine, counted again only after a change there. */
-export function viewOf(state: ClusterState, machine: Machine): { readonly r: Free; readonly room: Free } {
-  machine.view ??= countFree(state, machine);
-  return machine.view;
+export function resourcesOf(
+  state: ClusterState,
+  machine: Machine,
+): { readonly free: Resources; readonly projected: Resources } {
+  machine.resources ??= countFree(state, machine);
+  return machine.resources;
 }
 
 /** r_i: what neither an intent nor a reported task takes. Callers do not change it. */
-export const freeOn = (state: ClusterState, machine: Machine): Readonly<Free> => viewOf(state, machine).r;
+export const freeOn = (state: ClusterState, machine: Machine): Readonly<Resources> =>
+  resourcesOf(state, machine).free;
 
-function countFree(state: ClusterState, machine: Machine): { r: Free; room: Free } {
+function countFree(state: ClusterState, machine: Machine): { free: Resources; projected: Resources } {
   const type = state.types.get(machine.type);
   if (type === undefined)
-    return { r: { cpus: 0, gpus: 0, memory: 0 }, room: { cpus: 0, gpus: 0, memory: 0 } };
-  const r: Free = { cpus: type.cpus, gpus: type.gpus, memory: type.memory };
-  const room: Free = { ...r };
-  const take = (from: Free, spec: Spec): void => {
+    return { free: { cpus: 0, gpus: 0, memory: 0 }, projected: { cpus: 0, gpus: 0, memory: 0 } };
+  const free: Resources = { cpus: type.cpus, gpus: type.gpus, memory: type.memory };
+  const projected: Resources = { ...free };
+  const take = (from: Resources, spec: JobSpec): void => {
     from.cpus -= spec.cpus;
     from.gpus -= spec.gpus;
     from.memory -= spec.memory;
   };
-  for (const intent of machine.intents.values()) {
-    const job = state.jobs.get(intent.job);
+  for (const intent of machine.assignments.values()) {
+    const job = state.jobs.get(intent.jobId);
     if (job === undefined) continue;
-    take(r, job.spec);
-    if (intent.stopping === null) take(room, job.spec);
+    take(free, job.spec);
+    if (intent.stopRequest === null) take(projected, job.spec);
   }
-  if (machine.strays)
-    for (const [key, task] of machine.seen) {
-      const intent = machine.intents.get(key);
-      const job = state.jobs.get(task.job);
+  if (machine.hasOrphanedTasks)
+    for (const [key, task] of machine.reportedTasks) {
+      const intent = machine.assignments.get(key);
+      const job = state.jobs.get(task.jobId);
       if (job === undefined || (intent !== undefined && intent.attempt === task.attempt)) continue;
-      take(r, job.spec);
-      take(room, job.spec);
+      take(free, job.spec);
+      take(projected, job.spec);
     }
-  return { r, room };
+  return { free, projected };
 }
--- a/src/core/closed-jobs.ts
+++ b/src/core/closed-jobs.ts
@@ -1,6 +1,6 @@
-import { closeChunks } from './chunks.js';
+import { releaseFinishedChunks } from './chunks.js';
 import type { ClusterState } from './cluster-state.js';
-import { seconds, type Steady } from './time.js';
+import { seconds, type MonotonicTime } from './time.js';
 
 /** The demand forecast looks at what was submitted lately, finished or not. */
 const KEPT = seconds(120);
@@ -9,17 +9,17 @@
  * Lets go of jobs that have been over for a while and of which nothing is placed any more. What a worker still says of
  * them is answered as for any job that is not open: its tasks are stopped, its results forgotten.
  */
-export function releaseClosedJobs(state: ClusterState, now: Steady): void {
+export function evictFinishedJobs(state: ClusterState, now: MonotonicTime): void {
   for (const [id, since] of state.closed) {
     if (now - since < KEPT) return;
     state.closed.delete(id);
     const job = state.jobs.get(id);
-    if (job === undefined || job.standing === 'open') continue;
-    if (job.placedCount > 0 || state.unrecordedCancellations.has(id)) {
+    if (job === undefined || job.status === 'open') continue;
+    if (job.assignedCount > 0 || state.unrecordedCancellations.has(id)) {
       state.closed.set(id, now);
       continue;
     }
-    closeChunks(job);
+    releaseFinishedChunks(job);
     state.dirtyJobs.delete(id);
     state.jobs.delete(id);
   }
--- a/src/core/demand-forecast.ts
+++ b/src/core/demand-forecast.ts
@@ -1,6 +1,6 @@
 import type { Job, MachineType } from './model.js';
-import { estimateOf } from './urgency.js';
-import { toSeconds, wallSeconds, type Now } from './time.js';
+import { estimatedSeconds } from './urgency.js';
+import { toSeconds, wallSecondsBetween, type Timestamp } from './time.js';
 import type { ClusterState } from './cluster-state.js';
 
 /**
@@ -9,10 +9,10 @@
  */
 export interface DemandForecast {
   /** Machines' worth of work that comes and that ends until a machine rented now is up. */
-  readonly comes: number;
-  readonly ends: number;
+  readonly arriving: number;
+  readonly finishing: number;
   /** The job that came last: what is rented ahead is rented as if for it. */
-  readonly sample: Job | null;
+  readonly sampleJob: Job | null;
 }
 
 const BIN_S = 5;
@@ -30,7 +30,7 @@
 
 const typeFor = (state: ClusterState, job: Job): MachineType | undefined => {
   for (const type of state.types.values())
-    if (job.spec.types === null || job.spec.types.includes(type.name)) return type;
+    if (job.spec.machineTypes === null || job.spec.machineTypes.includes(type.name)) return type;
   return undefined;
 };
 
@@ -38,9 +38,9 @@
  * The rate is counted from the times of submission, which a new owner knows as well. The fullest bins are left out:
  * what comes all at once, as when a day begins, tells nothing of what comes next.
  */
-export function forecastDemand(state: ClusterState, now: Now): DemandForecast {
+export function forecastDemand(state: ClusterState, now: Timestamp): DemandForecast {
   let boot = 0;
-  for (const type of state.types.values()) boot = Math.max(boot, toSeconds(type.boot));
+  for (const type of state.types.values()) boot = Math.max(boot, toSeconds(type.bootTime));
   const bins = new Array<number>(BINS).fill(0);
   let earliest = 0;
   let sample: Job | null = null;
@@ -48,33 +48,34 @@
   for (const job of state.jobs.values()) {
     if (job.spec.kind === 'service') continue;
     // What waits for other jobs asks for nothing yet.
-    if (job.since === null) continue;
-    const age = Math.max(0, wallSeconds(job.since, now.wall));
+    if (job.readySince === null) continue;
+    const age = Math.max(0, wallSecondsBetween(job.readySince, now.wall));
     earliest = Math.max(earliest, age);
     const type = typeFor(state, job);
     if (type === undefined) continue;
     const share = shareOf(job, type);
     const bin = Math.floor(age / BIN_S);
     if (bin < BINS) {
-      bins[bin] = (bins[bin] ?? 0) + share * job.spec.tasks;
-      if (job.standing !== 'cancelled' && (sample === null || job.submitted > sample.submitted)) sample = job;
+      bins[bin] = (bins[bin] ?? 0) + share * job.spec.taskCount;
+      if (job.status !== 'cancelled' && (sample === null || job.submittedAt > sample.submittedAt))
+        sample = job;
     }
-    if (job.placedCount > 0) ends += share * endingIn(state, job, boot, now);
+    if (job.assignedCount > 0) ends += share * endingIn(state, job, boot, now);
   }
   const seen = Math.min(BINS, Math.floor(earliest / BIN_S) + 1);
-  if (seen < LEAST_BINS) return { comes: 0, ends, sample };
+  if (seen < LEAST_BINS) return { arriving: 0, finishing: ends, sampleJob: sample };
   const counted = bins.slice(0, seen).sort((a, b) => b - a);
   const rest = counted.slice(LEFT_OUT).reduce((a, b) => a + b, 0);
-  return { comes: (rest / (seen - LEFT_OUT) / BIN_S) * boot, ends, sample };
+  return { arriving: (rest / (seen - LEFT_OUT) / BIN_S) * boot, finishing: ends, sampleJob: sample };
 }
 
 /** How many of the job's placed tasks should end within so many seconds. */
-function endingIn(state: ClusterState, job: Job, within: number, now: Now): number {
-  const estimate = estimateOf(state, job);
+function endingIn(state: ClusterState, job: Job, within: number, now: Timestamp): number {
+  const estimate = estimatedSeconds(state, job);
   let n = 0;
   for (const chunk of job.chunks.values())
-    for (const intent of chunk.intents.values())
-      if (intent.runningSince !== null && estimate - toSeconds(now.steady - intent.runningSince) < within)
+    for (const intent of chunk.assignments.values())
+      if (intent.runningSince !== null && estimate - toSeconds(now.monotonic - intent.runningSince) < within)
         n += 1;
   return n;
 }
--- a/src/core/dependencies.ts
+++ b/src/core/dependencies.ts
@@ -1,46 +1,51 @@
 /** @file Jobs that wait for jobs, as the owner sees them: when they become ready, and what they pass on. */
-import { closeChunks } from './chunks.js';
+import { releaseFinishedChunks } from './chunks.js';
 import { emitLog, type ClusterState } from './cluster-state.js';
 import type { GraphChange } from './dependency-graph.js';
-import { rank, type Job, type Priority } from './model.js';
-import { toSeconds, type Now } from './time.js';
-import { estimateOf } from './urgency.js';
+import { priorityRank, type Job, type Priority } from './model.js';
+import { toSeconds, type Timestamp } from './time.js';
+import { estimatedSeconds } from './urgency.js';
 
 /** Takes in an unfinished job: it may be placed at once, or once the last job that it needs is committed as done. */
-export function addDependent(state: ClusterState, job: Job, now: Now): void {
+export function registerJob(state: ClusterState, job: Job, now: Timestamp): void {
   const { id, dependencies } = job.spec;
-  if (job.spec.due !== null)
-    state.deadlines.set(id, job.submitted.getTime() / 1000 + toSeconds(job.spec.due));
+  if (job.spec.deadline !== null)
+    state.deadlines.set(id, job.submittedAt.getTime() / 1000 + toSeconds(job.spec.deadline));
   inherit(state, job);
-  if (dependencies.length === 0) return makeReady(state, job, job.submitted);
-  job.since = null;
-  job.waitReason = 'waits for other jobs';
+  if (dependencies.length === 0) return makeReady(state, job, job.submittedAt);
+  job.readySince = null;
+  job.pendingReason = 'waits for other jobs';
   apply(state, state.dependencies.add(id, dependencies), now);
 }
 
 /** Takes in that a job has ended, as committed. */
-export function onJobEnded(state: ClusterState, id: string, standing: 'done' | 'cancelled', now: Now): void {
+export function onJobFinished(
+  state: ClusterState,
+  id: string,
+  standing: 'done' | 'cancelled',
+  now: Timestamp,
+): void {
   state.deadlines.delete(id);
   const job = state.jobs.get(id);
-  apply(state, state.dependencies.end(id, standing), now);
+  apply(state, state.dependencies.markFinished(id, standing), now);
   if (standing === 'cancelled' && job !== undefined) withdrawUrgency(state, job);
 }
 
-function apply(state: ClusterState, change: GraphChange, now: Now): void {
+function apply(state: ClusterState, change: GraphChange, now: Timestamp): void {
   for (const id of change.ready) {
     const job = state.jobs.get(id);
-    if (job !== undefined && job.standing === 'open') makeReady(state, job, now.wall);
+    if (job !== undefined && job.status === 'open') makeReady(state, job, now.wall);
   }
   for (const id of change.cancelled) cancelThrough(state, id, now);
 }
 
 function makeReady(state: ClusterState, job: Job, since: Date): void {
   const { id } = job.spec;
-  job.since = since;
-  job.waitReason = 'new';
+  job.readySince = since;
+  job.pendingReason = 'new';
   state.open.add(id);
   state.rankStale = true;
-  if (job.free.size > 0) state.waiting.add(id);
+  if (job.unassignedTasks.size > 0) state.waiting.add(id);
   state.needPass = true;
 }
 
@@ -48,18 +53,18 @@
  * A job that it needs was cancelled: it never runs. That holds by that job's record alone; its own is written later, so
  * that it need not be kept whole for good.
  */
-function cancelThrough(state: ClusterState, id: string, now: Now): void {
+function cancelThrough(state: ClusterState, id: string, now: Timestamp): void {
   const job = state.jobs.get(id);
   state.deadlines.delete(id);
-  if (job === undefined || job.standing !== 'open') return;
-  job.standing = 'cancelled';
-  job.free.clear();
+  if (job === undefined || job.status !== 'open') return;
+  job.status = 'cancelled';
+  job.unassignedTasks.clear();
   state.open.delete(id);
   state.waiting.delete(id);
-  state.closed.set(id, now.steady);
+  state.closed.set(id, now.monotonic);
   state.unrecordedCancellations.add(id);
   state.rankStale = true;
-  closeChunks(job);
+  releaseFinishedChunks(job);
   emitLog(state, 'job cancelled: a job that it needs was', { job: id }, 'info');
   withdrawUrgency(state, job);
 }
@@ -73,7 +78,8 @@
 
 const ownUrgency = (job: Job): Urgency => ({
   priority: job.spec.priority,
-  latestEnd: job.spec.due === null ? Infinity : job.submitted.getTime() / 1000 + toSeconds(job.spec.due),
+  latestEnd:
+    job.spec.deadline === null ? Infinity : job.submittedAt.getTime() / 1000 + toSeconds(job.spec.deadline),
 });
 
 /** What a job takes from its dependents: the highest priority, and the end that leaves each of them its time. */
@@ -81,9 +87,9 @@
   let { priority, latestEnd } = ownUrgency(job);
   for (const id of state.dependencies.dependentsOf(job.spec.id)) {
     const dependent = state.jobs.get(id);
-    if (dependent === undefined || dependent.standing !== 'open') continue;
-    if (rank(dependent.priority) > rank(priority)) priority = dependent.priority;
-    latestEnd = Math.min(latestEnd, dependent.latestEnd - estimateOf(state, dependent));
+    if (dependent === undefined || dependent.status !== 'open') continue;
+    if (priorityRank(dependent.priority) > priorityRank(priority)) priority = dependent.priority;
+    latestEnd = Math.min(latestEnd, dependent.latestCompletion - estimatedSeconds(state, dependent));
   }
   return { priority, latestEnd };
 }
@@ -92,16 +98,17 @@
 function inherit(state: ClusterState, job: Job): void {
   const { priority, latestEnd } = urgencyOf(state, job);
   job.priority = priority;
-  job.latestEnd = latestEnd;
+  job.latestCompletion = latestEnd;
   const stack = [job];
   for (let next = stack.pop(); next !== undefined; next = stack.pop())
     for (const id of next.spec.dependencies) {
       const needed = state.jobs.get(id);
-      if (needed === undefined || needed.standing !== 'open') continue;
-      const end = next.latestEnd - estimateOf(state, next);
-      if (rank(next.priority) <= rank(needed.priority) && end >= needed.latestEnd) continue;
-      if (rank(next.priority) > rank(needed.priority)) needed.priority = next.priority;
-      needed.latestEnd = Math.min(needed.latestEnd, end);
+      if (needed === undefined || needed.status !== 'open') continue;
+      const end = next.latestCompletion - estimatedSeconds(state, next);
+      if (priorityRank(next.priority) <= priorityRank(needed.priority) && end >= needed.latestCompletion)
+        continue;
+      if (priorityRank(next.priority) > priorityRank(needed.priority)) needed.priority = next.priority;
+      needed.latestCompletion = Math.min(needed.latestCompletion, end);
       stack.push(needed);
     }
 }
@@ -112,25 +119,25 @@
   for (let next = stack.pop(); next !== undefined; next = stack.pop())
     for (const id of next.spec.dependencies) {
       const needed = state.jobs.get(id);
-      if (needed === undefined || needed.standing !== 'open') continue;
+      if (needed === undefined || needed.status !== 'open') continue;
       const { priority, latestEnd } = urgencyOf(state, needed);
-      if (priority === needed.priority && latestEnd === needed.latestEnd) continue;
+      if (priority === needed.priority && latestEnd === needed.latestCompletion) continue;
       needed.priority = priority;
-      needed.latestEnd = latestEnd;
+      needed.latestCompletion = latestEnd;
       stack.push(needed);
     }
 }
 
 /** Tells once of each unfinished job whose deadline has passed. */
-export function reportMissedDeadlines(state: ClusterState, now: Now): void {
+export function logMissedDeadlines(state: ClusterState, now: Timestamp): void {
   for (const [id, by] of state.deadlines) {
     if (now.wall.getTime() / 1000 <= by) continue;
     state.deadlines.delete(id);
     const job = state.jobs.get(id);
     if (job === undefined) continue;
-    const { standing, waitReason, doneCount } = job;
-    const about = { job: id, class: job.spec.class, tasks: job.spec.tasks, done: doneCount };
-    const waits = standing === 'open' && job.placedCount === 0 ? { because: waitReason } : {};
+    const { status: standing, pendingReason: waitReason, completedCount: doneCount } = job;
+    const about = { job: id, class: job.spec.class, tasks: job.spec.taskCount, done: doneCount };
+    const waits = standing === 'open' && job.assignedCount === 0 ? { because: waitReason } : {};
     emitLog(state, 'deadline missed', { ...about, ...waits }, 'info');
   }
 }
--- a/src/core/dependency-graph.ts
+++ b/src/core/dependency-graph.ts
@@ -47,7 +47,7 @@
     for (const dependency of dependencies) {
       this.steps += 1;
       const end = this.ended.get(dependency);
-      if (end === 'cancelled') return this.end(id, 'cancelled', true);
+      if (end === 'cancelled') return this.markFinished(id, 'cancelled', true);
       if (end === undefined) unmet.add(dependency);
     }
     if (unmet.size === 0) return { ready: [id], cancelled: [] };
@@ -61,9 +61,9 @@
   }
 
   /** Takes in that a job ended. `derived`: through a dependency, so that it is told among the cancelled. */
-  end(id: string, standing: 'done' | 'cancelled', derived = false): GraphChange {
+  markFinished(id: string, standing: 'done' | 'cancelled', derived = false): GraphChange {
     if (this.ended.has(id)) return NOTHING;
-    if (standing === 'done') return { ready: this.finish(id), cancelled: [] };
+    if (standing === 'done') return { ready: this.markDone(id), cancelled: [] };
     const cancelled: string[] = derived ? [id] : [];
     const stack = [id];
     for (let next = stack.pop(); next !== undefined; next = stack.pop()) {
@@ -81,7 +81,7 @@
     return { ready: [], cancelled };
   }
 
-  private finish(id: string): string[] {
+  private markDone(id: string): string[] {
     this.ended.set(id, 'done');
     this.release(id);
     const ready: string[] = [];
--- a/src/core/failure-detector.ts
+++ b/src/core/failure-detector.ts
@@ -1,27 +1,31 @@
-import { graceFor } from './preemption.js';
-import { intentsOf, stopIntent } from './intents.js';
+import { gracePeriod } from './preemption.js';
+import { assignmentsOf, stopAssignment } from './intents.js';
 import type { Machine } from './model.js';
-import { estimateOf } from './urgency.js';
-import { seconds, toSeconds, type Now, type Span } from './time.js';
-import { isBehind, emitLog, type ClusterState } from './cluster-state.js';
+import { estimatedSeconds } from './urgency.js';
+import { seconds, toSeconds, type Timestamp, type Duration } from './time.js';
+import { isOverloaded, emitLog, type ClusterState } from './cluster-state.js';
 
 /** How long a worker may be silent before it is suspected: reports come up to a quarter late, and packets get lost. */
-const suspectAfter = (state: ClusterState): Span => (state.facts.report * 5n) / 2n + seconds(1);
+const suspectAfter = (state: ClusterState): Duration =>
+  (state.facts.heartbeatInterval * 5n) / 2n + seconds(1);
 /** How long after that it has to answer a direct call. */
 const LAST_WORD = seconds(2.5);
 
 const holdsReplica = (state: ClusterState, machine: Machine): boolean =>
-  [...machine.intents.values()].some((intent) => state.jobs.get(intent.job)?.spec.kind === 'service');
+  [...machine.assignments.values()].some((intent) => state.jobs.get(intent.jobId)?.spec.kind === 'service');
 
 const known = (state: ClusterState): Machine[] =>
   [...state.machines.values()].filter(
-    (machine) => machine.fenced && !machine.returning && machine.listed !== 'failed' && machine.session > 0,
+    (machine) =>
+      machine.fenced && !machine.releasing && machine.instanceState !== 'failed' && machine.agentEpoch > 0,
   );
 
 /** So many machines silent at once that it is more likely we who are cut off: none of them is returned then. */
-export function manySilent(state: ClusterState, now: Now): boolean {
+export function manySuspected(state: ClusterState, now: Timestamp): boolean {
   const all = known(state);
-  const silent = all.filter((machine) => now.steady - machine.heard > suspectAfter(state)).length;
+  const silent = all.filter(
+    (machine) => now.monotonic - machine.lastHeartbeatAt > suspectAfter(state),
+  ).length;
   return silent > Math.max(1, all.length / 5);
 }
 
@@ -30,10 +34,12 @@
  * anybody: the other controllers send the workers back to it. It gives the part up, in time for another to answer
  * before the leases end.
  */
-export function isDeaf(state: ClusterState, now: Now): boolean {
-  if (now.steady - state.began < state.facts.lease / 2n) return false;
+export function isCutOffFromWorkers(state: ClusterState, now: Timestamp): boolean {
+  if (now.monotonic - state.began < state.facts.workerLease / 2n) return false;
   const all = known(state);
-  const silent = all.filter((machine) => now.steady - machine.heard > suspectAfter(state)).length;
+  const silent = all.filter(
+    (machine) => now.monotonic - machine.lastHeartbeatAt > suspectAfter(state),
+  ).length;
   return all.length >= 3 && silent * 4 >= all.length * 3;
 }
 
@@ -42,19 +48,27 @@
  * the machine is asked directly and, if it has no last word, returned: that proves its tasks gone. When many fall
  * silent together it is more likely that we are cut off, and nothing is returned: their leases decide.
  */
-export function returnSilent(state: ClusterState, now: Now): string[] {
+export function findUnresponsiveMachines(state: ClusterState, now: Timestamp): string[] {
   // In a process that is behind, what is missing may well be here and not yet looked at.
-  if (isBehind(state)) return [];
+  if (isOverloaded(state)) return [];
   const after = suspectAfter(state);
   const out = neverHeard(state, now);
-  if (now.steady - state.began < after + state.facts.report * 2n || manySilent(state, now)) return out;
+  if (now.monotonic - state.began < after + state.facts.heartbeatInterval * 2n || manySuspected(state, now))
+    return out;
   const silent = known(state).filter(
-    (machine) => machine.session > machine.deadSession && now.steady - machine.heard > after,
+    (machine) =>
+      machine.agentEpoch > machine.lastExpiredEpoch && now.monotonic - machine.lastHeartbeatAt > after,
   );
   for (const machine of silent) {
     if (!holdsReplica(state, machine)) continue;
-    if (now.steady - machine.heard > after + LAST_WORD) out.push(machine.name);
-    else state.effects.push({ kind: 'direct', machine: machine.name, session: machine.session, orders: [] });
+    if (now.monotonic - machine.lastHeartbeatAt > after + LAST_WORD) out.push(machine.name);
+    else
+      state.effects.push({
+        kind: 'send-commands',
+        machineName: machine.name,
+        agentEpoch: machine.agentEpoch,
+        commands: [],
+      });
   }
   return out;
 }
@@ -64,14 +78,14 @@
  * owner may have answered them until shortly before it ended and long after, so their leases prove nothing for most of
  * a minute; a machine that is cut off around a takeover would leave its users without replicas for all that time.
  */
-function neverHeard(state: ClusterState, now: Now): string[] {
-  if (now.steady - state.began < suspectAfter(state) + state.facts.report * 2n) return [];
+function neverHeard(state: ClusterState, now: Timestamp): string[] {
+  if (now.monotonic - state.began < suspectAfter(state) + state.facts.heartbeatInterval * 2n) return [];
   let working = 0;
   const never: Machine[] = [];
   for (const machine of state.machines.values()) {
-    if (machine.intents.size === 0) continue;
+    if (machine.assignments.size === 0) continue;
     working += 1;
-    if (machine.heard === 0n && !machine.returning) never.push(machine);
+    if (machine.lastHeartbeatAt === 0n && !machine.releasing) never.push(machine);
   }
   if (never.length > Math.max(1, working / 5)) return [];
   return never.filter((machine) => holdsReplica(state, machine)).map((machine) => machine.name);
@@ -80,41 +94,51 @@
 const PROBE = seconds(3);
 
 /** A machine that nothing reaches is asked directly now and then: an answer shows that it can be reached again. */
-export function probeDeaf(state: ClusterState, now: Now): void {
+export function probeUnreachableMachines(state: ClusterState, now: Timestamp): void {
   for (const machine of state.machines.values()) {
-    if (machine.deafSince === null || machine.returning || machine.endpoint === '' || machine.session === 0)
+    if (
+      machine.unreachableSince === null ||
+      machine.releasing ||
+      machine.endpoint === '' ||
+      machine.agentEpoch === 0
+    )
       continue;
-    if (machine.probedAt !== null && now.steady - machine.probedAt < PROBE) continue;
-    machine.probedAt = now.steady;
-    state.effects.push({ kind: 'direct', machine: machine.name, session: machine.session, orders: [] });
+    if (machine.probedAt !== null && now.monotonic - machine.probedAt < PROBE) continue;
+    machine.probedAt = now.monotonic;
+    state.effects.push({
+      kind: 'send-commands',
+      machineName: machine.name,
+      agentEpoch: machine.agentEpoch,
+      commands: [],
+    });
   }
 }
 
 /** Tasks on a machine that is about to be taken: what will not be done by then saves in time and goes elsewhere. */
-export function actOnNotices(state: ClusterState, now: Now): void {
+export function handlePreemptionNotices(state: ClusterState, now: Timestamp): void {
   for (const machine of state.machines.values()) {
-    if (machine.notice === null || !machine.fenced) continue;
-    const left = toSeconds(machine.notice - now.steady);
-    for (const intent of [...machine.intents.values()]) {
-      const job = state.jobs.get(intent.job);
-      if (job === undefined || intent.stopping !== null) continue;
-      const ran = intent.runningSince === null ? 0 : toSeconds(now.steady - intent.runningSince);
+    if (machine.preemptionAt === null || !machine.fenced) continue;
+    const left = toSeconds(machine.preemptionAt - now.monotonic);
+    for (const intent of [...machine.assignments.values()]) {
+      const job = state.jobs.get(intent.jobId);
+      if (job === undefined || intent.stopRequest !== null) continue;
+      const ran = intent.runningSince === null ? 0 : toSeconds(now.monotonic - intent.runningSince);
       const ends =
         intent.runningSince !== null &&
         job.spec.kind !== 'service' &&
-        estimateOf(state, job) - ran < left - 2;
-      const grace = graceFor(job);
+        estimatedSeconds(state, job) - ran < left - 2;
+      const grace = gracePeriod(job);
       // A notice may be half its nominal length: what has to save is stopped while there surely is time.
       if (ends && left > grace + 2) continue;
       emitLog(
         state,
         'stopped ahead of a spot notice',
-        { task: `${intent.job}/${intent.task}`, machine: machine.name, left },
+        { task: `${intent.jobId}/${intent.taskIndex}`, machine: machine.name, left },
         'info',
       );
       if (job.spec.kind === 'gang')
-        for (const other of intentsOf(job)) stopIntent(state, other, grace, 'notice', now.steady);
-      else stopIntent(state, intent, grace, 'notice', now.steady);
+        for (const other of assignmentsOf(job)) stopAssignment(state, other, grace, 'notice', now.monotonic);
+      else stopAssignment(state, intent, grace, 'notice', now.monotonic);
     }
   }
 }
--- a/src/core/fencing.ts
+++ b/src/core/fencing.ts
@@ -1,9 +1,9 @@
 /** @file Making sure that machines obey this term alone. */
-import { type ClusterState, isBehind, runKey } from './cluster-state.js';
-import { neverSent } from './intents.js';
+import { type ClusterState, isOverloaded, attemptKey } from './cluster-state.js';
+import { startNeverSent } from './intents.js';
 import { type Machine, taskKey } from './model.js';
-import { mayStart } from './ownership-timing.js';
-import { type Now, seconds } from './time.js';
+import { mayStartTasks } from './ownership-timing.js';
+import { type Timestamp, seconds } from './time.js';
 
 /** Machines asked in one go: after a takeover of a large fleet all of them would otherwise be called at once. */
 const FENCE_AT_ONCE = 50;
@@ -25,50 +25,57 @@
  * whose reports come shows it by itself in the one after the first that is answered, so it is asked only when it does
  * not; a direct call costs several times as much as a report. Those with work to do are asked first.
  */
-export function fence(state: ClusterState, now: Now): void {
+export function fenceMachines(state: ClusterState, now: Timestamp): void {
   const asked: Machine[] = [];
   for (const machine of state.machines.values()) {
     if (
       machine.fenced ||
       machine.endpoint === '' ||
-      machine.listed === 'booting' ||
-      machine.listed === 'failed'
+      machine.instanceState === 'booting' ||
+      machine.instanceState === 'failed'
     )
       continue;
-    if (machine.probedAt !== null && now.steady - machine.probedAt < seconds(2)) continue;
-    if (machine.arrivedAt !== null && now.steady - machine.arrivedAt < SHOWS_TOKEN) continue;
+    if (machine.probedAt !== null && now.monotonic - machine.probedAt < seconds(2)) continue;
+    if (machine.firstHeartbeatAt !== null && now.monotonic - machine.firstHeartbeatAt < SHOWS_TOKEN) continue;
     asked.push(machine);
   }
-  const coming = now.steady - state.lastArrival < FENCE_QUIET;
-  const most = coming || isBehind(state) ? FENCE_BUSY : FENCE_AT_ONCE;
-  if (asked.length > most) asked.sort((a, b) => b.intents.size - a.intents.size);
+  const coming = now.monotonic - state.lastArrival < FENCE_QUIET;
+  const most = coming || isOverloaded(state) ? FENCE_BUSY : FENCE_AT_ONCE;
+  if (asked.length > most) asked.sort((a, b) => b.assignments.size - a.assignments.size);
   for (const machine of asked.slice(0, most)) {
-    machine.probedAt = now.steady;
+    machine.probedAt = now.monotonic;
     state.effects.push({
-      kind: 'direct',
-      machine: machine.name,
-      session: Math.max(machine.session, 1),
-      orders: [],
+      kind: 'send-commands',
+      machineName: machine.name,
+      agentEpoch: Math.max(machine.agentEpoch, 1),
+      commands: [],
     });
   }
 }
 
 /** Whether some copy of a `run` blocks progress and only a higher token can settle that it never comes. */
-export function wantsHigherToken(state: ClusterState, now: Now): string | null {
-  if (now.steady - state.raisedAt < state.facts.lease / 2n || !mayStart(state.contact, now.steady))
+export function tokenAdvanceReason(state: ClusterState, now: Timestamp): string | null {
+  if (
+    now.monotonic - state.raisedAt < state.facts.workerLease / 2n ||
+    !mayStartTasks(state.contact, now.monotonic)
+  )
     return null;
   for (const [name, loose] of state.loose) {
     const machine = state.machines.get(name);
-    if (machine === undefined || loose.size === 0 || now.steady - machine.heard > state.facts.report * 3n)
+    if (
+      machine === undefined ||
+      loose.size === 0 ||
+      now.monotonic - machine.lastHeartbeatAt > state.facts.heartbeatInterval * 3n
+    )
       continue;
     for (const forget of state.forgets.get(name)?.values() ?? [])
-      if (loose.has(runKey(forget.job, forget.task, forget.attempt)))
+      if (loose.has(attemptKey(forget.jobId, forget.taskIndex, forget.attempt)))
         return `a result on ${name} cannot be forgotten`;
-    for (const intent of machine.intents.values())
+    for (const intent of machine.assignments.values())
       if (
-        intent.stopping !== null &&
-        !machine.seen.has(taskKey(intent.job, intent.task)) &&
-        !neverSent(state, intent)
+        intent.stopRequest !== null &&
+        !machine.reportedTasks.has(taskKey(intent.jobId, intent.taskIndex)) &&
+        !startNeverSent(state, intent)
       )
         return `a stop on ${name} cannot be proven`;
   }
--- a/src/core/fleet-size.ts
+++ b/src/core/fleet-size.ts
@@ -1,14 +1,14 @@
 /** @file Which machines to keep, and which to close and return. */
 import { freeOn, isUsable } from './capacity.js';
-import { type ClusterState, NO_ROOM_FOR_ALL } from './cluster-state.js';
-import { manySilent } from './failure-detector.js';
-import { leaseEnd } from './leases.js';
+import { type ClusterState, NO_GANG_CAPACITY } from './cluster-state.js';
+import { manySuspected } from './failure-detector.js';
+import { leaseExpiry } from './leases.js';
 import type { Job, Machine, MachineType } from './model.js';
-import { NO_ROOM, ROOM_IS_MADE } from './placement-pass.js';
-import { estimateOf } from './urgency.js';
-import type { Free } from './placement.js';
-import { type Now, seconds, toSeconds } from './time.js';
-import { isZoneOut } from './zones.js';
+import { NO_CAPACITY, PREEMPTION_IN_PROGRESS } from './placement-pass.js';
+import { estimatedSeconds } from './urgency.js';
+import type { Resources } from './placement.js';
+import { type Timestamp, seconds, toSeconds } from './time.js';
+import { isZoneUnavailable } from './zones.js';
 
 const LEAST_CHARGE = seconds(60);
 
@@ -17,17 +17,17 @@
  * cheap ones first. The rest is closed: the scheme's pick spreads tasks over all machines, and without this none would
  * ever be empty and all would be paid for.
  */
-export function closeSome(state: ClusterState, blocked: readonly Job[], now: Now): void {
+export function chooseDrainingMachines(state: ClusterState, blocked: readonly Job[], now: Timestamp): void {
   const rows: { machine: Machine; used: number; held: number; price: number }[] = [];
   const inUse = new MachinesInUse();
   for (const machine of state.machines.values()) {
     const type = state.types.get(machine.type);
-    if (type === undefined || !isUsable(state, machine, now.steady)) continue;
+    if (type === undefined || !isUsable(state, machine, now.monotonic)) continue;
     const free = freeOn(state, machine);
     inUse.add(type, free);
     rows.push({
       machine,
-      used: shareTaken(type, free),
+      used: usedShare(type, free),
       held: heldFor(state, machine, now),
       price: machine.spot ? type.spotPrice : type.price,
     });
@@ -38,12 +38,12 @@
   );
 
   const needed = inUse.count;
-  const want = needed + Math.max(spareFor(needed, state.settings.reserve), 1);
+  const want = needed + Math.max(reserveFor(needed, state.settings.reserveShare), 1);
   // Only work that lacks room is a reason to keep machines: one job that waits for something else kept a whole fleet.
   const short = blocked.some((job) => lacksRoom(job));
   let kept = 0;
   for (const row of rows) {
-    row.machine.closed = !short && kept >= want;
+    row.machine.draining = !short && kept >= want;
     kept += 1;
   }
 }
@@ -58,7 +58,7 @@
   private gpus = 0;
   private memory = 0;
 
-  add(type: MachineType, free: Readonly<Free>): void {
+  add(type: MachineType, free: Readonly<Resources>): void {
     this.cpus += 1 - free.cpus / type.cpus;
     this.gpus += type.gpus > 0 ? 1 - free.gpus / type.gpus : 0;
     this.memory += 1 - free.memory / type.memory;
@@ -70,7 +70,9 @@
 }
 
 const lacksRoom = (job: Job): boolean =>
-  job.waitReason === NO_ROOM || job.waitReason === NO_ROOM_FOR_ALL || job.waitReason === ROOM_IS_MADE;
+  job.pendingReason === NO_CAPACITY ||
+  job.pendingReason === NO_GANG_CAPACITY ||
+  job.pendingReason === PREEMPTION_IN_PROGRESS;
 
 /** Up to so many machines in use the reserve is a fixed share of them. */
 const RESERVE_FULL = 30;
@@ -81,20 +83,20 @@
  * Machines kept beyond those in use. The more work there is, the more its ups and downs even out, so the share that is
  * needed falls with the size of the fleet.
  */
-export function spareFor(inUse: number, reserve: number): number {
+export function reserveFor(inUse: number, reserve: number): number {
   if (inUse <= RESERVE_FULL) return inUse * reserve;
   return RESERVE_FULL * reserve * (inUse / RESERVE_FULL) ** RESERVE_EXPONENT;
 }
 
 /** How hard a machine is to empty: replicas stay for good, gangs for long, arrays end soon. */
-function heldFor(state: ClusterState, machine: Machine, now: Now): number {
+function heldFor(state: ClusterState, machine: Machine, now: Timestamp): number {
   let held = 0;
-  for (const intent of machine.intents.values()) {
-    const job = state.jobs.get(intent.job);
+  for (const intent of machine.assignments.values()) {
+    const job = state.jobs.get(intent.jobId);
     if (job === undefined) continue;
     const left = Math.max(
-      estimateOf(state, job) -
-        (intent.runningSince === null ? 0 : toSeconds(now.steady - intent.runningSince)),
+      estimatedSeconds(state, job) -
+        (intent.runningSince === null ? 0 : toSeconds(now.monotonic - intent.runningSince)),
       0,
     );
     held = Math.max(held, job.spec.kind === 'service' ? 3 : left > LONG_S ? 2 : 0);
@@ -106,15 +108,15 @@
 const LONG_S = 60;
 
 /** The largest share of anything that is taken on a machine with so much free. */
-export const shareTaken = (type: MachineType, r: Readonly<Free>): number =>
+export const usedShare = (type: MachineType, r: Readonly<Resources>): number =>
   1 - Math.min(r.cpus / type.cpus, type.gpus > 0 ? r.gpus / type.gpus : 1, r.memory / type.memory);
 
 /** Machines with no task and no intent that nothing waits for, and those that never come up. */
-export function returns(state: ClusterState, now: Now): { names: string[]; why: string }[] {
+export function machinesToRelease(state: ClusterState, now: Timestamp): { names: string[]; why: string }[] {
   const by = new Map<string, string[]>();
-  const many = manySilent(state, now);
+  const many = manySuspected(state, now);
   for (const machine of state.machines.values()) {
-    if (machine.returning || machine.intents.size > 0 || machine.seen.size > 0) {
+    if (machine.releasing || machine.assignments.size > 0 || machine.reportedTasks.size > 0) {
       machine.idleSince = null;
       continue;
     }
@@ -132,34 +134,39 @@
 /** The cloud takes no more names in one request. */
 const RETURN_AT_ONCE = 100;
 
-function idleBecause(state: ClusterState, machine: Machine, now: Now): string | null {
+function idleBecause(state: ClusterState, machine: Machine, now: Timestamp): string | null {
   // Machines of a zone that is held down stand idle for the policy's sake: work is to come back to them.
-  if (machine.session === 0 || isZoneOut(state, machine.zone)) return null;
-  machine.idleSince ??= now.steady;
+  if (machine.agentEpoch === 0 || isZoneUnavailable(state, machine.zone)) return null;
+  machine.idleSince ??= now.monotonic;
   // A machine costs at least its first minute: until then it may as well stay.
   const due =
-    now.steady - machine.idleSince >= state.settings.idle && now.steady - machine.firstKnown >= LEAST_CHARGE;
-  return machine.closed && machine.fenced && due ? 'idle' : null;
+    now.monotonic - machine.idleSince >= state.settings.idleTimeout &&
+    now.monotonic - machine.firstSeenAt >= LEAST_CHARGE;
+  return machine.draining && machine.fenced && due ? 'idle' : null;
 }
 
-function uselessBecause(state: ClusterState, machine: Machine, many: boolean, now: Now): string | null {
-  if (machine.listed === 'failed') return 'failed';
-  if (machine.session > 0 && machine.setAside) return 'set aside';
+function uselessBecause(state: ClusterState, machine: Machine, many: boolean, now: Timestamp): string | null {
+  if (machine.instanceState === 'failed') return 'failed';
+  if (machine.agentEpoch > 0 && machine.quarantined) return 'set aside';
   // It can do no work and is paid for; twice a lease is enough for a cut that passes.
-  if (machine.deafSince !== null && now.steady - machine.deafSince > state.facts.lease * 2n && !many)
+  if (
+    machine.unreachableSince !== null &&
+    now.monotonic - machine.unreachableSince > state.facts.workerLease * 2n &&
+    !many
+  )
     return 'cannot be reached';
   const gone =
-    machine.session > 0 &&
-    now.steady - machine.heard > state.facts.lease * 2n &&
-    now.steady > leaseEnd(state, machine);
+    machine.agentEpoch > 0 &&
+    now.monotonic - machine.lastHeartbeatAt > state.facts.workerLease * 2n &&
+    now.monotonic > leaseExpiry(state, machine);
   if (gone && !many) return 'silent';
   const booting = state.booting.get(machine.name);
   const type = state.types.get(machine.type);
   if (
-    machine.session === 0 &&
+    machine.agentEpoch === 0 &&
     booting !== undefined &&
     type !== undefined &&
-    now.steady - booting.since > type.boot * 5n
+    now.monotonic - booting.since > type.bootTime * 5n
   )
     return 'never came up';
   return null;
--- a/src/core/gangs.ts
+++ b/src/core/gangs.ts
@@ -1,34 +1,43 @@
 import { chunkOf } from './chunks.js';
-import { place } from './intents.js';
-import type { Intent, Job, Machine, Spec } from './model.js';
-import { fitsIn, imageDelay, machineAllowed, pick, score, type Candidate, type Scored } from './placement.js';
-import { add } from './preemption.js';
-import { toSeconds, type Steady } from './time.js';
+import { assignTask } from './intents.js';
+import type { Assignment, Job, Machine, JobSpec } from './model.js';
+import {
+  fits,
+  imageFetchDelay,
+  isMachineAllowed,
+  pickBest,
+  scoreCandidate,
+  type Candidate,
+  type ScoredCandidate,
+} from './placement.js';
+import { addResources } from './preemption.js';
+import { toSeconds, type MonotonicTime } from './time.js';
 import type { ClusterState } from './cluster-state.js';
 
 /** Ranks machines that are equally good for a job; the smallest value wins. */
-export type Steer = (state: ClusterState, job: Job, candidate: Candidate) => number;
+export type TieBreaker = (state: ClusterState, job: Job, candidate: Candidate) => number;
 
 /** The next attempt number for a whole gang: above all that any of its chunks has given out. */
 export function nextAttempt(job: Job): number {
   let highest = 0;
-  for (const chunk of job.chunks.values()) highest = Math.max(highest, chunk.attempt);
+  for (const chunk of job.chunks.values()) highest = Math.max(highest, chunk.highestAttempt);
   return highest + 1;
 }
 
 /** Places all of a gang's tasks in one pass, or none. Zones are tried one by one where they must be the same. */
-export function placeGang(
+export function assignGang(
   state: ClusterState,
   job: Job,
   candidates: readonly Candidate[],
-  now: Steady,
-  steer: Steer,
-): Intent[] | null {
+  now: MonotonicTime,
+  steer: TieBreaker,
+): Assignment[] | null {
   const spec = job.spec;
   const allowed = candidates.filter(
-    (candidate) => machineAllowed(spec, candidate.machine) && !job.failedOn.has(candidate.machine.name),
+    (candidate) =>
+      isMachineAllowed(spec, candidate.machine) && !job.failuresByMachine.has(candidate.machine.name),
   );
-  const zones = spec.oneZone
+  const zones = spec.singleZone
     ? [...new Set(allowed.map((candidate) => candidate.machine.zone))].sort()
     : [null];
   let best: { plan: Machine[]; last: number } | null = null;
@@ -42,7 +51,7 @@
   const attempt = nextAttempt(job);
   return best.plan.map((machine, task) => {
     chunkOf(job, task);
-    return place(state, job, task, attempt, machine, now);
+    return assignTask(state, job, task, attempt, machine, now);
   });
 }
 
@@ -57,17 +66,17 @@
   state: ClusterState,
   job: Job,
   open: readonly Candidate[],
-  steer: Steer,
+  steer: TieBreaker,
 ): { plan: Machine[]; last: number } | null {
   const delays = new Map(
-    open.map((candidate) => [candidate.machine, imageDelay(job.spec, candidate, state.settings)]),
+    open.map((candidate) => [candidate.machine, imageFetchDelay(job.spec, candidate, state.settings)]),
   );
   const lastOf = (plan: readonly Machine[]): number =>
     Math.max(...plan.map((machine) => delays.get(machine) ?? 0));
   const plan = planIn(state, job, open, steer);
   if (plan === null) return null;
   const last = lastOf(plan);
-  const apart = toSeconds(state.facts.gangWait) * APART;
+  const apart = toSeconds(state.facts.gangStartTimeout) * APART;
   if (plan.every((machine) => last - (delays.get(machine) ?? 0) <= apart)) return { plan, last };
   const late = planIn(
     state,
@@ -81,46 +90,46 @@
 /** A machine with free room booked on a copy: nothing is taken unless the whole gang fits. */
 interface Trial {
   readonly at: Candidate;
-  row: Scored;
+  row: ScoredCandidate;
 }
 
 function planIn(
   state: ClusterState,
   job: Job,
   candidates: readonly Candidate[],
-  steer: Steer,
+  steer: TieBreaker,
 ): Machine[] | null {
   const spec = job.spec;
-  if (holds(spec, candidates) < spec.tasks) return null;
+  if (holds(spec, candidates) < spec.taskCount) return null;
   const one = (candidate: Candidate): number => steer(state, job, candidate);
   let trial: Trial[] = candidates.map((at) => ({
     at,
-    row: score(
+    row: scoreCandidate(
       spec,
-      { ...at, r: { ...at.r }, room: { ...at.room }, pulls: new Map(at.pulls) },
+      { ...at, free: { ...at.free }, projected: { ...at.projected }, imagePulls: new Map(at.imagePulls) },
       state.settings,
       one,
     ),
   }));
   const inZone = new Map<string, number>();
   const plan: Machine[] = [];
-  for (let t = 0; t < spec.tasks; t++) {
-    const open = spec.spread
-      ? trial.filter((trial) => (inZone.get(trial.at.machine.zone) ?? 0) + 1 <= Math.ceil(spec.tasks / 2))
+  for (let t = 0; t < spec.taskCount; t++) {
+    const open = spec.spreadAcrossZones
+      ? trial.filter((trial) => (inZone.get(trial.at.machine.zone) ?? 0) + 1 <= Math.ceil(spec.taskCount / 2))
       : trial;
-    const chosen = pick(
+    const chosen = pickBest(
       open.map((trial) => trial.row),
       state.settings,
     );
     if (chosen === null) return null;
-    const candidate = chosen.cand;
-    add(candidate.r, job, -1);
-    add(candidate.room, job, -1);
-    candidate.zeta += 1;
-    if (!candidate.machine.images.has(spec.image) && !candidate.pulls.has(spec.image))
-      candidate.pulls.set(spec.image, spec.imageGb);
-    if (fitsIn(spec, candidate.r) && fitsIn(spec, candidate.room))
-      Object.assign(chosen, score(spec, candidate, state.settings, one));
+    const candidate = chosen.candidate;
+    addResources(candidate.free, job, -1);
+    addResources(candidate.projected, job, -1);
+    candidate.taskCount += 1;
+    if (!candidate.machine.cachedImages.has(spec.image) && !candidate.imagePulls.has(spec.image))
+      candidate.imagePulls.set(spec.image, spec.imageGb);
+    if (fits(spec, candidate.free) && fits(spec, candidate.projected))
+      Object.assign(chosen, scoreCandidate(spec, candidate, state.settings, one));
     else trial = trial.filter((trial) => trial.row !== chosen);
     inZone.set(candidate.machine.zone, (inZone.get(candidate.machine.zone) ?? 0) + 1);
     plan.push(candidate.machine);
@@ -129,16 +138,16 @@
 }
 
 /** How many of the tasks the machines could hold at most, counted only as far as the gang needs. */
-function holds(spec: Spec, candidates: readonly Candidate[]): number {
+function holds(spec: JobSpec, candidates: readonly Candidate[]): number {
   let n = 0;
-  for (const { r } of candidates) {
+  for (const { free: r } of candidates) {
     const each = Math.min(
-      spec.cpus > 0 ? r.cpus / spec.cpus : spec.tasks,
-      spec.gpus > 0 ? r.gpus / spec.gpus : spec.tasks,
-      spec.memory > 0 ? r.memory / spec.memory : spec.tasks,
+      spec.cpus > 0 ? r.cpus / spec.cpus : spec.taskCount,
+      spec.gpus > 0 ? r.gpus / spec.gpus : spec.taskCount,
+      spec.memory > 0 ? r.memory / spec.memory : spec.taskCount,
     );
     n += Math.floor(each + 1e-6);
-    if (n >= spec.tasks) return n;
+    if (n >= spec.taskCount) return n;
   }
   return n;
 }
--- a/src/core/image-cache.ts
+++ b/src/core/image-cache.ts
@@ -1,30 +1,30 @@
 /** @file Which images a machine has cached. */
 import type { ClusterState } from './cluster-state.js';
-import type { Machine, Spec } from './model.js';
-import type { Steady } from './time.js';
+import type { Machine, JobSpec } from './model.js';
+import type { MonotonicTime } from './time.js';
 
 /** Notes that a machine has an image. What it caches is bounded: images that were used longest ago make way. */
-export function useImage(
+export function recordImageUse(
   state: ClusterState,
   machine: Machine,
-  spec: Pick<Spec, 'image' | 'imageGb'>,
-  now: Steady,
+  spec: Pick<JobSpec, 'image' | 'imageGb'>,
+  now: MonotonicTime,
 ): void {
-  const known = machine.images.get(spec.image);
+  const known = machine.cachedImages.get(spec.image);
   if (known !== undefined) {
-    known.used = now;
+    known.lastUsedAt = now;
     return;
   }
-  machine.images.set(spec.image, { gb: spec.imageGb, used: now });
+  machine.cachedImages.set(spec.image, { gb: spec.imageGb, lastUsedAt: now });
   const room = state.types.get(machine.type)?.cacheGb ?? Infinity;
   let held = 0;
-  for (const i of machine.images.values()) held += i.gb;
-  while (held > room && machine.images.size > 1) {
+  for (const i of machine.cachedImages.values()) held += i.gb;
+  while (held > room && machine.cachedImages.size > 1) {
     let oldest: string | null = null;
     let at = now + 1n;
-    for (const [name, i] of machine.images) if (i.used < at) [oldest, at] = [name, i.used];
+    for (const [name, i] of machine.cachedImages) if (i.lastUsedAt < at) [oldest, at] = [name, i.lastUsedAt];
     if (oldest === null) return;
-    held -= machine.images.get(oldest)?.gb ?? 0;
-    machine.images.delete(oldest);
+    held -= machine.cachedImages.get(oldest)?.gb ?? 0;
+    machine.cachedImages.delete(oldest);
   }
 }
--- a/src/core/loading.ts
+++ b/src/core/loading.ts
@@ -1,117 +1,132 @@
 /** @file Jobs and records as they are read from the state service. */
-import { closeChunks, newChunk } from './chunks.js';
+import { releaseFinishedChunks, newChunk } from './chunks.js';
 import { type ClusterState, emitLog } from './cluster-state.js';
-import { addDependent, onJobEnded } from './dependencies.js';
-import { stopJob, wantDone } from './intents.js';
-import { machineOf } from './machine-registry.js';
-import { type Intent, type Job, type JobRecord, type Page, taskKey } from './model.js';
+import { registerJob, onJobFinished } from './dependencies.js';
+import { stopAllAssignments, requestCompletion } from './intents.js';
+import { getOrAddMachine } from './machine-registry.js';
+import { type Assignment, type Job, type JobRecord, type RecordPage, taskKey } from './model.js';
 import type { PageEntry } from './record-pages.js';
-import type { Now } from './time.js';
+import type { Timestamp } from './time.js';
 
 /** A job's record as read or followed. New jobs come in; a cancellation stops what may run. */
-export function onJob(state: ClusterState, id: string, record: JobRecord, stamp: number, now: Now): void {
+export function onJobChanged(
+  state: ClusterState,
+  id: string,
+  record: JobRecord,
+  stamp: number,
+  now: Timestamp,
+): void {
   const known = state.jobs.get(id);
   if (known === undefined) {
     const job: Job = {
       spec: record.spec,
-      submitted: record.submitted,
-      standing: record.standing,
-      stamp,
+      submittedAt: record.submittedAt,
+      status: record.status,
+      modRevision: stamp,
       chunks: new Map(),
-      doneCount: 0,
-      placedCount: 0,
-      doneWanted: false,
-      failedOn: new Map(),
-      failures: 0,
-      stops: 0,
-      notBefore: 0n,
-      free: new Set(),
-      arrived: now.steady,
-      lostAt: null,
-      waitReason: 'new',
-      inside: false,
-      since: record.submitted,
+      completedCount: 0,
+      assignedCount: 0,
+      completionRequested: false,
+      failuresByMachine: new Map(),
+      failureCount: 0,
+      preemptionCount: 0,
+      retryNotBefore: 0n,
+      unassignedTasks: new Set(),
+      firstSeenAt: now.monotonic,
+      replicaLostAt: null,
+      pendingReason: 'new',
+      withinFairShare: false,
+      readySince: record.submittedAt,
       priority: record.spec.priority,
-      latestEnd: Infinity,
+      latestCompletion: Infinity,
     };
     state.jobs.set(id, job);
-    if (record.standing === 'open') {
-      for (let t = 0; t < record.spec.tasks; t++) job.free.add(t);
-      addDependent(state, job, now);
+    if (record.status === 'open') {
+      for (let t = 0; t < record.spec.taskCount; t++) job.unassignedTasks.add(t);
+      registerJob(state, job, now);
     } else {
-      state.closed.set(id, now.steady);
-      onJobEnded(state, id, record.standing, now);
+      state.closed.set(id, now.monotonic);
+      onJobFinished(state, id, record.status, now);
     }
     return;
   }
-  if (stamp <= known.stamp) return;
-  known.stamp = stamp;
-  if (record.standing !== 'open') state.unrecordedCancellations.delete(id);
-  if (record.standing === known.standing) return;
-  known.standing = record.standing;
-  known.free.clear();
+  if (stamp <= known.modRevision) return;
+  known.modRevision = stamp;
+  if (record.status !== 'open') state.unrecordedCancellations.delete(id);
+  if (record.status === known.status) return;
+  known.status = record.status;
+  known.unassignedTasks.clear();
   state.waiting.delete(id);
   state.open.delete(id);
-  state.closed.set(id, now.steady);
+  state.closed.set(id, now.monotonic);
   state.rankStale = true;
-  closeChunks(known);
-  if (record.standing !== 'open') onJobEnded(state, id, record.standing, now);
-  if (record.standing === 'cancelled') {
+  releaseFinishedChunks(known);
+  if (record.status !== 'open') onJobFinished(state, id, record.status, now);
+  if (record.status === 'cancelled') {
     emitLog(state, 'job cancelled', { job: id }, 'info');
-    stopJob(state, known, 'cancelled', now.steady);
+    stopAllAssignments(state, known, 'cancelled', now.monotonic);
   }
 }
 
 /** A page as read when the term began. */
-export function onPage(
+export function onPageLoaded(
   state: ClusterState,
   id: number,
   entries: readonly PageEntry[],
   stamp: number,
-  now: Now,
+  now: Timestamp,
 ): void {
-  const page: Page = { id, pool: 'passing', stamp, version: 0, committed: 0, chunks: new Set(), used: null };
+  const page: RecordPage = {
+    id,
+    pool: 'passing',
+    modRevision: stamp,
+    version: 0,
+    committedVersion: 0,
+    chunks: new Set(),
+    reservedBytes: null,
+  };
   state.pages.set(id, page);
   for (const entry of entries) onChunk(state, page, entry, now);
 }
 
 /** A chunk as read when the term began. Its intents are possible places until proven otherwise. */
-function onChunk(state: ClusterState, page: Page, entry: PageEntry, now: Now): void {
-  const id = entry.job;
+function onChunk(state: ClusterState, page: RecordPage, entry: PageEntry, now: Timestamp): void {
+  const id = entry.jobId;
   const img = entry.record;
   const job = state.jobs.get(id);
   if (job === undefined) return;
   // What a closed job's page still says without places is of no more use.
-  if (job.standing !== 'open' && img.intents.length === 0) return;
-  const chunk = newChunk(id, entry.index, img.attempt, img.done);
+  if (job.status !== 'open' && img.assignments.length === 0) return;
+  const chunk = newChunk(id, entry.chunkIndex, img.highestAttempt, img.completedTasks);
   chunk.page = page;
   page.chunks.add(chunk);
   page.pool = job.spec.kind === 'service' ? 'lasting' : 'passing';
-  job.chunks.set(entry.index, chunk);
-  job.doneCount += chunk.done.size;
-  for (const t of chunk.done) job.free.delete(t);
-  for (const i of img.intents) {
-    const intent: Intent = {
+  job.chunks.set(entry.chunkIndex, chunk);
+  job.completedCount += chunk.completedTasks.size;
+  for (const t of chunk.completedTasks) job.unassignedTasks.delete(t);
+  for (const i of img.assignments) {
+    const intent: Assignment = {
       ...i,
-      job: id,
-      version: 0,
-      created: now.steady,
+      jobId: id,
+      recordVersion: 0,
+      createdAt: now.monotonic,
       phase: 'placed',
-      stopping: null,
+      stopRequest: null,
       // It may have been sent by an earlier owner: only proof ends it.
-      sentAt: 0,
-      sentTime: null,
+      startSentInSequence: 0,
+      startSentAt: null,
       runningSince: null,
     };
-    chunk.intents.set(i.task, intent);
-    job.free.delete(i.task);
-    job.placedCount += 1;
-    state.quota.take(job.spec);
-    const machine = machineOf(state, i.machine, now.steady);
-    machine.intents.set(taskKey(id, i.task), intent);
-    machine.view = null;
+    chunk.assignments.set(i.taskIndex, intent);
+    job.unassignedTasks.delete(i.taskIndex);
+    job.assignedCount += 1;
+    state.quota.acquire(job.spec);
+    const machine = getOrAddMachine(state, i.machineName, now.monotonic);
+    machine.assignments.set(taskKey(id, i.taskIndex), intent);
+    machine.resources = null;
   }
-  if (job.free.size === 0) state.waiting.delete(id);
-  if (job.standing === 'cancelled') stopJob(state, job, 'cancelled', now.steady);
-  if (job.doneCount === job.spec.tasks && job.standing === 'open') wantDone(state, job, now.steady);
+  if (job.unassignedTasks.size === 0) state.waiting.delete(id);
+  if (job.status === 'cancelled') stopAllAssignments(state, job, 'cancelled', now.monotonic);
+  if (job.completedCount === job.spec.taskCount && job.status === 'open')
+    requestCompletion(state, job, now.monotonic);
 }
--- a/src/core/machine-list.ts
+++ b/src/core/machine-list.ts
@@ -1,23 +1,28 @@
 /** @file The cloud's word on machines: the list, and what was returned. */
 import { type ClusterState, emitLog } from './cluster-state.js';
-import { endIntent } from './intents.js';
-import { machineOf } from './machine-registry.js';
-import { leaseEnd } from './leases.js';
-import type { Listed, Machine } from './model.js';
-import { type Now, type Steady, seconds } from './time.js';
+import { endAssignment } from './intents.js';
+import { getOrAddMachine } from './machine-registry.js';
+import { leaseExpiry } from './leases.js';
+import type { CloudInstance, Machine } from './model.js';
+import { type Timestamp, type MonotonicTime, seconds } from './time.js';
 
 /** Takes in a whole list of the cloud's. */
-export function onList(state: ClusterState, list: readonly Listed[], sent: Steady, now: Now): void {
+export function reconcileInventory(
+  state: ClusterState,
+  list: readonly CloudInstance[],
+  sent: MonotonicTime,
+  now: Timestamp,
+): void {
   const names = new Set<string>();
   state.listSeen = true;
   for (const listed of list) {
     names.add(listed.name);
     // Lists lag: what is proven gone stays on them for a while.
     if (state.gone.has(listed.name)) continue;
-    const machine = machineOf(state, listed.name, now.steady);
+    const machine = getOrAddMachine(state, listed.name, now.monotonic);
     if (machine.endpoint === '') machine.endpoint = listed.endpoint;
-    if (machine.session === 0) {
-      if (machine.type !== listed.type) machine.view = null;
+    if (machine.agentEpoch === 0) {
+      if (machine.type !== listed.type) machine.resources = null;
       machine.type = listed.type;
       machine.zone = listed.zone;
       machine.spot = listed.spot;
@@ -26,25 +31,25 @@
           type: listed.type,
           zone: listed.zone,
           spot: listed.spot,
-          since: now.steady - listed.age,
+          since: now.monotonic - listed.age,
         });
     }
-    if (machine.listed !== listed.state) state.needPass = true;
-    machine.listed = listed.state;
-    machine.listedAt = now.steady;
+    if (machine.instanceState !== listed.state) state.needPass = true;
+    machine.instanceState = listed.state;
+    machine.lastListedAt = now.monotonic;
   }
   // The list lags and may go back in time: only what has long been missing and silent is dropped.
-  const long = state.facts.listLag * 6n;
+  const long = state.facts.inventoryLag * 6n;
   for (const machine of [...state.machines.values()]) {
     if (names.has(machine.name)) continue;
-    if (machine.intents.size > 0) {
+    if (machine.assignments.size > 0) {
       onUnlisted(state, machine, sent, now);
       continue;
     }
-    const last = [machine.heard, machine.listedAt ?? 0n, machine.firstKnown].reduce((a, b) =>
+    const last = [machine.lastHeartbeatAt, machine.lastListedAt ?? 0n, machine.firstSeenAt].reduce((a, b) =>
       a > b ? a : b,
     );
-    if (now.steady - last > long && now.steady > leaseEnd(state, machine)) {
+    if (now.monotonic - last > long && now.monotonic > leaseExpiry(state, machine)) {
       state.machines.delete(machine.name);
       state.booting.delete(machine.name);
       state.loose.delete(machine.name);
@@ -60,23 +65,28 @@
  * gone with all it held: taken back, or deleted. Without this proof the tasks of spot machines that were taken just
  * before a takeover waited for leases that an earlier owner might have renewed, and again after each further one.
  */
-function onUnlisted(state: ClusterState, machine: Machine, sent: Steady, now: Now): void {
-  const existed = machine.heard > 0n ? machine.heard : state.began;
-  if (sent < existed + (state.facts.listLag * 5n) / 2n + seconds(2)) return;
-  emitLog(state, 'not listed any more: gone', { machine: machine.name, tasks: machine.intents.size }, 'info');
-  for (const intent of [...machine.intents.values()])
-    endIntent(state, intent, false, 'machine gone', now.steady);
-  dropMachine(state, machine.name, now.steady);
+function onUnlisted(state: ClusterState, machine: Machine, sent: MonotonicTime, now: Timestamp): void {
+  const existed = machine.lastHeartbeatAt > 0n ? machine.lastHeartbeatAt : state.began;
+  if (sent < existed + (state.facts.inventoryLag * 5n) / 2n + seconds(2)) return;
+  emitLog(
+    state,
+    'not listed any more: gone',
+    { machine: machine.name, tasks: machine.assignments.size },
+    'info',
+  );
+  for (const intent of [...machine.assignments.values()])
+    endAssignment(state, intent, false, 'machine gone', now.monotonic);
+  dropMachine(state, machine.name, now.monotonic);
 }
 
 /** The cloud has answered: these machines and all they held are gone. */
-export function onReturned(state: ClusterState, names: readonly string[], now: Now): void {
+export function onMachinesReleased(state: ClusterState, names: readonly string[], now: Timestamp): void {
   for (const name of names) {
     const machine = state.machines.get(name);
     if (machine === undefined) continue;
-    for (const intent of [...machine.intents.values()])
-      endIntent(state, intent, false, 'machine returned', now.steady);
-    dropMachine(state, name, now.steady);
+    for (const intent of [...machine.assignments.values()])
+      endAssignment(state, intent, false, 'machine returned', now.monotonic);
+    dropMachine(state, name, now.monotonic);
   }
   state.needPass = true;
 }
@@ -85,7 +95,7 @@
 const COPIES_COME = seconds(600);
 
 /** Proven gone. A late copy of its reports would otherwise make it look alive, and work would be sent there. */
-function dropMachine(state: ClusterState, name: string, now: Steady): void {
+function dropMachine(state: ClusterState, name: string, now: MonotonicTime): void {
   state.machines.delete(name);
   state.booting.delete(name);
   state.loose.delete(name);
--- a/src/core/machine-registry.ts
+++ b/src/core/machine-registry.ts
@@ -1,10 +1,10 @@
 /** @file The machines that the owner of a part knows. */
 import type { ClusterState } from './cluster-state.js';
 import type { Machine } from './model.js';
-import type { Steady } from './time.js';
+import type { MonotonicTime } from './time.js';
 
 /** The machine of that name, made known when it is not. */
-export function machineOf(state: ClusterState, name: string, now: Steady): Machine {
+export function getOrAddMachine(state: ClusterState, name: string, now: MonotonicTime): Machine {
   let machine = state.machines.get(name);
   if (machine === undefined) {
     machine = {
@@ -13,34 +13,34 @@
       type: '',
       zone: '',
       spot: false,
-      session: 0,
-      seq: 0,
-      token: 0,
-      notice: null,
-      answered: state.othersQuiet,
-      heard: 0n,
-      arrivedAt: null,
+      agentEpoch: 0,
+      sequence: 0,
+      fencingToken: 0,
+      preemptionAt: null,
+      lastAcknowledgedAt: state.othersQuiet,
+      lastHeartbeatAt: 0n,
+      firstHeartbeatAt: null,
       fenced: false,
-      deadSession: 0,
-      intents: new Map(),
-      seen: new Map(),
-      images: new Map(),
-      faults: new Map(),
-      setAside: false,
-      setAsideSince: null,
+      lastExpiredEpoch: 0,
+      assignments: new Map(),
+      reportedTasks: new Map(),
+      cachedImages: new Map(),
+      failuresByJob: new Map(),
+      quarantined: false,
+      quarantinedSince: null,
       idleSince: null,
-      listed: null,
-      listedAt: null,
-      returning: false,
-      closed: false,
-      firstKnown: now,
-      asked: [],
-      unheeded: 0,
-      unheededAt: 0,
-      deafSince: null,
+      instanceState: null,
+      lastListedAt: null,
+      releasing: false,
+      draining: false,
+      firstSeenAt: now,
+      answeredSequences: [],
+      unacknowledgedStarts: 0,
+      unacknowledgedSequence: 0,
+      unreachableSince: null,
       probedAt: null,
-      view: null,
-      strays: false,
+      resources: null,
+      hasOrphanedTasks: false,
     };
     state.machines.set(name, machine);
     state.longestName = Math.max(state.longestName, encodeURIComponent(name).length);
--- a/src/core/model.ts
+++ b/src/core/model.ts
@@ -1,138 +1,142 @@
 import type { ChunkRecord } from './chunks.js';
-import type { Free } from './placement.js';
-import type { Span, Steady } from './time.js';
+import type { Resources } from './placement.js';
+import type { Duration, MonotonicTime } from './time.js';
 
 /** How the tasks of a job belong together. */
-export type Kind = 'array' | 'gang' | 'service';
+export type JobKind = 'array' | 'gang' | 'service';
 /** Priorities, lowest first. */
 export type Priority = 'low' | 'normal' | 'high' | 'production';
 
 const RANKS: Record<Priority, number> = { low: 0, normal: 1, high: 2, production: 3 };
 /** The order of priorities as a number. */
-export const rank = (p: Priority): number => RANKS[p];
+export const priorityRank = (p: Priority): number => RANKS[p];
 
 /** A job as its user described it, in the names used inside. */
-export interface Spec {
+export interface JobSpec {
   readonly id: string;
   readonly class: string;
   readonly team: string;
-  readonly kind: Kind;
+  readonly kind: JobKind;
   readonly priority: Priority;
-  readonly tasks: number;
+  readonly taskCount: number;
   readonly cpus: number;
   readonly gpus: number;
   readonly memory: number;
-  readonly types: readonly string[] | null;
+  readonly machineTypes: readonly string[] | null;
   readonly zone: string | null;
-  readonly oneZone: boolean;
-  readonly spread: boolean;
-  readonly spot: boolean;
+  readonly singleZone: boolean;
+  readonly spreadAcrossZones: boolean;
+  readonly allowSpot: boolean;
   readonly image: string;
   readonly imageGb: number;
-  readonly estimate: Span;
-  readonly checkpoint: Span;
-  readonly save: Span;
-  readonly due: Span | null;
+  readonly estimatedDuration: Duration;
+  readonly checkpointInterval: Duration;
+  readonly checkpointDuration: Duration;
+  readonly deadline: Duration | null;
   /** Jobs that must be done before any task of this one starts. */
   readonly dependencies: readonly string[];
 }
 
 /** What the state service holds for a job: its description, when it came, and how it stands. */
-export type Standing = 'open' | 'cancelled' | 'done';
+export type JobStatus = 'open' | 'cancelled' | 'done';
 
 /** A job as the state service holds it. */
 export interface JobRecord {
-  readonly spec: Spec;
-  readonly submitted: Date;
-  readonly standing: Standing;
+  readonly spec: JobSpec;
+  readonly submittedAt: Date;
+  readonly status: JobStatus;
 }
 
 /** One possible place of a task. It is committed before any `run` for it leaves this process. */
-export interface Intent {
-  readonly job: string;
-  readonly task: number;
+export interface Assignment {
+  readonly jobId: string;
+  readonly taskIndex: number;
   readonly attempt: number;
-  readonly machine: string;
-  readonly session: number;
+  readonly machineName: string;
+  readonly agentEpoch: number;
   readonly zone: string;
   /** The world's version that first holds this intent; recorded once its chunk's committed version reaches it. */
-  readonly version: number;
-  readonly created: Steady;
-  phase: Phase;
+  readonly recordVersion: number;
+  readonly createdAt: MonotonicTime;
+  phase: AssignmentPhase;
   /** Set when the task is to end here; `grace` goes into the `halt`. */
-  stopping: { readonly grace: number; readonly why: string; readonly since: Steady } | null;
+  stopRequest: {
+    readonly grace: number;
+    readonly reason: string;
+    readonly requestedAt: MonotonicTime;
+  } | null;
   /** Sequence number of the report whose response last carried the `run`; null if none did. */
-  sentAt: number | null;
+  startSentInSequence: number | null;
   /** When the `run` was first sent in this term. */
-  sentTime: Steady | null;
-  runningSince: Steady | null;
+  startSentAt: MonotonicTime | null;
+  runningSince: MonotonicTime | null;
 }
 
 /** How far a placed task has come, as reported. */
-export type Phase = 'placed' | 'fetching' | 'waiting' | 'running' | 'saving';
+export type AssignmentPhase = 'placed' | 'fetching' | 'waiting' | 'running' | 'saving';
 
 /** One key of the state service: the recorded state of many jobs' chunks. */
-export interface Page {
+export interface RecordPage {
   readonly id: number;
   pool: 'lasting' | 'passing';
   /** Stamp of the key as last committed; 0: the key does not exist. */
-  stamp: number;
+  modRevision: number;
   /** The world's version at its last change, and the last one that is committed. */
   version: number;
-  committed: number;
-  readonly chunks: Set<Chunk>;
+  committedVersion: number;
+  readonly chunks: Set<TaskChunk>;
   /** The sum of its chunks' bounds; null: to be counted anew. */
-  used: number | null;
+  reservedBytes: number | null;
 }
 
 /** A run of a job's tasks, recorded together in one page. */
-export interface Chunk {
-  readonly job: string;
+export interface TaskChunk {
+  readonly jobId: string;
   readonly index: number;
-  page: Page | null;
+  page: RecordPage | null;
   /** Highest attempt number given out in this chunk. */
-  attempt: number;
-  readonly done: Set<number>;
-  readonly intents: Map<number, Intent>;
+  highestAttempt: number;
+  readonly completedTasks: Set<number>;
+  readonly assignments: Map<number, Assignment>;
   /** The world's version at its last change, and the last one that is committed. */
   version: number;
-  committed: number;
+  committedVersion: number;
   /** As last written out; null: changed since. */
-  record: ChunkRecord | null;
+  cachedRecord: ChunkRecord | null;
 }
 
 /** A job in the owner's memory. */
 export interface Job {
-  readonly spec: Spec;
-  readonly submitted: Date;
-  standing: Standing;
+  readonly spec: JobSpec;
+  readonly submittedAt: Date;
+  status: JobStatus;
   /** Stamp of the job's key: every transaction of the owner about this job is guarded by it. */
-  stamp: number;
-  readonly chunks: Map<number, Chunk>;
-  doneCount: number;
-  placedCount: number;
-  doneWanted: boolean;
+  modRevision: number;
+  readonly chunks: Map<number, TaskChunk>;
+  completedCount: number;
+  assignedCount: number;
+  completionRequested: boolean;
   /** Machines on which tasks of this job failed, with how often. */
-  readonly failedOn: Map<string, number>;
-  failures: number;
+  readonly failuresByMachine: Map<string, number>;
+  failureCount: number;
   /** How often its tasks were stopped for other work. */
-  stops: number;
+  preemptionCount: number;
   /** Not placed again before this moment (pauses after failures). */
-  notBefore: Steady;
+  retryNotBefore: MonotonicTime;
   /** Tasks known to have neither result nor place; kept in order. */
-  readonly free: Set<number>;
-  arrived: Steady;
+  readonly unassignedTasks: Set<number>;
+  firstSeenAt: MonotonicTime;
   /** When a running replica was last lost: its users are without it from then on. */
-  lostAt: Steady | null;
-  waitReason: string;
+  replicaLostAt: MonotonicTime | null;
+  pendingReason: string;
   /** From when its waiting counts: its submission, or the end of the last job that it needed; null: it waits for one. */
-  since: Date | null;
+  readySince: Date | null;
   /** Its own priority, or that of a job that needs it if that is higher. */
   priority: Priority;
   /** Seconds of wall time by which it should end, for its own deadline and those of the jobs that need it. */
-  latestEnd: number;
+  latestCompletion: number;
   /** Inside its team's guarantee, together with the team's earlier unfinished jobs. */
-  inside: boolean;
+  withinFairShare: boolean;
 }
 
 /** A type of machine that the cloud rents. */
@@ -145,43 +149,43 @@
   readonly fetchGbPerS: number;
   readonly price: number;
   readonly spotPrice: number;
-  readonly boot: Span;
+  readonly bootTime: Duration;
   readonly zones: readonly string[];
 }
 
 /** A task as a worker reports it. */
-export interface SeenTask {
-  readonly job: string;
-  readonly task: number;
+export interface ReportedTask {
+  readonly jobId: string;
+  readonly taskIndex: number;
   readonly attempt: number;
   readonly state: 'fetching' | 'waiting' | 'running' | 'saving' | 'exited';
-  readonly why: string | null;
-  readonly saved: boolean;
+  readonly exitReason: string | null;
+  readonly checkpointed: boolean;
 }
 
 /** A worker's report, from whichever connection it came. */
-export interface Report {
-  readonly machine: string;
+export interface Heartbeat {
+  readonly machineName: string;
   readonly endpoint: string;
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
-  readonly session: number;
-  readonly seq: number;
-  readonly token: number;
-  readonly notice: Span | null;
-  readonly tasks: readonly SeenTask[];
+  readonly agentEpoch: number;
+  readonly sequence: number;
+  readonly fencingToken: number;
+  readonly preemptionNotice: Duration | null;
+  readonly tasks: readonly ReportedTask[];
 }
 
 /** A machine as the cloud lists it. */
-export interface Listed {
+export interface CloudInstance {
   readonly name: string;
   readonly endpoint: string;
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
   readonly state: 'booting' | 'running' | 'failed';
-  readonly age: Span;
+  readonly age: Duration;
 }
 
 /** A machine in the owner's memory. */
@@ -192,78 +196,78 @@
   zone: string;
   spot: boolean;
   /** 0: no report seen yet. */
-  session: number;
-  seq: number;
-  token: number;
-  notice: Steady | null;
+  agentEpoch: number;
+  sequence: number;
+  fencingToken: number;
+  preemptionAt: MonotonicTime | null;
   /** When the last report was answered by us, or when an earlier owner may last have answered one. */
-  answered: Steady;
-  heard: Steady;
+  lastAcknowledgedAt: MonotonicTime;
+  lastHeartbeatAt: MonotonicTime;
   /** When its first report of its own accord came in this term; null: none has. */
-  arrivedAt: Steady | null;
+  firstHeartbeatAt: MonotonicTime | null;
   /** The worker has shown the token of this term: only our answers reach it, and absence counts. */
   fenced: boolean;
   /** Sessions up to this one are over: their tasks are gone, and nothing starts in them. */
-  deadSession: number;
-  readonly intents: Map<string, Intent>;
+  lastExpiredEpoch: number;
+  readonly assignments: Map<string, Assignment>;
   /** Tasks last reported and not exited, by key, with their attempt. */
-  seen: Map<string, SeenTask>;
-  readonly images: Map<string, { gb: number; used: Steady }>;
-  faults: Map<string, Steady>;
-  setAside: boolean;
-  setAsideSince: Steady | null;
-  idleSince: Steady | null;
-  listed: Listed['state'] | null;
-  listedAt: Steady | null;
-  returning: boolean;
+  reportedTasks: Map<string, ReportedTask>;
+  readonly cachedImages: Map<string, { gb: number; lastUsedAt: MonotonicTime }>;
+  failuresByJob: Map<string, MonotonicTime>;
+  quarantined: boolean;
+  quarantinedSince: MonotonicTime | null;
+  idleSince: MonotonicTime | null;
+  instanceState: CloudInstance['state'] | null;
+  lastListedAt: MonotonicTime | null;
+  releasing: boolean;
   /** The fleet would like to empty it: it is used only when nothing else fits. */
-  closed: boolean;
-  firstKnown: Steady;
+  draining: boolean;
+  firstSeenAt: MonotonicTime;
   /** Sequence numbers of reports lately asked to be answered, in this session: the same one again is a copy. */
-  asked: number[];
+  answeredSequences: number[];
   /** Answers in a row that carried a `run` of which the next reports showed nothing. */
-  unheeded: number;
-  unheededAt: number;
+  unacknowledgedStarts: number;
+  unacknowledgedSequence: number;
   /** Its reports come, but nothing shows that what we send reaches it; since when. */
-  deafSince: Steady | null;
-  probedAt: Steady | null;
+  unreachableSince: MonotonicTime | null;
+  probedAt: MonotonicTime | null;
   /** What is free, counted anew after a change: `r` without, `room` with what is being stopped. */
-  view: { readonly r: Free; readonly room: Free } | null;
+  resources: { readonly free: Resources; readonly projected: Resources } | null;
   /** It reports tasks that no intent covers; they take room too. */
-  strays: boolean;
+  hasOrphanedTasks: boolean;
 }
 
 /** A team with its guarantee and its limit; 0: none. */
 export interface Team {
   readonly name: string;
-  readonly cpus: number;
-  readonly gpus: number;
-  readonly cpusMax: number;
-  readonly gpusMax: number;
+  readonly fairShareCpus: number;
+  readonly fairShareGpus: number;
+  readonly cpuQuota: number;
+  readonly gpuQuota: number;
 }
 
 /** An aim of the operators for a class of jobs. */
-export interface Objective {
+export interface ServiceLevelObjective {
   readonly kind: string;
   readonly class: string;
-  readonly within: Span | null;
+  readonly threshold: Duration | null;
   readonly share: number;
 }
 
 /** The platform's facts as the core uses them. */
-export interface Facts {
+export interface ClusterConfig {
   readonly zones: readonly string[];
   readonly teams: readonly Team[];
-  readonly objectives: readonly Objective[];
-  readonly report: Span;
-  readonly lease: Span;
-  readonly gangWait: Span;
-  readonly gangPeer: Span;
-  readonly cancel: Span;
-  readonly txnOps: number;
+  readonly objectives: readonly ServiceLevelObjective[];
+  readonly heartbeatInterval: Duration;
+  readonly workerLease: Duration;
+  readonly gangStartTimeout: Duration;
+  readonly gangPeerTimeout: Duration;
+  readonly cancellationDeadline: Duration;
+  readonly maxTransactionOperations: number;
   /** The most that one value in the state service may take. */
-  readonly valueBytes: number;
-  readonly listLag: Span;
+  readonly maxValueBytes: number;
+  readonly inventoryLag: Duration;
 }
 
 /** Parameters of the design (the paper's symbols) and of what was added to it; operators may set them. */
@@ -276,11 +280,11 @@
   /** Image bandwidth in GB/s; null: the machine type's own. */
   readonly bandwidth: number | null;
   /** An idle machine that is not needed is returned after this long. */
-  readonly idle: Span;
+  readonly idleTimeout: Duration;
   /** Room kept free beyond what is in use, as a share of it. */
-  readonly reserve: number;
+  readonly reserveShare: number;
   /** Different jobs failing on a machine before it is set aside. */
-  readonly faultJobs: number;
+  readonly quarantineThreshold: number;
 }
 
 /** Names a task. */
--- a/src/core/orders.ts
+++ b/src/core/orders.ts
@@ -1,41 +1,42 @@
 /** @file The orders that workers get: in the answers to their reports, and by direct calls. */
 import {
   type ClusterState,
-  type Order,
+  type PendingForget,
+  type WorkerCommand,
   emitLog,
-  innerMap,
-  isBehind,
-  mayArrive,
-  runKey,
+  getOrCreateMap,
+  isOverloaded,
+  startMayStillArrive,
+  attemptKey,
 } from './cluster-state.js';
-import { isCommitted } from './chunks.js';
-import { type Intent, type Job, type Machine, type Report, taskKey } from './model.js';
-import { mayStart } from './ownership-timing.js';
-import { markReached } from './reports.js';
-import { type Now, type Steady, seconds, toSeconds } from './time.js';
+import { isAssignmentCommitted } from './chunks.js';
+import { type Assignment, type Job, type Machine, type Heartbeat, taskKey } from './model.js';
+import { mayStartTasks } from './ownership-timing.js';
+import { markReachable } from './reports.js';
+import { type Timestamp, type MonotonicTime, seconds, toSeconds } from './time.js';
 
 /** What became of a direct command. Unknown: a copy may still arrive and be carried out. */
-export function onDirect(
+export function onCommandsAnswered(
   state: ClusterState,
   machine: string,
   session: number,
   token: number,
-  orders: readonly Order[],
+  orders: readonly WorkerCommand[],
   outcome: 'executed' | 'refused' | 'unknown',
   /** The worker itself answered. */
   reached: boolean,
 ): void {
   const m = state.machines.get(machine);
-  if (outcome !== 'unknown' && reached && m !== undefined) markReached(state, m);
+  if (outcome !== 'unknown' && reached && m !== undefined) markReachable(state, m);
   for (const order of orders) {
     if (order.op !== 'start') continue;
-    const key = runKey(order.job, order.task, order.attempt);
-    const flying = innerMap(state.flying, machine);
+    const key = attemptKey(order.jobId, order.taskIndex, order.attempt);
+    const flying = getOrCreateMap(state.flying, machine);
     const left = (flying.get(key) ?? 1) - 1;
     if (left > 0) flying.set(key, left);
     else flying.delete(key);
-    if (outcome === 'unknown' && m !== undefined && m.session === session && m.token <= token)
-      innerMap(state.loose, machine).set(key, token);
+    if (outcome === 'unknown' && m !== undefined && m.agentEpoch === session && m.fencingToken <= token)
+      getOrCreateMap(state.loose, machine).set(key, token);
   }
 }
 
@@ -47,63 +48,70 @@
  * it would be told fits an older list. Its answer may still renew the lease, since a report can be overtaken by the
  * answer to a command; only the same report once more is surely a copy, whose answer reaches nobody.
  */
-export function ordersFor(
+export function commandsFor(
   state: ClusterState,
   name: string,
-  now: Now,
-  report: Report | null = null,
-): Order[] {
+  now: Timestamp,
+  report: Heartbeat | null = null,
+): WorkerCommand[] {
   const machine = state.machines.get(name);
   if (machine === undefined) return [];
-  if (report !== null && report.session === machine.session) {
-    if (machine.asked.includes(report.seq)) return [];
+  if (report !== null && report.agentEpoch === machine.agentEpoch) {
+    if (machine.answeredSequences.includes(report.sequence)) return [];
     // A worker has one report under way at a time: what is older than all of these is no original either.
-    if (machine.asked.length === ASKED && report.seq < (machine.asked[0] ?? 0)) return [];
-    machine.asked.push(report.seq);
-    if (machine.asked.length > ASKED) machine.asked.shift();
+    if (machine.answeredSequences.length === ASKED && report.sequence < (machine.answeredSequences[0] ?? 0))
+      return [];
+    machine.answeredSequences.push(report.sequence);
+    if (machine.answeredSequences.length > ASKED) machine.answeredSequences.shift();
   }
-  machine.answered = now.steady;
-  if (report !== null && (report.session !== machine.session || report.seq !== machine.seq)) return [];
-  const orders: Order[] = [];
-  for (const intent of machine.intents.values()) {
-    const seen = machine.seen.get(taskKey(intent.job, intent.task));
+  machine.lastAcknowledgedAt = now.monotonic;
+  if (report !== null && (report.agentEpoch !== machine.agentEpoch || report.sequence !== machine.sequence))
+    return [];
+  const orders: WorkerCommand[] = [];
+  for (const intent of machine.assignments.values()) {
+    const seen = machine.reportedTasks.get(taskKey(intent.jobId, intent.taskIndex));
     const there = seen !== undefined && seen.attempt === intent.attempt;
-    if (intent.stopping !== null) {
+    if (intent.stopRequest !== null) {
       if (there)
         orders.push({
           op: 'stop',
-          job: intent.job,
-          task: intent.task,
+          jobId: intent.jobId,
+          taskIndex: intent.taskIndex,
           attempt: intent.attempt,
-          grace: graceNow(state, intent, now.steady),
+          gracePeriodS: graceNow(state, intent, now.monotonic),
         });
-    } else if (!there && isStartable(state, machine, intent, now.steady)) {
-      intent.sentAt = machine.seq;
-      intent.sentTime ??= now.steady;
-      orders.push({ op: 'start', job: intent.job, task: intent.task, attempt: intent.attempt });
+    } else if (!there && isStartable(state, machine, intent, now.monotonic)) {
+      intent.startSentInSequence = machine.sequence;
+      intent.startSentAt ??= now.monotonic;
+      orders.push({ op: 'start', jobId: intent.jobId, taskIndex: intent.taskIndex, attempt: intent.attempt });
     }
   }
   orders.push(...stopsForStrays(state, machine));
   for (const forget of state.forgets.get(name)?.values() ?? [])
     if (mayForget(state, name, forget))
-      orders.push({ op: 'forget', job: forget.job, task: forget.task, attempt: forget.attempt });
+      orders.push({
+        op: 'forget',
+        jobId: forget.jobId,
+        taskIndex: forget.taskIndex,
+        attempt: forget.attempt,
+      });
   return orders;
 }
 
 /** A task that was told to save but does not end is ended, once it had twice its time. */
-function graceNow(state: ClusterState, intent: Intent, now: Steady): number {
-  const grace = intent.stopping?.grace ?? 0;
-  if (intent.stopping === null || grace === 0) return 0;
-  const allowed = seconds(grace * 2) + state.facts.gangPeer + state.facts.report * 2n;
-  return now - intent.stopping.since > allowed ? 0 : grace;
+function graceNow(state: ClusterState, intent: Assignment, now: MonotonicTime): number {
+  const grace = intent.stopRequest?.grace ?? 0;
+  if (intent.stopRequest === null || grace === 0) return 0;
+  const allowed = seconds(grace * 2) + state.facts.gangPeerTimeout + state.facts.heartbeatInterval * 2n;
+  return now - intent.stopRequest.requestedAt > allowed ? 0 : grace;
 }
 
 /** Tasks on the machine that no intent covers: they were given up with proof once, so whatever this is, it ends. */
-function stopsForStrays(state: ClusterState, machine: Machine): Order[] {
-  const out: Order[] = [];
+function stopsForStrays(state: ClusterState, machine: Machine): WorkerCommand[] {
+  const out: WorkerCommand[] = [];
   if (!machine.fenced) return out;
-  for (const [key, task] of machine.seen) {
-    const intent = machine.intents.get(key);
+  for (const [key, task] of machine.reportedTasks) {
+    const intent = machine.assignments.get(key);
     if (intent !== undefined && intent.attempt === task.attempt) continue;
     emitLog(
       state,
@@ -111,51 +119,58 @@
       { machine: machine.name, task: key, attempt: task.attempt },
       'info',
     );
-    out.push({ op: 'stop', job: task.job, task: task.task, attempt: task.attempt, grace: 0 });
+    out.push({
+      op: 'stop',
+      jobId: task.jobId,
+      taskIndex: task.taskIndex,
+      attempt: task.attempt,
+      gracePeriodS: 0,
+    });
   }
   return out;
 }
 
-function mayForget(
-  state: ClusterState,
-  machine: string,
-  f: { job: string; task: number; attempt: number; index: number | null; version: number },
-): boolean {
-  const key = runKey(f.job, f.task, f.attempt);
+function mayForget(state: ClusterState, machine: string, forget: PendingForget): boolean {
+  const key = attemptKey(forget.jobId, forget.taskIndex, forget.attempt);
   // After a `forget` the attempt is unknown to the worker: a copy of its `run` would start it again.
   if (state.loose.get(machine)?.has(key) === true || (state.flying.get(machine)?.get(key) ?? 0) > 0)
     return false;
   if (state.machines.get(machine)?.fenced !== true) return false;
-  const job = state.jobs.get(f.job);
+  const job = state.jobs.get(forget.jobId);
   // A job that is over needs no more results.
-  if (job === undefined || f.index === null || job.standing !== 'open') return true;
-  return (job.chunks.get(f.index)?.committed ?? 0) >= f.version;
+  if (job === undefined || forget.chunkIndex === null || job.status !== 'open') return true;
+  return (job.chunks.get(forget.chunkIndex)?.committedVersion ?? 0) >= forget.recordVersion;
 }
 
 /** Drops forgets that the newest report shows as carried out. */
-export function tidyForgets(state: ClusterState, report: Report): void {
-  const map = state.forgets.get(report.machine);
+export function dropCompletedForgets(state: ClusterState, report: Heartbeat): void {
+  const map = state.forgets.get(report.machineName);
   if (map === undefined) return;
   const exited = new Set(
     report.tasks
       .filter((task) => task.state === 'exited')
-      .map((task) => runKey(task.job, task.task, task.attempt)),
+      .map((task) => attemptKey(task.jobId, task.taskIndex, task.attempt)),
   );
   for (const [k, forget] of map)
-    if (!exited.has(runKey(forget.job, forget.task, forget.attempt))) map.delete(k);
+    if (!exited.has(attemptKey(forget.jobId, forget.taskIndex, forget.attempt))) map.delete(k);
 }
 
 /** Whether the task may be started now: its place is committed, its job open, our word from the state service recent. */
-export function isStartable(state: ClusterState, machine: Machine, intent: Intent, now: Steady): boolean {
-  const job = state.jobs.get(intent.job);
-  if (job === undefined || job.standing !== 'open' || intent.stopping !== null) return false;
-  if (state.dependencies.isWaiting(intent.job)) return false;
-  if (intent.session !== machine.session || !machine.fenced || intent.phase !== 'placed') return false;
-  if (!isCommitted(job, intent) || !mayStart(state.contact, now)) return false;
+export function isStartable(
+  state: ClusterState,
+  machine: Machine,
+  intent: Assignment,
+  now: MonotonicTime,
+): boolean {
+  const job = state.jobs.get(intent.jobId);
+  if (job === undefined || job.status !== 'open' || intent.stopRequest !== null) return false;
+  if (state.dependencies.isWaiting(intent.jobId)) return false;
+  if (intent.agentEpoch !== machine.agentEpoch || !machine.fenced || intent.phase !== 'placed') return false;
+  if (!isAssignmentCommitted(job, intent) || !mayStartTasks(state.contact, now)) return false;
   // A gang starts as one: no member before all are committed.
   if (job.spec.kind === 'gang')
     for (const chunk of job.chunks.values())
-      for (const other of chunk.intents.values()) if (!isCommitted(job, other)) return false;
+      for (const other of chunk.assignments.values()) if (!isAssignmentCommitted(job, other)) return false;
   return job.spec.kind !== 'gang' || inStep(state, job, machine, intent, now);
 }
 
@@ -167,61 +182,67 @@
  * after a while and take the whole attempt with it. The slowest go first; what is late for any reason holds nobody up
  * for longer than its fetch should take.
  */
-function inStep(state: ClusterState, job: Job, machine: Machine, intent: Intent, now: Steady): boolean {
+function inStep(
+  state: ClusterState,
+  job: Job,
+  machine: Machine,
+  intent: Assignment,
+  now: MonotonicTime,
+): boolean {
   const fetch = (at: Machine | undefined): number => {
-    if (at === undefined || at.images.has(job.spec.image)) return 0;
+    if (at === undefined || at.cachedImages.has(job.spec.image)) return 0;
     const rate = state.types.get(at.type)?.fetchGbPerS ?? 0;
     return rate > 0 ? job.spec.imageGb / rate : 0;
   };
   const own = fetch(machine);
   let last = 0;
   for (const chunk of job.chunks.values())
-    for (const other of chunk.intents.values()) {
+    for (const other of chunk.assignments.values()) {
       if (other === intent || (other.phase !== 'placed' && other.phase !== 'fetching')) continue;
-      const passed = other.sentTime === null ? 0 : toSeconds(now - other.sentTime);
-      last = Math.max(last, fetch(state.machines.get(other.machine)) - passed);
+      const passed = other.startSentAt === null ? 0 : toSeconds(now - other.startSentAt);
+      last = Math.max(last, fetch(state.machines.get(other.machineName)) - passed);
     }
-  return own >= last - toSeconds(state.facts.gangWait) * STEP;
+  return own >= last - toSeconds(state.facts.gangStartTimeout) * STEP;
 }
 
 /**
  * Sends the `run`s that a commit made allowed, straight to the machines. While the process is behind they are left to
  * the answers to the machines' next reports, which carry them anyway.
  */
-export function dispatch(state: ClusterState, intents: Iterable<Intent>, now: Now): void {
-  if (isBehind(state)) return;
-  const byMachine = new Map<string, Intent[]>();
+export function sendStarts(state: ClusterState, intents: Iterable<Assignment>, now: Timestamp): void {
+  if (isOverloaded(state)) return;
+  const byMachine = new Map<string, Assignment[]>();
   for (const intent of intents) {
-    const machine = state.machines.get(intent.machine);
+    const machine = state.machines.get(intent.machineName);
     if (
       machine === undefined ||
-      intent.sentAt !== null ||
-      mayArrive(state, intent) ||
-      !isStartable(state, machine, intent, now.steady)
+      intent.startSentInSequence !== null ||
+      startMayStillArrive(state, intent) ||
+      !isStartable(state, machine, intent, now.monotonic)
     )
       continue;
-    const list = byMachine.get(intent.machine) ?? [];
+    const list = byMachine.get(intent.machineName) ?? [];
     list.push(intent);
-    byMachine.set(intent.machine, list);
+    byMachine.set(intent.machineName, list);
   }
   for (const [name, list] of byMachine) {
     const machine = state.machines.get(name);
     if (machine === undefined) continue;
-    const flying = innerMap(state.flying, name);
+    const flying = getOrCreateMap(state.flying, name);
     for (const intent of list) {
-      const key = runKey(intent.job, intent.task, intent.attempt);
+      const key = attemptKey(intent.jobId, intent.taskIndex, intent.attempt);
       flying.set(key, (flying.get(key) ?? 0) + 1);
-      intent.sentAt = 0;
-      intent.sentTime ??= now.steady;
+      intent.startSentInSequence = 0;
+      intent.startSentAt ??= now.monotonic;
     }
     state.effects.push({
-      kind: 'direct',
-      machine: name,
-      session: machine.session,
-      orders: list.map((intent) => ({
+      kind: 'send-commands',
+      machineName: name,
+      agentEpoch: machine.agentEpoch,
+      commands: list.map((intent) => ({
         op: 'start',
-        job: intent.job,
-        task: intent.task,
+        jobId: intent.jobId,
+        taskIndex: intent.taskIndex,
         attempt: intent.attempt,
       })),
     });
--- a/src/core/outbox.ts
+++ b/src/core/outbox.ts
@@ -1,8 +1,8 @@
-import { closeChunks, recordOf } from './chunks.js';
-import { onJobEnded } from './dependencies.js';
-import type { Chunk, Job } from './model.js';
-import { entriesOf, type PageEntry } from './record-pages.js';
-import { seconds, type Now, type Steady } from './time.js';
+import { releaseFinishedChunks, chunkRecordOf } from './chunks.js';
+import { onJobFinished } from './dependencies.js';
+import type { TaskChunk, Job } from './model.js';
+import { pageEntriesOf, type PageEntry } from './record-pages.js';
+import { seconds, type Timestamp, type MonotonicTime } from './time.js';
 import type { ClusterState } from './cluster-state.js';
 
 /**
@@ -12,37 +12,38 @@
  */
 export interface PageWrite {
   readonly id: number;
-  readonly stamp: number;
+  readonly modRevision: number;
   readonly version: number;
   readonly entries: readonly PageEntry[];
-  readonly chunks: readonly Chunk[];
+  readonly chunks: readonly TaskChunk[];
 }
 
 /** Changes that are committed together or not at all. */
 export interface Transaction {
-  readonly token: number;
+  readonly fencingToken: number;
   /** Jobs whose stamps are guarded. */
-  readonly jobs: ReadonlyMap<string, number>;
+  readonly guardedJobs: ReadonlyMap<string, number>;
   readonly pages: readonly PageWrite[];
-  readonly done: readonly string[];
+  readonly completedJobs: readonly string[];
   /** Jobs cancelled through a dependency, whose own records are to say so. */
-  readonly cancelled: readonly string[];
+  readonly cancelledJobs: readonly string[];
 }
 
 /** How many of the state service's changes a transaction takes. */
-export const changesIn = (transaction: Transaction): number =>
-  transaction.pages.length + transaction.done.length + transaction.cancelled.length;
+export const operationCount = (transaction: Transaction): number =>
+  transaction.pages.length + transaction.completedJobs.length + transaction.cancelledJobs.length;
 
 /**
  * Ended places wait this long for company: nobody waits for them, and each write of a page costs a change. Where more
  * pages change than fit one transaction they wait longer, so that what is waited for is not behind them.
  */
-const batchingDelay = (state: ClusterState): Steady =>
-  seconds(1) * BigInt(Math.max(1, Math.ceil(state.dirty.size / state.facts.txnOps)));
+const batchingDelay = (state: ClusterState): MonotonicTime =>
+  seconds(1) * BigInt(Math.max(1, Math.ceil(state.dirty.size / state.facts.maxTransactionOperations)));
 
 const unrecorded = (job: Job, but: ReadonlySet<number>): boolean => {
   for (const chunk of job.chunks.values())
-    if (chunk.version > chunk.committed && (chunk.page === null || !but.has(chunk.page.id))) return true;
+    if (chunk.version > chunk.committedVersion && (chunk.page === null || !but.has(chunk.page.id)))
+      return true;
   return false;
 };
 
@@ -50,11 +51,11 @@
 function startingIn(state: ClusterState, id: number): Job[] {
   const out: Job[] = [];
   for (const chunk of state.pages.get(id)?.chunks ?? []) {
-    if (chunk.version <= chunk.committed) continue;
-    const job = state.jobs.get(chunk.job);
-    if (job === undefined || job.standing !== 'open') continue;
-    for (const intent of chunk.intents.values())
-      if (intent.version > chunk.committed) {
+    if (chunk.version <= chunk.committedVersion) continue;
+    const job = state.jobs.get(chunk.jobId);
+    if (job === undefined || job.status !== 'open') continue;
+    for (const intent of chunk.assignments.values())
+      if (intent.recordVersion > chunk.committedVersion) {
         out.push(job);
         break;
       }
@@ -72,11 +73,15 @@
   ids: readonly number[],
 ): void {
   for (const id of state.dirtyJobs.keys()) {
-    if (ids.length + done.length >= most || ids.length + jobs.size + 1 >= 4 * state.facts.txnOps) return;
+    if (
+      ids.length + done.length >= most ||
+      ids.length + jobs.size + 1 >= 4 * state.facts.maxTransactionOperations
+    )
+      return;
     const job = state.jobs.get(id);
-    if (job === undefined || job.standing !== 'open' || done.includes(id) || unrecorded(job, taken)) continue;
+    if (job === undefined || job.status !== 'open' || done.includes(id) || unrecorded(job, taken)) continue;
     done.push(id);
-    jobs.set(id, job.stamp);
+    jobs.set(id, job.modRevision);
   }
 }
 
@@ -85,15 +90,21 @@
   for (const id of ids) {
     const page = state.pages.get(id);
     if (page === undefined) continue;
-    const entries = entriesOf(page, recordOf);
-    pages.push({ id, stamp: page.stamp, version: page.version, entries, chunks: [...page.chunks] });
+    const entries = pageEntriesOf(page, chunkRecordOf);
+    pages.push({
+      id,
+      modRevision: page.modRevision,
+      version: page.version,
+      entries,
+      chunks: [...page.chunks],
+    });
   }
   return pages;
 }
 
 function startingJobs(state: ClusterState, ids: readonly number[]): Map<string, number> {
   const jobs = new Map<string, number>();
-  for (const id of ids) for (const job of startingIn(state, id)) jobs.set(job.spec.id, job.stamp);
+  for (const id of ids) for (const job of startingIn(state, id)) jobs.set(job.spec.id, job.modRevision);
   return jobs;
 }
 
@@ -104,35 +115,41 @@
  * Records of jobs that were cancelled through a dependency. They have a transaction of their own: a user may cancel one
  * of them at the same time, and the places of other jobs must not be refused together with it.
  */
-function cancellations(state: ClusterState, now: Steady): Transaction | null {
+function cancellations(state: ClusterState, now: MonotonicTime): Transaction | null {
   if (state.unrecordedCancellations.size === 0) return null;
   const jobs = new Map<string, number>();
   for (const id of state.unrecordedCancellations) {
-    if (jobs.size >= state.facts.txnOps) break;
+    if (jobs.size >= state.facts.maxTransactionOperations) break;
     const job = state.jobs.get(id);
     if (job === undefined) state.unrecordedCancellations.delete(id);
-    else jobs.set(id, job.stamp);
+    else jobs.set(id, job.modRevision);
   }
   state.cancellationsWrittenAt = now;
-  return { token: state.token, jobs, pages: [], done: [], cancelled: [...jobs.keys()] };
+  return {
+    fencingToken: state.token,
+    guardedJobs: jobs,
+    pages: [],
+    completedJobs: [],
+    cancelledJobs: [...jobs.keys()],
+  };
 }
 
 /** The next transaction, or null when nothing waits. What it holds stays dirty until `settled`. */
-export function nextTransaction(state: ClusterState, now: Steady): Transaction | null {
+export function nextTransaction(state: ClusterState, now: MonotonicTime): Transaction | null {
   const tied = state.tiedPages[0];
   if (tied !== undefined)
     return {
-      token: state.token,
-      jobs: startingJobs(state, tied),
+      fencingToken: state.token,
+      guardedJobs: startingJobs(state, tied),
       pages: writesOf(state, tied),
-      done: [],
-      cancelled: [],
+      completedJobs: [],
+      cancelledJobs: [],
     };
   if (now - state.cancellationsWrittenAt >= CANCELLATIONS_EVERY) {
     const overdue = cancellations(state, now);
     if (overdue !== null) return overdue;
   }
-  const ops = state.facts.txnOps;
+  const ops = state.facts.maxTransactionOperations;
   const guards = 4 * ops - 1;
   const ids: number[] = [];
   const taken = new Set<number>();
@@ -148,49 +165,60 @@
     if (ids.length + done.length >= ops) break;
     const starting = startingIn(state, id).filter((job) => !jobs.has(job.spec.id));
     if (ids.length + 1 + jobs.size + starting.length > guards) continue;
-    for (const job of starting) jobs.set(job.spec.id, job.stamp);
+    for (const job of starting) jobs.set(job.spec.id, job.modRevision);
     ids.push(id);
     taken.add(id);
   }
   finishing(state, ops, taken, jobs, done, ids);
   if (ids.length === 0 && done.length === 0) return cancellations(state, now);
-  return { token: state.token, jobs, pages: writesOf(state, ids), done, cancelled: [] };
+  return {
+    fencingToken: state.token,
+    guardedJobs: jobs,
+    pages: writesOf(state, ids),
+    completedJobs: done,
+    cancelledJobs: [],
+  };
 }
 
 /** Takes in that a transaction was carried out. */
-export function settled(state: ClusterState, transaction: Transaction, stamp: number, now: Now): void {
+export function onCommitted(
+  state: ClusterState,
+  transaction: Transaction,
+  stamp: number,
+  now: Timestamp,
+): void {
   for (const p of transaction.pages) {
     const page = state.pages.get(p.id);
     if (page === undefined) continue;
-    page.stamp = stamp;
-    page.committed = Math.max(page.committed, p.version);
+    page.modRevision = stamp;
+    page.committedVersion = Math.max(page.committedVersion, p.version);
     const since = state.dirty.get(p.id);
     state.dirty.delete(p.id);
     state.urgent.delete(p.id);
-    if (page.version > page.committed) state.dirty.set(p.id, since ?? 0n);
-    for (const chunk of p.chunks) chunk.committed = Math.max(chunk.committed, p.version);
-    if (page.version > page.committed && stillUrgent(state, p.id)) state.urgent.add(p.id);
+    if (page.version > page.committedVersion) state.dirty.set(p.id, since ?? 0n);
+    for (const chunk of p.chunks) chunk.committedVersion = Math.max(chunk.committedVersion, p.version);
+    if (page.version > page.committedVersion && stillUrgent(state, p.id)) state.urgent.add(p.id);
   }
   const written = new Set(transaction.pages.map((page) => page.id));
   if (state.tiedPages[0]?.every((id) => written.has(id)) === true) state.tiedPages.shift();
-  for (const id of transaction.cancelled) {
+  for (const id of transaction.cancelledJobs) {
     state.unrecordedCancellations.delete(id);
     const job = state.jobs.get(id);
-    if (job !== undefined) job.stamp = Math.max(job.stamp, stamp);
+    if (job !== undefined) job.modRevision = Math.max(job.modRevision, stamp);
   }
-  for (const id of transaction.done) {
+  for (const id of transaction.completedJobs) {
     const job = state.jobs.get(id);
     if (job === undefined) continue;
-    job.standing = 'done';
-    job.stamp = Math.max(job.stamp, stamp);
+    job.status = 'done';
+    job.modRevision = Math.max(job.modRevision, stamp);
     state.dirtyJobs.delete(id);
-    job.free.clear();
+    job.unassignedTasks.clear();
     state.waiting.delete(id);
     state.open.delete(id);
-    state.closed.set(id, now.steady);
+    state.closed.set(id, now.monotonic);
     state.rankStale = true;
-    closeChunks(job);
-    onJobEnded(state, id, 'done', now);
+    releaseFinishedChunks(job);
+    onJobFinished(state, id, 'done', now);
   }
 }
 
@@ -198,6 +226,6 @@
 function stillUrgent(state: ClusterState, id: number): boolean {
   if (startingIn(state, id).length > 0) return true;
   for (const chunk of state.pages.get(id)?.chunks ?? [])
-    if (chunk.version > chunk.committed && state.dirtyJobs.has(chunk.job)) return true;
+    if (chunk.version > chunk.committedVersion && state.dirtyJobs.has(chunk.jobId)) return true;
   return false;
 }
--- a/src/core/owner.ts
+++ b/src/core/owner.ts
@@ -1,82 +1,108 @@
 import { forecastDemand } from './demand-forecast.js';
-import { onJobEnded, reportMissedDeadlines } from './dependencies.js';
-import { releaseClosedJobs } from './closed-jobs.js';
-import { closeSome, returns } from './fleet-size.js';
-import { logRent, onRefused, rentals } from './rentals.js';
-import { intentsOf } from './intents.js';
-import { machineOf } from './machine-registry.js';
-import { onJob, onPage } from './loading.js';
-import { dispatch, onDirect, ordersFor, tidyForgets } from './orders.js';
-import { fence, wantsHigherToken } from './fencing.js';
-import { onArrival, onReport } from './reports.js';
-import { onList, onReturned } from './machine-list.js';
-import { reapSilent } from './leases.js';
-import { useImage } from './image-cache.js';
+import { onJobFinished, logMissedDeadlines } from './dependencies.js';
+import { evictFinishedJobs } from './closed-jobs.js';
+import { chooseDrainingMachines, machinesToRelease } from './fleet-size.js';
+import { logScaleOut, onScaleOutRefused, planScaleOut } from './rentals.js';
+import { assignmentsOf } from './intents.js';
+import { getOrAddMachine } from './machine-registry.js';
+import { onJobChanged, onPageLoaded } from './loading.js';
+import { sendStarts, onCommandsAnswered, commandsFor, dropCompletedForgets } from './orders.js';
+import { fenceMachines, tokenAdvanceReason } from './fencing.js';
+import { onFirstHeartbeat, onHeartbeat } from './reports.js';
+import { reconcileInventory, onMachinesReleased } from './machine-list.js';
+import { expireLeases } from './leases.js';
+import { recordImageUse } from './image-cache.js';
 import { freeOn, isUsable } from './capacity.js';
 import type {
-  Facts,
-  Intent,
+  ClusterConfig,
+  Assignment,
   Job,
   JobRecord,
   OperatorSettings,
-  Listed,
+  CloudInstance,
   MachineType,
-  Report,
+  Heartbeat,
 } from './model.js';
-import { nextTransaction, settled, type Transaction } from './outbox.js';
+import { nextTransaction, onCommitted, type Transaction } from './outbox.js';
 import { splitOversizedPages, type PageEntry } from './record-pages.js';
-import { mayStart } from './ownership-timing.js';
-import { placementPass, placementPassGap } from './placement-pass.js';
-import { actOnNotices, isDeaf, probeDeaf, returnSilent } from './failure-detector.js';
-import { seconds, type Now, type Span, type Steady } from './time.js';
+import { mayStartTasks } from './ownership-timing.js';
+import { runSchedulingCycle, minCycleInterval } from './placement-pass.js';
+import {
+  handlePreemptionNotices,
+  isCutOffFromWorkers,
+  probeUnreachableMachines,
+  findUnresponsiveMachines,
+} from './failure-detector.js';
+import { seconds, type Timestamp, type Duration, type MonotonicTime } from './time.js';
 import type { ZonePolicy } from './zone-policy.js';
-import { displacedReplicas, watchZones } from './zones.js';
+import { displacedReplicas, observeZones } from './zones.js';
 import {
   newClusterState,
   emitLog,
   type Effect,
-  type Order,
-  type RentOrder,
-  type Term,
+  type WorkerCommand,
+  type ScaleOutRequest,
+  type LeadershipTerm,
   type ClusterState,
-  isBehind,
+  isOverloaded,
 } from './cluster-state.js';
 
 /** What can happen to an owner. Each event is handled alone and yields what is to be done outside. */
 export type Event =
-  | { readonly kind: 'job'; readonly id: string; readonly record: JobRecord; readonly stamp: number }
+  | {
+      readonly kind: 'job-changed';
+      readonly id: string;
+      readonly record: JobRecord;
+      readonly modRevision: number;
+    }
   /** A job that had ended before the term, and of which nothing is placed. */
-  | { readonly kind: 'ended'; readonly id: string; readonly standing: 'done' | 'cancelled' }
+  | { readonly kind: 'job-finished'; readonly id: string; readonly status: 'done' | 'cancelled' }
   | {
-      readonly kind: 'page';
+      readonly kind: 'page-loaded';
       readonly id: number;
       readonly entries: readonly PageEntry[];
-      readonly stamp: number;
+      readonly modRevision: number;
     }
   /** All that was recorded before the term has been told. */
-  | { readonly kind: 'loaded' }
-  | { readonly kind: 'report'; readonly report: Report }
+  | { readonly kind: 'load-completed' }
+  | { readonly kind: 'heartbeat'; readonly heartbeat: Heartbeat }
   | {
-      readonly kind: 'direct';
-      readonly machine: string;
-      readonly session: number;
-      readonly token: number;
-      readonly orders: readonly Order[];
+      readonly kind: 'commands-answered';
+      readonly machineName: string;
+      readonly agentEpoch: number;
+      readonly fencingToken: number;
+      readonly commands: readonly WorkerCommand[];
       readonly outcome: 'executed' | 'refused' | 'unknown';
-      readonly report: Report | null;
+      readonly heartbeat: Heartbeat | null;
+    }
+  | {
+      readonly kind: 'transaction-committed';
+      readonly transaction: Transaction;
+      readonly modRevision: number;
     }
-  | { readonly kind: 'settled'; readonly transaction: Transaction; readonly stamp: number }
-  | { readonly kind: 'contact'; readonly at: Steady }
-  | { readonly kind: 'raised'; readonly token: number }
-  | { readonly kind: 'types'; readonly types: readonly MachineType[] }
+  | { readonly kind: 'leadership-confirmed'; readonly confirmedAt: MonotonicTime }
+  | { readonly kind: 'token-advanced'; readonly fencingToken: number }
+  | { readonly kind: 'machine-types'; readonly types: readonly MachineType[] }
   /** A whole list of the cloud's, and when the first request for it was sent. */
-  | { readonly kind: 'list'; readonly machines: readonly Listed[]; readonly sent: Steady }
-  | { readonly kind: 'renting'; readonly name: string; readonly order: RentOrder }
-  | { readonly kind: 'rented'; readonly name: string; readonly machines: readonly string[] | null }
-  | { readonly kind: 'returned'; readonly machines: readonly string[]; readonly ok: boolean }
   | {
-      readonly kind: 'images';
-      readonly seen: readonly { readonly machine: string; readonly image: string; readonly gb: number }[];
+      readonly kind: 'instance-inventory';
+      readonly machines: readonly CloudInstance[];
+      readonly requestedAt: MonotonicTime;
+    }
+  | { readonly kind: 'scale-out-started'; readonly name: string; readonly request: ScaleOutRequest }
+  | {
+      readonly kind: 'scale-out-answered';
+      readonly name: string;
+      readonly machines: readonly string[] | null;
+    }
+  | { readonly kind: 'scale-in-answered'; readonly machines: readonly string[]; readonly succeeded: boolean }
+  | {
+      readonly kind: 'images-observed';
+      readonly sightings: readonly {
+        readonly machineName: string;
+        readonly image: string;
+        readonly sizeGb: number;
+      }[];
     }
   | { readonly kind: 'tick' };
 
@@ -86,86 +112,91 @@
 const FLEET_BEHIND = seconds(6);
 
 /** The owner of a part: the whole of its knowledge, and the one place where events become effects. */
-export class Owner {
+export class ClusterScheduler {
   readonly state: ClusterState;
-  private fleetAt: Steady = 0n;
-  private surveyAt: Steady = 0n;
-  private sweptAt: Steady = 0n;
-  private lookedAt: Steady = 0n;
+  private fleetAt: MonotonicTime = 0n;
+  private surveyAt: MonotonicTime = 0n;
+  private sweptAt: MonotonicTime = 0n;
+  private lookedAt: MonotonicTime = 0n;
 
-  constructor(facts: Facts, settings: OperatorSettings, term: Term, zonePolicy: ZonePolicy | null = null) {
+  constructor(
+    facts: ClusterConfig,
+    settings: OperatorSettings,
+    term: LeadershipTerm,
+    zonePolicy: ZonePolicy | null = null,
+  ) {
     this.state = newClusterState(facts, settings, term, zonePolicy);
   }
 
-  handle(event: Event, now: Now): Effect[] {
+  handle(event: Event, now: Timestamp): Effect[] {
     const state = this.state;
     switch (event.kind) {
-      case 'job':
-        onJob(state, event.id, event.record, event.stamp, now);
+      case 'job-changed':
+        onJobChanged(state, event.id, event.record, event.modRevision, now);
         break;
-      case 'ended':
-        onJobEnded(state, event.id, event.standing, now);
+      case 'job-finished':
+        onJobFinished(state, event.id, event.status, now);
         break;
-      case 'page':
-        onPage(state, event.id, event.entries, event.stamp, now);
+      case 'page-loaded':
+        onPageLoaded(state, event.id, event.entries, event.modRevision, now);
         break;
-      case 'loaded':
-        splitOversizedPages(state, now.steady);
+      case 'load-completed':
+        splitOversizedPages(state, now.monotonic);
         break;
-      case 'report':
-        onReport(state, event.report, now);
-        onArrival(state, event.report.machine, now);
-        tidyForgets(state, event.report);
+      case 'heartbeat':
+        onHeartbeat(state, event.heartbeat, now);
+        onFirstHeartbeat(state, event.heartbeat.machineName, now);
+        dropCompletedForgets(state, event.heartbeat);
         break;
-      case 'direct':
-        onDirect(
+      case 'commands-answered':
+        onCommandsAnswered(
           state,
-          event.machine,
-          event.session,
-          event.token,
-          event.orders,
+          event.machineName,
+          event.agentEpoch,
+          event.fencingToken,
+          event.commands,
           event.outcome,
-          event.report !== null,
+          event.heartbeat !== null,
         );
-        if (event.report !== null) onReport(state, event.report, now);
-        if (event.outcome === 'refused' && event.report !== null) this.refence(event.machine);
+        if (event.heartbeat !== null) onHeartbeat(state, event.heartbeat, now);
+        if (event.outcome === 'refused' && event.heartbeat !== null) this.refence(event.machineName);
         break;
-      case 'settled': {
-        settled(state, event.transaction, event.stamp, now);
-        dispatch(state, this.affected(event.transaction), now);
+      case 'transaction-committed': {
+        onCommitted(state, event.transaction, event.modRevision, now);
+        sendStarts(state, this.affected(event.transaction), now);
         break;
       }
-      case 'contact':
-        if (event.at > state.contact) state.contact = event.at;
+      case 'leadership-confirmed':
+        if (event.confirmedAt > state.contact) state.contact = event.confirmedAt;
         break;
-      case 'raised':
-        state.token = event.token;
-        state.raisedAt = now.steady;
+      case 'token-advanced':
+        state.token = event.fencingToken;
+        state.raisedAt = now.monotonic;
         break;
-      case 'types':
+      case 'machine-types':
         for (const type of event.types) state.types.set(type.name, type);
-        for (const machine of state.machines.values()) machine.view = null;
+        for (const machine of state.machines.values()) machine.resources = null;
         state.needPass = true;
         break;
-      case 'list':
-        onList(state, event.machines, event.sent, now);
+      case 'instance-inventory':
+        reconcileInventory(state, event.machines, event.requestedAt, now);
         break;
-      case 'renting':
-        state.renting.set(event.name, { order: event.order, since: now.steady });
+      case 'scale-out-started':
+        state.renting.set(event.name, { request: event.request, requestedAt: now.monotonic });
         break;
-      case 'rented':
+      case 'scale-out-answered':
         this.onRented(event.name, event.machines, now);
         break;
-      case 'returned':
-        if (event.ok) onReturned(state, event.machines, now);
+      case 'scale-in-answered':
+        if (event.succeeded) onMachinesReleased(state, event.machines, now);
         else for (const n of event.machines) this.unreturn(n);
         break;
-      case 'images':
+      case 'images-observed':
         // Not newer than anything a report has told since.
-        for (const s of event.seen) {
-          const machine = machineOf(state, s.machine, now.steady);
-          if (!machine.images.has(s.image))
-            useImage(state, machine, { image: s.image, imageGb: s.gb }, state.began);
+        for (const s of event.sightings) {
+          const machine = getOrAddMachine(state, s.machineName, now.monotonic);
+          if (!machine.cachedImages.has(s.image))
+            recordImageUse(state, machine, { image: s.image, imageGb: s.sizeGb }, state.began);
         }
         break;
       case 'tick':
@@ -174,112 +205,113 @@
     }
     if (
       state.needPass &&
-      event.kind !== 'page' &&
-      now.steady - state.passedAt >= placementPassGap(state) &&
-      mayStart(state.contact, now.steady)
+      event.kind !== 'page-loaded' &&
+      now.monotonic - state.passedAt >= minCycleInterval(state) &&
+      mayStartTasks(state.contact, now.monotonic)
     )
-      placementPass(state, now);
+      runSchedulingCycle(state, now);
     const effects = state.effects;
     state.effects = [];
     return effects;
   }
 
   /** Tells how long an event in which a pass was made took: the core itself reads no clock. */
-  passTook(span: Span): void {
+  recordCycleDuration(span: Duration): void {
     const state = this.state;
     state.passTook = (state.passTook + span) / 2n;
   }
 
   /** Tells how much too late a moment came for which the process had asked. */
-  ranLate(span: Span): void {
+  recordEventLoopLag(span: Duration): void {
     const state = this.state;
     state.lateness = (state.lateness * 3n + span) / 4n;
   }
 
   /** The answer to a report that was just taken in. */
-  answer(report: Report, now: Now): Order[] {
-    return ordersFor(this.state, report.machine, now, report);
+  answerHeartbeat(report: Heartbeat, now: Timestamp): WorkerCommand[] {
+    return commandsFor(this.state, report.machineName, now, report);
   }
 
-  nextTransaction(now: Now): Transaction | null {
-    return nextTransaction(this.state, now.steady);
+  nextTransaction(now: Timestamp): Transaction | null {
+    return nextTransaction(this.state, now.monotonic);
   }
 
-  private onTick(now: Now): void {
+  private onTick(now: Timestamp): void {
     const state = this.state;
-    if (now.steady - this.sweptAt >= SWEEP) this.sweep(now);
-    const why = wantsHigherToken(state, now);
+    if (now.monotonic - this.sweptAt >= SWEEP) this.sweep(now);
+    const why = tokenAdvanceReason(state, now);
     if (why !== null) {
-      state.raisedAt = now.steady;
-      state.effects.push({ kind: 'raise', why });
+      state.raisedAt = now.monotonic;
+      state.effects.push({ kind: 'advance-token', reason: why });
     }
     if (
-      now.steady - this.fleetAt > (isBehind(state) ? FLEET_BEHIND : FLEET_EVERY) &&
-      mayStart(state.contact, now.steady)
+      now.monotonic - this.fleetAt > (isOverloaded(state) ? FLEET_BEHIND : FLEET_EVERY) &&
+      mayStartTasks(state.contact, now.monotonic)
     ) {
-      this.fleetAt = now.steady;
+      this.fleetAt = now.monotonic;
       this.runFleet(now);
     }
   }
 
   /** What only time changes: each of these walks all machines, so it is done a few times a second at most. */
-  private sweep(now: Now): void {
+  private sweep(now: Timestamp): void {
     const state = this.state;
-    this.sweptAt = now.steady;
+    this.sweptAt = now.monotonic;
     // After standing still everything looks silent: nothing is judged before a fresh word from the state service.
-    if (mayStart(state.contact, now.steady)) {
-      reapSilent(state, now);
-      if (isDeaf(state, now)) state.effects.push({ kind: 'abdicate', why: 'hardly any worker is heard' });
-      actOnNotices(state, now);
-      probeDeaf(state, now);
-      this.giveBack(returnSilent(state, now), 'silent, with replicas on it');
+    if (mayStartTasks(state.contact, now.monotonic)) {
+      expireLeases(state, now);
+      if (isCutOffFromWorkers(state, now))
+        state.effects.push({ kind: 'step-down', reason: 'hardly any worker is heard' });
+      handlePreemptionNotices(state, now);
+      probeUnreachableMachines(state, now);
+      this.giveBack(findUnresponsiveMachines(state, now), 'silent, with replicas on it');
     }
     this.survey(now);
-    fence(state, now);
-    if (now.steady - this.lookedAt >= seconds(1)) {
+    fenceMachines(state, now);
+    if (now.monotonic - this.lookedAt >= seconds(1)) {
       // Pauses end, machines fall silent, waiting work becomes urgent: none of that is an event.
-      this.lookedAt = now.steady;
+      this.lookedAt = now.monotonic;
       state.needPass = state.needPass || state.waiting.size > 0;
-      releaseClosedJobs(state, now.steady);
-      reportMissedDeadlines(state, now);
-      watchZones(state, now);
+      evictFinishedJobs(state, now.monotonic);
+      logMissedDeadlines(state, now);
+      observeZones(state, now);
     }
   }
 
-  private runFleet(now: Now): void {
+  private runFleet(now: Timestamp): void {
     const state = this.state;
-    const blocked = placementPass(state, now);
-    closeSome(state, blocked, now);
-    for (const order of rentals(state, [...displacedJobs(state, now), ...blocked], now)) {
-      logRent(state, order);
-      state.effects.push({ kind: 'rent', order });
+    const blocked = runSchedulingCycle(state, now);
+    chooseDrainingMachines(state, blocked, now);
+    for (const order of planScaleOut(state, [...displacedJobs(state, now), ...blocked], now)) {
+      logScaleOut(state, order);
+      state.effects.push({ kind: 'scale-out', request: order });
     }
-    for (const r of returns(state, now)) this.giveBack(r.names, r.why);
+    for (const r of machinesToRelease(state, now)) this.giveBack(r.names, r.why);
   }
 
   private giveBack(names: readonly string[], why: string): void {
     if (names.length === 0) return;
     for (const n of names) {
       const machine = this.state.machines.get(n);
-      if (machine !== undefined) machine.returning = true;
+      if (machine !== undefined) machine.releasing = true;
     }
-    this.state.effects.push({ kind: 'return', machines: names, why });
+    this.state.effects.push({ kind: 'scale-in', machineNames: names, reason: why });
   }
 
   /** How things stand, for those who read the log. */
-  private survey(now: Now): void {
+  private survey(now: Timestamp): void {
     const state = this.state;
-    if (now.steady - this.surveyAt < seconds(10)) return;
-    this.surveyAt = now.steady;
+    if (now.monotonic - this.surveyAt < seconds(10)) return;
+    this.surveyAt = now.monotonic;
     const count = { ordinary: 0, spot: 0, empty: 0, closed: 0, unusable: 0 };
     let free = 0;
     for (const machine of state.machines.values()) {
-      if (machine.session === 0) continue;
-      if (!isUsable(state, machine, now.steady)) count.unusable += 1;
+      if (machine.agentEpoch === 0) continue;
+      if (!isUsable(state, machine, now.monotonic)) count.unusable += 1;
       else {
         count[machine.spot ? 'spot' : 'ordinary'] += 1;
-        if (machine.intents.size === 0) count.empty += 1;
-        if (machine.closed) count.closed += 1;
+        if (machine.assignments.size === 0) count.empty += 1;
+        if (machine.draining) count.closed += 1;
         free += freeOn(state, machine).gpus;
       }
     }
@@ -289,8 +321,8 @@
     for (const id of state.waiting) {
       const job = state.jobs.get(id);
       if (job === undefined) continue;
-      tasks += job.free.size;
-      if (longest === null || job.submitted < longest.submitted) longest = job;
+      tasks += job.unassignedTasks.size;
+      if (longest === null || job.submittedAt < longest.submittedAt) longest = job;
     }
     emitLog(
       state,
@@ -301,51 +333,60 @@
         freeGpus: free,
         waitingJobs: state.waiting.size,
         waitingTasks: tasks,
-        comes: Math.round(ahead.comes),
-        ends: Math.round(ahead.ends),
-        ...(longest === null ? {} : { longest: longest.spec.id, because: longest.waitReason }),
+        comes: Math.round(ahead.arriving),
+        ends: Math.round(ahead.finishing),
+        ...(longest === null ? {} : { longest: longest.spec.id, because: longest.pendingReason }),
       },
       'info',
     );
   }
 
-  private onRented(name: string, machines: readonly string[] | null, now: Now): void {
+  private onRented(name: string, machines: readonly string[] | null, now: Timestamp): void {
     const state = this.state;
     const pending = state.renting.get(name);
     state.renting.delete(name);
     if (pending === undefined) return;
-    if (machines === null || machines.length < pending.order.count) onRefused(state, pending.order, now);
-    const { type, zone, spot } = pending.order;
+    if (machines === null || machines.length < pending.request.count)
+      onScaleOutRefused(state, pending.request, now);
+    const { type, zone, spot } = pending.request;
     for (const name of machines ?? []) {
-      const machine = machineOf(state, name, now.steady);
-      if (machine.session > 0) continue;
-      Object.assign(machine, { type, zone, spot, view: null });
-      state.booting.set(name, { type, zone, spot, since: now.steady });
+      const machine = getOrAddMachine(state, name, now.monotonic);
+      if (machine.agentEpoch > 0) continue;
+      machine.type = type;
+      machine.zone = zone;
+      machine.spot = spot;
+      machine.resources = null;
+      state.booting.set(name, { type, zone, spot, since: now.monotonic });
     }
   }
 
   private unreturn(name: string): void {
     const machine = this.state.machines.get(name);
-    if (machine !== undefined) machine.returning = false;
+    if (machine !== undefined) machine.releasing = false;
   }
 
   /** A machine that refused the token for its session has told its session: it is asked again at once. */
   private refence(machine: string): void {
     const m = this.state.machines.get(machine);
-    if (m === undefined || m.fenced || m.session === 0) return;
-    this.state.effects.push({ kind: 'direct', machine, session: m.session, orders: [] });
+    if (m === undefined || m.fenced || m.agentEpoch === 0) return;
+    this.state.effects.push({
+      kind: 'send-commands',
+      machineName: machine,
+      agentEpoch: m.agentEpoch,
+      commands: [],
+    });
   }
 
-  private affected(transaction: Transaction): Intent[] {
-    const out: Intent[] = [];
-    for (const id of transaction.jobs.keys()) {
+  private affected(transaction: Transaction): Assignment[] {
+    const out: Assignment[] = [];
+    for (const id of transaction.guardedJobs.keys()) {
       const job = this.state.jobs.get(id);
-      if (job !== undefined && job.standing === 'open') out.push(...intentsOf(job));
+      if (job !== undefined && job.status === 'open') out.push(...assignmentsOf(job));
     }
     return out;
   }
 }
 
 /** Replicas that may have to start elsewhere, as work that lacks room: machines for them are rented before it is certain. */
-const displacedJobs = (state: ClusterState, now: Now): Job[] =>
-  displacedReplicas(state, now).map(({ job, tasks }) => ({ ...job, free: new Set(tasks) }));
+const displacedJobs = (state: ClusterState, now: Timestamp): Job[] =>
+  displacedReplicas(state, now).map(({ job, tasks }) => ({ ...job, unassignedTasks: new Set(tasks) }));
--- a/src/core/placement-pass.ts
+++ b/src/core/placement-pass.ts
@@ -1,71 +1,84 @@
 /** @file One round of placement over the waiting jobs. */
-import { hasTiedPage } from './record-pages.js';
-import { isUsable, viewOf } from './capacity.js';
+import { hasPageInAtomicGroup } from './record-pages.js';
+import { isUsable, resourcesOf } from './capacity.js';
 import { chunkOf } from './chunks.js';
-import { type ClusterState, NO_ROOM_FOR_ALL, emitLog, isBehind } from './cluster-state.js';
-import { placeGang } from './gangs.js';
-import { finishGang, place, zonesTaken } from './intents.js';
-import { level, markGuarantees } from './levels.js';
+import { type ClusterState, NO_GANG_CAPACITY, emitLog, isOverloaded } from './cluster-state.js';
+import { assignGang } from './gangs.js';
+import { completeGang, assignTask, assignmentsByZone } from './intents.js';
+import { schedulingPriority, updateFairShares } from './levels.js';
 import type { Job, Machine, MachineType } from './model.js';
 import {
   type Candidate,
-  asksAtLeast,
-  fitsIn,
-  machineAllowed,
-  pick,
-  score,
-  zoneAllowed,
+  needsAtLeast,
+  fits,
+  isMachineAllowed,
+  pickBest,
+  scoreCandidate,
+  isZoneAllowed,
 } from './placement.js';
-import { type Board, add, makeRoom, newBoard } from './preemption.js';
-import { chooseStarved } from './starved-gangs.js';
-import { LEFT_WHOLE, leaveWhole, openFirst, retryable, someNeedWhole, spreadOut, steer } from './steering.js';
-import { type Now, type Span, seconds, toSeconds } from './time.js';
-import { displacedReplicas, keepRoomForDisplaced, zoneAdmits } from './zones.js';
-import { isHurried, isPatient, waitedSeconds, wantedBy } from './urgency.js';
+import { type SchedulingSnapshot, addResources, preemptFor, newSnapshot } from './preemption.js';
+import { chooseStarvedGang } from './starved-gangs.js';
+import {
+  WHOLE_MACHINES_KEPT,
+  keepMachinesWhole,
+  preferSchedulable,
+  leastFailedCandidates,
+  anyJobNeedsWholeMachine,
+  spreadReplicas,
+  tieBreakScore,
+} from './steering.js';
+import { type Timestamp, type Duration, seconds, toSeconds } from './time.js';
+import { displacedReplicas, reserveForDisplaced, zoneAdmits } from './zones.js';
+import { isUrgent, hasDeadlineSlack, pendingSeconds, startDeadline } from './urgency.js';
 
 /** Why a job waits: no machine has room for a task. */
-export const NO_ROOM = 'no room';
+export const NO_CAPACITY = 'no room';
 
 /** Why a job waits: lower work is being stopped for it. */
-export const ROOM_IS_MADE = 'room beside the cached image is being made';
+export const PREEMPTION_IN_PROGRESS = 'room beside the cached image is being made';
 
 /** Below production, above all else. */
 const STARVED = 999;
 
 /** Waiting jobs in the order in which they are placed: priority, then guarantee, then due time. */
-export function waitingInOrder(state: ClusterState, now: Now): Job[] {
+export function pendingJobsInOrder(state: ClusterState, now: Timestamp): Job[] {
   const rows: { job: Job; level: number; by: number }[] = [];
   for (const id of state.waiting) {
     const job = state.jobs.get(id);
-    if (job === undefined || job.free.size === 0) {
+    if (job === undefined || job.unassignedTasks.size === 0) {
       state.waiting.delete(id);
       continue;
     }
-    if (job.standing !== 'open' || job.notBefore > now.steady || hasTiedPage(state, job)) continue;
+    if (job.status !== 'open' || job.retryNotBefore > now.monotonic || hasPageInAtomicGroup(state, job))
+      continue;
     const starved = state.emptying?.job === id && state.emptying.first;
-    rows.push({ job, level: starved ? Math.max(level(job), STARVED) : level(job), by: wantedBy(state, job) });
+    rows.push({
+      job,
+      level: starved ? Math.max(schedulingPriority(job), STARVED) : schedulingPriority(job),
+      by: startDeadline(state, job),
+    });
   }
   rows.sort((a, b) => b.level - a.level || a.by - b.by || (a.job.spec.id < b.job.spec.id ? -1 : 1));
   return rows.map((r) => r.job);
 }
 
 /** The machines that may take tasks now, with what is free on them. */
-export function listCandidates(state: ClusterState, now: Now): Candidate[] {
+export function schedulableCandidates(state: ClusterState, now: Timestamp): Candidate[] {
   const out: Candidate[] = [];
   for (const machine of state.machines.values()) {
     state.machinesScanned += 1;
     const type = state.types.get(machine.type);
-    if (type === undefined || !isUsable(state, machine, now.steady)) continue;
-    const view = viewOf(state, machine);
-    const r = { ...view.r };
-    const room = { ...view.room };
+    if (type === undefined || !isUsable(state, machine, now.monotonic)) continue;
+    const view = resourcesOf(state, machine);
+    const r = { ...view.free };
+    const room = { ...view.projected };
     out.push({
       machine: machine,
       type,
-      r,
-      room,
-      zeta: machine.intents.size,
-      pulls: pullsOn(state, machine, type, now),
+      free: r,
+      projected: room,
+      taskCount: machine.assignments.size,
+      imagePulls: pullsOn(state, machine, type, now),
     });
   }
   return out;
@@ -84,31 +97,39 @@
  * large fleet something changes dozens of times a second. On a small share of a core a pass with many blocked gangs
  * takes a third of a second; made one after the other they left no time for the workers' reports, and leases ran out.
  */
-export function placementPassGap(state: ClusterState): Span {
+export function minCycleInterval(state: ClusterState): Duration {
   const bySize = (seconds(1) / 4000n) * BigInt(Math.max(0, state.machines.size - SMALL));
   // A process that is behind places nothing that would be heard of in time: its workers' reports come first.
-  if (isBehind(state)) return FURTHEST;
+  if (isOverloaded(state)) return FURTHEST;
   const byCost = state.passTook * PASS_PART < FURTHEST ? state.passTook * PASS_PART : FURTHEST;
   return bySize > byCost ? bySize : byCost;
 }
 
 /** What a machine is fetching, by the places on it that wait for an image. */
-function pullsOn(state: ClusterState, machine: Machine, type: MachineType, now: Now): Map<string, number> {
+function pullsOn(
+  state: ClusterState,
+  machine: Machine,
+  type: MachineType,
+  now: Timestamp,
+): Map<string, number> {
   const pulls = new Map<string, number>();
-  for (const intent of machine.intents.values()) {
+  for (const intent of machine.assignments.values()) {
     if (intent.phase !== 'placed' && intent.phase !== 'fetching') continue;
-    const job = state.jobs.get(intent.job);
-    if (job === undefined || machine.images.has(job.spec.image)) continue;
-    const rest = Math.max(0, job.spec.imageGb - toSeconds(now.steady - intent.created) * type.fetchGbPerS);
+    const job = state.jobs.get(intent.jobId);
+    if (job === undefined || machine.cachedImages.has(job.spec.image)) continue;
+    const rest = Math.max(
+      0,
+      job.spec.imageGb - toSeconds(now.monotonic - intent.createdAt) * type.fetchGbPerS,
+    );
     pulls.set(job.spec.image, Math.min(pulls.get(job.spec.image) ?? Infinity, rest));
   }
   return pulls;
 }
 
 /** One round of placement over the waiting jobs. Jobs that do not fit wait a round, as in the paper. */
-export function placementPass(state: ClusterState, now: Now): Job[] {
+export function runSchedulingCycle(state: ClusterState, now: Timestamp): Job[] {
   state.needPass = false;
-  state.passedAt = now.steady;
+  state.passedAt = now.monotonic;
   rankJobs(state);
   state.promised.clear();
   state.holding = null;
@@ -116,31 +137,31 @@
     state.emptying = null;
     return [];
   }
-  chooseStarved(state, now);
-  const board = newBoard(state, listCandidates(state, now));
+  chooseStarvedGang(state, now);
+  const board = newSnapshot(state, schedulableCandidates(state, now));
   const displaced = displacedReplicas(state, now);
   let keepsRoom = displaced.length > 0;
   const blocked: Job[] = [];
-  for (const job of waitingInOrder(state, now)) {
+  for (const job of pendingJobsInOrder(state, now)) {
     // What waits already at the same level comes before what may turn out to be lost.
-    if (keepsRoom && displaced.some((each) => level(each.job) > level(job))) {
-      keepRoomForDisplaced(displaced, board.open);
+    if (keepsRoom && displaced.some((each) => schedulingPriority(each.job) > schedulingPriority(job))) {
+      reserveForDisplaced(displaced, board.candidates);
       keepsRoom = false;
     }
-    const before = job.free.size;
+    const before = job.unassignedTasks.size;
     if (job.spec.kind === 'gang') passGang(state, job, board, now);
     else passSingly(state, job, board, now);
-    if (job.free.size > 0) {
+    if (job.unassignedTasks.size > 0) {
       blocked.push(job);
       // Here, in the order of the queue: what is promised to this job is not given to the ones after it.
-      if (!state.promised.has(job.spec.id)) makeRoom(state, job, board, now, false);
+      if (!state.promised.has(job.spec.id)) preemptFor(state, job, board, now, false);
     }
-    if (job.free.size < before)
+    if (job.unassignedTasks.size < before)
       emitLog(state, 'placed', {
         job: job.spec.id,
-        tasks: before - job.free.size,
-        waited: waitedSeconds(job, now),
-        left: job.free.size,
+        tasks: before - job.unassignedTasks.size,
+        waited: pendingSeconds(job, now),
+        left: job.unassignedTasks.size,
       });
   }
   return blocked;
@@ -150,107 +171,117 @@
 function rankJobs(state: ClusterState): void {
   if (!state.rankStale) return;
   state.rankStale = false;
-  markGuarantees(state);
-  state.wholeNeeded = someNeedWhole(state);
+  updateFairShares(state);
+  state.wholeNeeded = anyJobNeedsWholeMachine(state);
 }
 
 function book(chosen: Candidate, job: Job): void {
-  add(chosen.r, job, -1);
-  add(chosen.room, job, -1);
-  chosen.zeta += 1;
+  addResources(chosen.free, job, -1);
+  addResources(chosen.projected, job, -1);
+  chosen.taskCount += 1;
   const { image, imageGb } = job.spec;
-  if (!chosen.machine.images.has(image) && !chosen.pulls.has(image)) chosen.pulls.set(image, imageGb);
+  if (!chosen.machine.cachedImages.has(image) && !chosen.imagePulls.has(image))
+    chosen.imagePulls.set(image, imageGb);
 }
 
 /** The machines with room for a task of the job; none if a job that asks no more found none in this pass. */
-function fittingFor(state: ClusterState, board: Board, job: Job, now: Now): Candidate[] {
-  if (board.full.some((s) => asksAtLeast(job.spec, s))) return [];
+function fittingFor(state: ClusterState, board: SchedulingSnapshot, job: Job, now: Timestamp): Candidate[] {
+  if (board.unsatisfiable.some((s) => needsAtLeast(job.spec, s))) return [];
   const list: Candidate[] = [];
   let any = false;
-  for (const candidate of board.open) {
-    if (!fitsIn(job.spec, candidate.r) || !machineAllowed(job.spec, candidate.machine)) continue;
+  for (const candidate of board.candidates) {
+    if (!fits(job.spec, candidate.free) || !isMachineAllowed(job.spec, candidate.machine)) continue;
     any = true;
-    if (fitsIn(job.spec, candidate.room) && zoneAdmits(state, job, candidate.machine, now))
+    if (fits(job.spec, candidate.projected) && zoneAdmits(state, job, candidate.machine, now))
       list.push(candidate);
   }
-  if (!any) board.full.push(job.spec);
+  if (!any) board.unsatisfiable.push(job.spec);
   return list;
 }
 
-function passSingly(state: ClusterState, job: Job, board: Board, now: Now): void {
+function passSingly(state: ClusterState, job: Job, board: SchedulingSnapshot, now: Timestamp): void {
   if (!state.quota.allows(job.spec)) {
-    job.waitReason = 'team limit';
+    job.pendingReason = 'team limit';
     return;
   }
   const fitting = fittingFor(state, board, job, now);
-  if (fitting.length > 0 && board.open.length >= LEFT_WHOLE * 8 && isPatient(state, job, now))
-    leaveWhole(fitting, board.open);
+  if (
+    fitting.length > 0 &&
+    board.candidates.length >= WHOLE_MACHINES_KEPT * 8 &&
+    hasDeadlineSlack(state, job, now)
+  )
+    keepMachinesWhole(fitting, board.candidates);
   if (fitting.length === 0) {
-    job.waitReason = NO_ROOM;
+    job.pendingReason = NO_CAPACITY;
     return;
   }
-  const taken = zonesTaken(job);
-  const one = (candidate: Candidate): number => steer(state, job, candidate);
-  let rows = fitting.map((candidate) => score(job.spec, candidate, state.settings, one));
-  for (const task of [...job.free]) {
+  const taken = assignmentsByZone(job);
+  const one = (candidate: Candidate): number => tieBreakScore(state, job, candidate);
+  let rows = fitting.map((candidate) => scoreCandidate(job.spec, candidate, state.settings, one));
+  for (const task of [...job.unassignedTasks]) {
     if (!state.quota.allows(job.spec)) {
-      job.waitReason = 'team limit';
+      job.pendingReason = 'team limit';
       return;
     }
-    const inZones = openFirst(rows.filter((row) => zoneAllowed(job, row.cand.machine.zone, taken)));
+    const inZones = preferSchedulable(
+      rows.filter((row) => isZoneAllowed(job, row.candidate.machine.zone, taken)),
+    );
     // The machine that failed a job comes last: it is used only if nothing else is left that fits.
     const clean =
-      job.failedOn.size === 0 ? inZones : inZones.filter((row) => !job.failedOn.has(row.cand.machine.name));
-    const choice = clean.length > 0 ? spreadOut(job, clean, taken) : retryable(job, inZones);
+      job.failuresByMachine.size === 0
+        ? inZones
+        : inZones.filter((row) => !job.failuresByMachine.has(row.candidate.machine.name));
+    const choice = clean.length > 0 ? spreadReplicas(job, clean, taken) : leastFailedCandidates(job, inZones);
     // Where fetching the image would miss the moment, and something lower can make way next to a cached one, that
     // room is made first; the fetch is the second choice.
     if (
       choice.length > 0 &&
-      isHurried(state, job, now) &&
-      !choice.some((row) => row.cand.machine.images.has(job.spec.image)) &&
-      makeRoom(state, job, board, now, true)
+      isUrgent(state, job, now) &&
+      !choice.some((row) => row.candidate.machine.cachedImages.has(job.spec.image)) &&
+      preemptFor(state, job, board, now, true)
     ) {
-      job.waitReason = ROOM_IS_MADE;
+      job.pendingReason = PREEMPTION_IN_PROGRESS;
       return;
     }
-    const chosen = pick(choice, state.settings);
+    const chosen = pickBest(choice, state.settings);
     if (chosen === null) {
-      job.waitReason = rows.length === 0 ? NO_ROOM : 'zone rules';
+      job.pendingReason = rows.length === 0 ? NO_CAPACITY : 'zone rules';
       return;
     }
-    const { cand } = chosen;
-    const attempt = chunkOf(job, task).attempt + 1;
-    place(state, job, task, attempt, cand.machine, now.steady);
+    const { candidate: cand } = chosen;
+    const attempt = chunkOf(job, task).highestAttempt + 1;
+    assignTask(state, job, task, attempt, cand.machine, now.monotonic);
     taken.set(cand.machine.zone, (taken.get(cand.machine.zone) ?? 0) + 1);
     book(cand, job);
-    if (fitsIn(job.spec, cand.r) && fitsIn(job.spec, cand.room))
-      Object.assign(chosen, score(job.spec, cand, state.settings, one));
+    if (fits(job.spec, cand.free) && fits(job.spec, cand.projected))
+      Object.assign(chosen, scoreCandidate(job.spec, cand, state.settings, one));
     else rows = rows.filter((row) => row !== chosen);
   }
 }
 
-function passGang(state: ClusterState, job: Job, board: Board, now: Now): void {
-  if (job.doneCount > 0) return finishGang(state, job, now.steady);
-  if (job.placedCount > 0 || job.free.size !== job.spec.tasks) {
-    job.waitReason = 'tasks of the last attempt are not all gone';
+function passGang(state: ClusterState, job: Job, board: SchedulingSnapshot, now: Timestamp): void {
+  if (job.completedCount > 0) return completeGang(state, job, now.monotonic);
+  if (job.assignedCount > 0 || job.unassignedTasks.size !== job.spec.taskCount) {
+    job.pendingReason = 'tasks of the last attempt are not all gone';
     return;
   }
-  if (!state.quota.allows(job.spec, job.spec.tasks)) {
-    job.waitReason = 'team limit';
+  if (!state.quota.allows(job.spec, job.spec.taskCount)) {
+    job.pendingReason = 'team limit';
     return;
   }
   const fitting = fittingFor(state, board, job, now);
-  const kept = fitting.filter((candidate) => !candidate.machine.closed);
+  const kept = fitting.filter((candidate) => !candidate.machine.draining);
   const placed =
-    placeGang(state, job, kept, now.steady, steer) ??
-    (kept.length < fitting.length ? placeGang(state, job, fitting, now.steady, steer) : null);
+    assignGang(state, job, kept, now.monotonic, tieBreakScore) ??
+    (kept.length < fitting.length ? assignGang(state, job, fitting, now.monotonic, tieBreakScore) : null);
   if (placed === null) {
-    job.waitReason = NO_ROOM_FOR_ALL;
-    if (job.failedOn.size > 0 && now.steady - job.arrived > seconds(30)) job.failedOn.clear();
+    job.pendingReason = NO_GANG_CAPACITY;
+    if (job.failuresByMachine.size > 0 && now.monotonic - job.firstSeenAt > seconds(30))
+      job.failuresByMachine.clear();
     return;
   }
   for (const intent of placed) {
-    const candidate = fitting.find((candidate) => candidate.machine.name === intent.machine);
+    const candidate = fitting.find((candidate) => candidate.machine.name === intent.machineName);
     if (candidate !== undefined) book(candidate, job);
   }
 }
