--- a/src/core/placement.ts
+++ b/src/core/placement.ts
@@ -1,11 +1,11 @@
-import type { Job, OperatorSettings, Machine, MachineType, Spec } from './model.js';
+import type { Job, OperatorSettings, Machine, MachineType, JobSpec } from './model.js';
 import { toSeconds } from './time.js';
 
 /**
  * The design's core: filter by request, score by weighted delays plus contention, pick the largest smaller free
  * share within the band. The names are the paper's: r (free resources), c (request), ζ (tasks held), Ω, Γ, λ.
  */
-export interface Free {
+export interface Resources {
   cpus: number;
   gpus: number;
   memory: number;
@@ -16,19 +16,19 @@
   readonly machine: Machine;
   readonly type: MachineType;
   /** r_i: what no intent and no reported task takes. */
-  readonly r: Free;
+  readonly free: Resources;
   /** r_i and what is being stopped, less what is promised to work of a higher level. */
-  readonly room: Free;
+  readonly projected: Resources;
   /** ζ_i: tasks held. */
-  zeta: number;
+  taskCount: number;
   /** Images being fetched there, by name, with the gigabytes that are at least still to come. */
-  readonly pulls: Map<string, number>;
+  readonly imagePulls: Map<string, number>;
 }
 
 const EPSILON = 1e-6;
 
 /** Whether a request fits into what is free. */
-export function fitsIn(spec: Spec, r: Free): boolean {
+export function fits(spec: JobSpec, r: Resources): boolean {
   return spec.cpus <= r.cpus + EPSILON && spec.gpus <= r.gpus + EPSILON && spec.memory <= r.memory + EPSILON;
 }
 
@@ -38,7 +38,7 @@
 }
 
 /** Γ, eq. (18): nothing on an empty machine, doubling with each task held. */
-export function contention(zeta: number, settings: OperatorSettings): number {
+export function contentionCost(zeta: number, settings: OperatorSettings): number {
   return zeta > 0 ? settings.betaCs + 2 ** (zeta - 1) * settings.betaRc : 0;
 }
 
@@ -47,68 +47,81 @@
  * bandwidth (ours; the paper's network delay takes the bandwidth that is free), and one that is under way already has
  * only its rest to come.
  */
-export function imageDelay(spec: Spec, cand: Candidate, settings: OperatorSettings): number {
-  if (cand.machine.images.has(spec.image)) return 0;
+export function imageFetchDelay(spec: JobSpec, cand: Candidate, settings: OperatorSettings): number {
+  if (cand.machine.cachedImages.has(spec.image)) return 0;
   const bandwidth = Math.max(settings.bandwidth ?? cand.type.fetchGbPerS, EPSILON);
-  const rest = cand.pulls.get(spec.image);
-  const sharers = cand.pulls.size + (rest === undefined ? 1 : 0);
+  const rest = cand.imagePulls.get(spec.image);
+  const sharers = cand.imagePulls.size + (rest === undefined ? 1 : 0);
   return ((rest ?? spec.imageGb) * sharers) / bandwidth;
 }
 
 /** Ω in seconds for running `c` on the candidate. */
-export function omega(spec: Spec, cand: Candidate, settings: OperatorSettings): number {
-  const granted = grantedCpu(spec.cpus, cand.r.cpus, settings.phi);
+export function placementCost(spec: JobSpec, cand: Candidate, settings: OperatorSettings): number {
+  const granted = grantedCpu(spec.cpus, cand.free.cpus, settings.phi);
   const processing =
-    granted > 0 ? (toSeconds(spec.estimate) * spec.cpus) / granted : toSeconds(spec.estimate);
-  const network = imageDelay(spec, cand, settings);
-  return settings.alpha * processing + (1 - settings.alpha) * network + contention(cand.zeta, settings);
+    granted > 0
+      ? (toSeconds(spec.estimatedDuration) * spec.cpus) / granted
+      : toSeconds(spec.estimatedDuration);
+  const network = imageFetchDelay(spec, cand, settings);
+  return (
+    settings.alpha * processing + (1 - settings.alpha) * network + contentionCost(cand.taskCount, settings)
+  );
 }
 
 const share = (part: number, whole: number): number => (whole > 0 ? part / whole : 1);
 
 /** The smaller of the free CPU and free memory shares. */
 export function freeShare(cand: Candidate): number {
-  return Math.min(share(cand.r.cpus, cand.type.cpus), share(cand.r.memory, cand.type.memory));
+  return Math.min(share(cand.free.cpus, cand.type.cpus), share(cand.free.memory, cand.type.memory));
 }
 
 /** A candidate with what decides between it and the others. It is counted anew only when something is placed there. */
-export interface Scored {
-  readonly cand: Candidate;
-  omega: number;
-  share: number;
-  steer: number;
+export interface ScoredCandidate {
+  readonly candidate: Candidate;
+  cost: number;
+  freeShare: number;
+  tieBreak: number;
 }
 
 /** Scores a machine for a request. */
-export function score(
-  spec: Spec,
+export function scoreCandidate(
+  spec: JobSpec,
   cand: Candidate,
   settings: OperatorSettings,
   steer: (cand: Candidate) => number,
-): Scored {
-  return { cand, omega: omega(spec, cand, settings), share: freeShare(cand), steer: steer(cand) };
+): ScoredCandidate {
+  return {
+    candidate: cand,
+    cost: placementCost(spec, cand, settings),
+    freeShare: freeShare(cand),
+    tieBreak: steer(cand),
+  };
 }
 
 /**
  * Algorithm 2: among the candidates within λ of the best Ω, the largest smaller free share. `steer` (ours) narrows the
  * band first: those with the smallest value stay.
  */
-export function pick(rows: readonly Scored[], settings: OperatorSettings): Scored | null {
+export function pickBest(
+  rows: readonly ScoredCandidate[],
+  settings: OperatorSettings,
+): ScoredCandidate | null {
   let best = Infinity;
-  for (const row of rows) if (row.omega < best) best = row.omega;
+  for (const row of rows) if (row.cost < best) best = row.cost;
   const band = best + settings.lambda;
-  let chosen: Scored | null = null;
+  let chosen: ScoredCandidate | null = null;
   for (const row of rows) {
-    if (row.omega > band) continue;
-    if (chosen === null || row.steer < chosen.steer) {
+    if (row.cost > band) continue;
+    if (chosen === null || row.tieBreak < chosen.tieBreak) {
       chosen = row;
       continue;
     }
     // Equal shares go by name, so that the same picture always gives the same place.
     if (
-      row.steer === chosen.steer &&
-      (row.share > chosen.share + EPSILON ||
-        (Math.abs(row.share - chosen.share) <= EPSILON && row.cand.machine.name < chosen.cand.machine.name))
+      row.tieBreak === chosen.tieBreak &&
+      (row.freeShare > chosen.freeShare + EPSILON ||
+        (Math.abs(row.freeShare - chosen.freeShare) <= EPSILON &&
+          row.candidate.machine.name < chosen.candidate.machine.name))
     )
       chosen = row;
   }
@@ -116,28 +129,31 @@
 }
 
 /** What a job asks of a machine. */
-export type Shape = Pick<Spec, 'cpus' | 'gpus' | 'memory' | 'types' | 'zone' | 'spot'>;
+export type ResourceShape = Pick<JobSpec, 'cpus' | 'gpus' | 'memory' | 'machineTypes' | 'zone' | 'allowSpot'>;
 
 /** Whether whatever has no room for `b` surely has none for `a` either. */
-export function asksAtLeast(a: Shape, b: Shape): boolean {
+export function needsAtLeast(a: ResourceShape, b: ResourceShape): boolean {
   if (a.cpus < b.cpus || a.gpus < b.gpus || a.memory < b.memory) return false;
-  if (a.spot && !b.spot) return false;
+  if (a.allowSpot && !b.allowSpot) return false;
   if (b.zone !== null && a.zone !== b.zone) return false;
-  return b.types === null || (a.types !== null && a.types.every((t) => b.types?.includes(t) === true));
+  return (
+    b.machineTypes === null ||
+    (a.machineTypes !== null && a.machineTypes.every((t) => b.machineTypes?.includes(t) === true))
+  );
 }
 
 /** Zones in which another task of the job may start, given where its tasks may be now. */
-export function zoneAllowed(job: Job, zone: string, taken: ReadonlyMap<string, number>): boolean {
+export function isZoneAllowed(job: Job, zone: string, taken: ReadonlyMap<string, number>): boolean {
   const spec = job.spec;
   if (spec.zone !== null && spec.zone !== zone) return false;
-  if (spec.oneZone) for (const [z, n] of taken) if (n > 0 && z !== zone) return false;
-  if (spec.spread && (taken.get(zone) ?? 0) + 1 > Math.ceil(spec.tasks / 2)) return false;
+  if (spec.singleZone) for (const [z, n] of taken) if (n > 0 && z !== zone) return false;
+  if (spec.spreadAcrossZones && (taken.get(zone) ?? 0) + 1 > Math.ceil(spec.taskCount / 2)) return false;
   return true;
 }
 
 /** What the job's own words say about a machine, whatever is free on it. */
-export function machineAllowed(spec: Spec, machine: Machine): boolean {
-  if (spec.types !== null && !spec.types.includes(machine.type)) return false;
-  if (machine.spot && !spec.spot) return false;
+export function isMachineAllowed(spec: JobSpec, machine: Machine): boolean {
+  if (spec.machineTypes !== null && !spec.machineTypes.includes(machine.type)) return false;
+  if (machine.spot && !spec.allowSpot) return false;
   return spec.zone === null || spec.zone === machine.zone;
 }
--- a/src/core/preemption.ts
+++ b/src/core/preemption.ts
@@ -1,46 +1,46 @@
 /** @file Room for blocked jobs of a higher level, made by stopping lower ones. */
 import { type ClusterState, emitLog } from './cluster-state.js';
-import { intentsOf, stopIntent, zonesTaken } from './intents.js';
-import { level, mayTake } from './levels.js';
-import type { Intent, Job, Machine } from './model.js';
+import { assignmentsOf, stopAssignment, assignmentsByZone } from './intents.js';
+import { schedulingPriority, mayPreempt } from './levels.js';
+import type { Assignment, Job, Machine } from './model.js';
 import {
   type Candidate,
-  type Free,
-  type Shape,
-  fitsIn,
-  imageDelay,
-  machineAllowed,
-  zoneAllowed,
+  type Resources,
+  type ResourceShape,
+  fits,
+  imageFetchDelay,
+  isMachineAllowed,
+  isZoneAllowed,
 } from './placement.js';
-import { holdTogether } from './starved-gangs.js';
-import { waitedSeconds } from './urgency.js';
-import { type Now, seconds, toSeconds } from './time.js';
+import { reserveForGang } from './starved-gangs.js';
+import { pendingSeconds } from './urgency.js';
+import { type Timestamp, seconds, toSeconds } from './time.js';
 import { zoneAdmits } from './zones.js';
 
 /** What one pass knows of the machines. */
-export interface Board {
-  readonly open: Candidate[];
+export interface SchedulingSnapshot {
+  readonly candidates: Candidate[];
   /** The lowest level that a task on each machine has, and the lowest of all: nothing lower can be stopped. */
-  readonly lowest: ReadonlyMap<Machine, number>;
-  readonly floor: number;
+  readonly lowestPriority: ReadonlyMap<Machine, number>;
+  readonly minPriority: number;
   /** What no machine has free room for. */
-  readonly full: Shape[];
+  readonly unsatisfiable: ResourceShape[];
 }
 
 /** What a pass knows before it places anything. */
-export function newBoard(state: ClusterState, open: Candidate[]): Board {
+export function newSnapshot(state: ClusterState, open: Candidate[]): SchedulingSnapshot {
   const lowest = new Map<Machine, number>();
   let floor = Infinity;
   for (const candidate of open) {
     let least = Infinity;
-    for (const intent of candidate.machine.intents.values()) {
-      const job = state.jobs.get(intent.job);
-      if (job !== undefined && intent.stopping === null) least = Math.min(least, level(job));
+    for (const intent of candidate.machine.assignments.values()) {
+      const job = state.jobs.get(intent.jobId);
+      if (job !== undefined && intent.stopRequest === null) least = Math.min(least, schedulingPriority(job));
     }
     lowest.set(candidate.machine, least);
     floor = Math.min(floor, least);
   }
-  return { open, lowest, floor, full: [] };
+  return { candidates: open, lowestPriority: lowest, minPriority: floor, unsatisfiable: [] };
 }
 
 /** Until a task has run so long, stopping it undoes a start that its user has waited for. */
@@ -51,32 +51,34 @@
  * saving. A task that is still fetching or has hardly begun loses all its waiting too. Without that it looked the
  * cheapest, and the same job was stopped again and again before it ever ran.
  */
-function lossOf(intent: Intent, job: Job, now: Now): number {
-  const ran = intent.runningSince === null ? 0 : toSeconds(now.steady - intent.runningSince);
+function lossOf(intent: Assignment, job: Job, now: Timestamp): number {
+  const ran = intent.runningSince === null ? 0 : toSeconds(now.monotonic - intent.runningSince);
   const each = Math.max(job.spec.gpus, job.spec.cpus / 16);
-  const size = job.spec.kind === 'gang' ? job.spec.tasks : 1;
-  const work = job.spec.checkpoint > 0n ? Math.min(ran, toSeconds(job.spec.save)) : ran;
-  const waited = ran < SETTLED_S ? toSeconds(now.steady - intent.created) + SETTLED_S : 0;
-  return (level(job) * 10_000 + work + waited + job.stops * SETTLED_S + 1) * each * size;
+  const size = job.spec.kind === 'gang' ? job.spec.taskCount : 1;
+  const work = job.spec.checkpointInterval > 0n ? Math.min(ran, toSeconds(job.spec.checkpointDuration)) : ran;
+  const waited = ran < SETTLED_S ? toSeconds(now.monotonic - intent.createdAt) + SETTLED_S : 0;
+  return (
+    (schedulingPriority(job) * 10_000 + work + waited + job.preemptionCount * SETTLED_S + 1) * each * size
+  );
 }
 
 /** Seconds that a stopped task of the job needs to save; 0: it does not save. */
-export function graceFor(job: Job): number {
-  return job.spec.checkpoint > 0n ? toSeconds(job.spec.save) + 1 : 0;
+export function gracePeriod(job: Job): number {
+  return job.spec.checkpointInterval > 0n ? toSeconds(job.spec.checkpointDuration) + 1 : 0;
 }
 
 /** A second of fetching against a second of lost work, beside the 10,000 that a level counts. */
 const FETCH_WEIGHT = 10;
 
 /** Room for one task of a blocked job, and what must go for it. */
-export interface Offer {
-  readonly at: Candidate;
-  readonly victims: readonly Intent[];
+export interface PreemptionPlan {
+  readonly candidate: Candidate;
+  readonly victims: readonly Assignment[];
   readonly cost: number;
 }
 
 /** Adds (or takes) what a task of the job holds. */
-export function add(r: Free, job: Job, sign: 1 | -1): void {
+export function addResources(r: Resources, job: Job, sign: 1 | -1): void {
   r.cpus += sign * job.spec.cpus;
   r.gpus += sign * job.spec.gpus;
   r.memory += sign * job.spec.memory;
@@ -86,33 +88,35 @@
  * Finds room for a blocked job in what is coming free, stopping what it may. The room is booked in the candidates'
  * `room`, so that work of a lower level does not take it while the stopped tasks are still going.
  */
-export function makeRoom(
+export function preemptFor(
   state: ClusterState,
   job: Job,
-  board: Board,
-  now: Now,
+  board: SchedulingSnapshot,
+  now: Timestamp,
   cachedOnly: boolean,
 ): boolean {
   const all = job.spec.kind === 'gang';
-  if (all && job.placedCount > 0) return false;
-  const want = all && !state.quota.allows(job.spec, job.spec.tasks) ? 0 : job.free.size;
+  if (all && job.assignedCount > 0) return false;
+  const want = all && !state.quota.allows(job.spec, job.spec.taskCount) ? 0 : job.unassignedTasks.size;
   if (want === 0) return false;
-  const own = level(job);
-  const allowed = board.open.filter(
+  const own = schedulingPriority(job);
+  const allowed = board.candidates.filter(
     (candidate) =>
-      (own > (board.lowest.get(candidate.machine) ?? Infinity) || fitsIn(job.spec, candidate.room)) &&
-      machineAllowed(job.spec, candidate.machine) &&
+      (own > (board.lowestPriority.get(candidate.machine) ?? Infinity) ||
+        fits(job.spec, candidate.projected)) &&
+      isMachineAllowed(job.spec, candidate.machine) &&
       zoneAdmits(state, job, candidate.machine, now) &&
-      !job.failedOn.has(candidate.machine.name) &&
-      (!cachedOnly || (candidate.machine.images.has(job.spec.image) && !holdsOf(candidate.machine, job))),
+      !job.failuresByMachine.has(candidate.machine.name) &&
+      (!cachedOnly ||
+        (candidate.machine.cachedImages.has(job.spec.image) && !holdsOf(candidate.machine, job))),
   );
   if (allowed.length === 0 && !all) return false;
   // Where all tasks need one zone, each zone is planned by itself: starting with the cheapest machine of any zone
   // could choose a zone that has no room for the rest, find nothing, and let lower work in until the next pass.
-  const zones = zonesOf(job, allowed);
-  let best: Offer[] = [];
+  const zones = zoneOptions(job, allowed);
+  let best: PreemptionPlan[] = [];
   let bestCost = Infinity;
-  const free = new Map<string | null, Offer[]>();
+  const free = new Map<string | null, PreemptionPlan[]>();
   for (const zone of zones) {
     const offers = planRoom(
       state,
@@ -121,7 +125,7 @@
       want,
       now,
     );
-    for (const offer of offers) book(state, job, offer, -1);
+    for (const offer of offers) reserve(state, job, offer, -1);
     if (offers.length === 0) continue;
     if (all && offers.length < want) {
       free.set(
@@ -133,8 +137,8 @@
     const cost = offers.reduce((sum, offer) => sum + offer.cost, 0) / offers.length;
     if (cost < bestCost) [best, bestCost] = [offers, cost];
   }
-  if (best.length === 0 && all) holdTogether(state, job, board, free, want, now);
-  for (const offer of best) book(state, job, offer, 1);
+  if (best.length === 0 && all) reserveForGang(state, job, board, free, want, now);
+  for (const offer of best) reserve(state, job, offer, 1);
   if (best.length > 0) state.promised.add(job.spec.id);
   for (const offer of best) for (const intent of offer.victims) stopVictim(state, intent, job, now);
   return best.length > 0;
@@ -142,11 +146,11 @@
 
 /** Two replicas of one service on a machine are lost together. */
 const holdsOf = (machine: Machine, job: Job): boolean =>
-  [...machine.intents.values()].some((intent) => intent.job === job.spec.id);
+  [...machine.assignments.values()].some((intent) => intent.jobId === job.spec.id);
 
 /** The zones that are planned one by one; null: all at once. */
-export const zonesOf = (job: Job, open: readonly Candidate[]): (string | null)[] =>
-  job.spec.oneZone ? [...new Set(open.map((candidate) => candidate.machine.zone))].sort() : [null];
+export const zoneOptions = (job: Job, open: readonly Candidate[]): (string | null)[] =>
+  job.spec.singleZone ? [...new Set(open.map((candidate) => candidate.machine.zone))].sort() : [null];
 
 /** Books room for up to `want` tasks on the given machines, task by task at the least cost. */
 function planRoom(
@@ -154,29 +158,29 @@
   job: Job,
   open: readonly Candidate[],
   want: number,
-  now: Now,
-): Offer[] {
-  const taken = zonesTaken(job);
-  const booked: Offer[] = [];
-  const victims = new Set<Intent>();
+  now: Timestamp,
+): PreemptionPlan[] {
+  const taken = assignmentsByZone(job);
+  const booked: PreemptionPlan[] = [];
+  const victims = new Set<Assignment>();
   // Each machine's offer is worked out once, and again only after one of its own was taken.
   const offers = open.map((candidate) => offerWithFetch(state, job, candidate, victims, now));
   for (let n = 0; n < want && state.quota.allows(job.spec, n + 1); n++) {
-    let best: Offer | null = null;
+    let best: PreemptionPlan | null = null;
     let at = -1;
     for (let k = 0; k < offers.length; k++) {
       const offer = offers[k];
       if (offer === null || offer === undefined || (best !== null && offer.cost >= best.cost)) continue;
-      if (!zoneAllowed(job, offer.at.machine.zone, taken)) continue;
+      if (!isZoneAllowed(job, offer.candidate.machine.zone, taken)) continue;
       best = offer;
       at = k;
     }
     if (best === null) break;
-    book(state, job, best, 1);
+    reserve(state, job, best, 1);
     for (const intent of best.victims) victims.add(intent);
-    taken.set(best.at.machine.zone, (taken.get(best.at.machine.zone) ?? 0) + 1);
+    taken.set(best.candidate.machine.zone, (taken.get(best.candidate.machine.zone) ?? 0) + 1);
     booked.push(best);
-    offers[at] = offerWithFetch(state, job, best.at, victims, now);
+    offers[at] = offerWithFetch(state, job, best.candidate, victims, now);
   }
   return booked;
 }
@@ -185,32 +189,32 @@
   state: ClusterState,
   job: Job,
   candidate: Candidate,
-  used: ReadonlySet<Intent>,
-  now: Now,
-): Offer | null {
+  used: ReadonlySet<Assignment>,
+  now: Timestamp,
+): PreemptionPlan | null {
   const offer = offerOf(state, job, candidate, used, now);
   if (offer === null) return null;
-  return { ...offer, cost: offer.cost + imageDelay(job.spec, candidate, state.settings) * FETCH_WEIGHT };
+  return { ...offer, cost: offer.cost + imageFetchDelay(job.spec, candidate, state.settings) * FETCH_WEIGHT };
 }
 
 /** Books an offer in the candidate's room, or takes that back. */
-export function book(state: ClusterState, job: Job, offer: Offer, sign: 1 | -1): void {
-  add(offer.at.room, job, sign === 1 ? -1 : 1);
+export function reserve(state: ClusterState, job: Job, offer: PreemptionPlan, sign: 1 | -1): void {
+  addResources(offer.candidate.projected, job, sign === 1 ? -1 : 1);
   for (const intent of offer.victims) {
-    const job = state.jobs.get(intent.job);
-    if (job !== undefined) add(offer.at.room, job, sign);
+    const job = state.jobs.get(intent.jobId);
+    if (job !== undefined) addResources(offer.candidate.projected, job, sign);
   }
 }
 
-function stopVictim(state: ClusterState, intent: Intent, by: Job, now: Now): void {
-  const job = state.jobs.get(intent.job);
-  if (job === undefined || intent.stopping !== null) return;
+function stopVictim(state: ClusterState, intent: Assignment, by: Job, now: Timestamp): void {
+  const job = state.jobs.get(intent.jobId);
+  if (job === undefined || intent.stopRequest !== null) return;
   emitLog(
     state,
     'stopped to make room',
     {
-      task: `${intent.job}/${intent.task}`,
-      machine: intent.machine,
+      task: `${intent.jobId}/${intent.taskIndex}`,
+      machine: intent.machineName,
       class: job.spec.class,
       by: by.spec.id,
       byClass: by.spec.class,
@@ -219,23 +223,25 @@
   );
   // Saving takes longer than the job can wait: an array task then falls back to its last checkpoint instead.
   const hasty =
-    job.spec.kind === 'array' && by.spec.priority === 'production' && hasteOf(state, by, now) < graceFor(job);
-  const grace = hasty ? 0 : graceFor(job);
-  job.stops += 1;
+    job.spec.kind === 'array' &&
+    by.spec.priority === 'production' &&
+    hasteOf(state, by, now) < gracePeriod(job);
+  const grace = hasty ? 0 : gracePeriod(job);
+  job.preemptionCount += 1;
   if (job.spec.kind === 'gang')
-    for (const other of intentsOf(job)) stopIntent(state, other, grace, 'preempted', now.steady);
-  else stopIntent(state, intent, grace, 'preempted', now.steady);
+    for (const other of assignmentsOf(job)) stopAssignment(state, other, grace, 'preempted', now.monotonic);
+  else stopAssignment(state, intent, grace, 'preempted', now.monotonic);
 }
 
 /** Seconds in which the job's class should have started, by its objective. */
-function hasteOf(state: ClusterState, job: Job, now: Now): number {
+function hasteOf(state: ClusterState, job: Job, now: Timestamp): number {
   let within = Infinity;
   for (const objective of state.facts.objectives)
-    if (objective.kind === 'wait' && objective.class === job.spec.class && objective.within !== null)
-      within = Math.min(within, toSeconds(objective.within));
+    if (objective.kind === 'wait' && objective.class === job.spec.class && objective.threshold !== null)
+      within = Math.min(within, toSeconds(objective.threshold));
   if (within === Infinity) return Infinity;
-  const waited = waitedSeconds(job, now);
-  const lost = job.lostAt !== null && now.steady - job.lostAt < seconds(within + 5);
+  const waited = pendingSeconds(job, now);
+  const lost = job.replicaLostAt !== null && now.monotonic - job.replicaLostAt < seconds(within + 5);
   return waited > within + 5 && !lost ? Infinity : within;
 }
 
@@ -243,25 +249,25 @@
   state: ClusterState,
   job: Job,
   at: Candidate,
-  used: ReadonlySet<Intent>,
-  now: Now,
-): Offer | null {
-  if (fitsIn(job.spec, at.room)) return { at, victims: [], cost: 0 };
-  const open: { i: Intent; job: Job; cost: number }[] = [];
-  for (const intent of at.machine.intents.values()) {
-    const j = state.jobs.get(intent.job);
-    if (j === undefined || intent.stopping !== null || used.has(intent) || !mayTake(job, j)) continue;
+  used: ReadonlySet<Assignment>,
+  now: Timestamp,
+): PreemptionPlan | null {
+  if (fits(job.spec, at.projected)) return { candidate: at, victims: [], cost: 0 };
+  const open: { i: Assignment; job: Job; cost: number }[] = [];
+  for (const intent of at.machine.assignments.values()) {
+    const j = state.jobs.get(intent.jobId);
+    if (j === undefined || intent.stopRequest !== null || used.has(intent) || !mayPreempt(job, j)) continue;
     open.push({ i: intent, job: j, cost: lossOf(intent, j, now) });
   }
   open.sort((a, b) => a.cost - b.cost);
-  const r = { ...at.room };
-  const victims: Intent[] = [];
+  const r = { ...at.projected };
+  const victims: Assignment[] = [];
   let cost = 0;
   for (const v of open) {
-    add(r, v.job, 1);
+    addResources(r, v.job, 1);
     victims.push(v.i);
     cost += v.cost;
-    if (fitsIn(job.spec, r)) return { at, victims, cost };
+    if (fits(job.spec, r)) return { candidate: at, victims, cost };
   }
   return null;
 }
--- a/src/core/record-pages.ts
+++ b/src/core/record-pages.ts
@@ -1,7 +1,7 @@
 import type { ChunkRecord } from './chunks.js';
 import { CHUNK_TASKS } from './chunks.js';
-import type { Chunk, Job, Page } from './model.js';
-import type { Steady } from './time.js';
+import type { TaskChunk, Job, RecordPage } from './model.js';
+import type { MonotonicTime } from './time.js';
 import type { ClusterState } from './cluster-state.js';
 
 /**
@@ -9,8 +9,8 @@
  * jobs cost few of the state service's changes. A chunk stays in its page until its job is over.
  */
 export interface PageEntry {
-  readonly job: string;
-  readonly index: number;
+  readonly jobId: string;
+  readonly chunkIndex: number;
   readonly record: ChunkRecord;
 }
 
@@ -30,9 +30,9 @@
  * The most that a chunk's entry can come to take: each task that is not done may have a place, and a result takes less
  * than a place. It only falls as results come, so a page that holds its chunks' bounds never overflows.
  */
-export function entryBound(state: ClusterState, job: Job, chunk: Chunk): number {
+export function maxEntryBytes(state: ClusterState, job: Job, chunk: TaskChunk): number {
   const first = chunk.index * CHUNK_TASKS;
-  const tasks = Math.min(CHUNK_TASKS, job.spec.tasks - first) - chunk.done.size;
+  const tasks = Math.min(CHUNK_TASKS, job.spec.taskCount - first) - chunk.completedTasks.size;
   const each =
     digits(first + CHUNK_TASKS) +
     ATTEMPT_DIGITS +
@@ -41,39 +41,40 @@
     PLACE_SIGNS +
     Math.max(LEAST_NAME, state.longestName);
   // Results stand as runs: at worst every second task, each at most as long as a run of two numbers.
-  const runs = Math.min(chunk.done.size, tasks + 1) * (2 * digits(first + CHUNK_TASKS) + 2);
+  const runs = Math.min(chunk.completedTasks.size, tasks + 1) * (2 * digits(first + CHUNK_TASKS) + 2);
   return ENTRY_HEAD + job.spec.id.length + tasks * each + runs;
 }
 
 /** The least that a value must hold: one chunk with the longest numbers, and what stands beside it. */
-export const LEAST_VALUE_BYTES = 1792;
+export const MIN_VALUE_BYTES = 1792;
 
 /** Zone names stand once in a page; this is kept free for them. */
 const PAGE_HEAD = 240;
 
 const room = (state: ClusterState): number =>
-  state.facts.valueBytes - PAGE_HEAD - state.facts.zones.join(',').length;
+  state.facts.maxValueBytes - PAGE_HEAD - state.facts.zones.join(',').length;
 
 /**
  * Each job that starts has its key guarded when its place is committed. All jobs of a page may start at once, after an
  * outage or when their machines were lost, and a page must be written whole: with more jobs than a transaction takes
  * conditions, beside the page's own, the owner's and those of a few jobs that are done, it could never be written again.
  */
-const mostChunks = (state: ClusterState): number => Math.floor(3.5 * state.facts.txnOps) - 2;
+const mostChunks = (state: ClusterState): number =>
+  Math.floor(3.5 * state.facts.maxTransactionOperations) - 2;
 
 /** Services stay for hours and hardly change: beside arrays they would be written again and again. */
-const poolOf = (job: Job): Page['pool'] => (job.spec.kind === 'service' ? 'lasting' : 'passing');
+const poolOf = (job: Job): RecordPage['pool'] => (job.spec.kind === 'service' ? 'lasting' : 'passing');
 
 /** The page that holds a chunk, chosen when the chunk is first recorded. */
-export function pageFor(state: ClusterState, job: Job, chunk: Chunk): Page {
+export function pageFor(state: ClusterState, job: Job, chunk: TaskChunk): RecordPage {
   if (chunk.page !== null) return chunk.page;
-  const need = entryBound(state, job, chunk);
+  const need = maxEntryBytes(state, job, chunk);
   const pool = poolOf(job);
-  let best: Page | null = null;
+  let best: RecordPage | null = null;
   let bestUsed = -1;
   for (const page of state.pages.values()) {
     if (page.pool !== pool && page.chunks.size > 0) continue;
-    if (page.chunks.size >= mostChunks(state) || isTied(state, page)) continue;
+    if (page.chunks.size >= mostChunks(state) || isInAtomicGroup(state, page)) continue;
     const used = usedOf(state, page);
     // The fullest page that has room: the fewer pages are written, the sooner each is.
     if (used + need <= room(state) && used > bestUsed) [best, bestUsed] = [page, used];
@@ -81,19 +82,20 @@
   best ??= newPage(state, pool);
   best.pool = pool;
   best.chunks.add(chunk);
-  best.used = null;
+  best.reservedBytes = null;
   chunk.page = best;
   return best;
 }
 
 /** Whether the page is to be written together with others. */
-export const isTied = (state: ClusterState, page: Page): boolean =>
+export const isInAtomicGroup = (state: ClusterState, page: RecordPage): boolean =>
   state.tiedPages.some((group) => group.includes(page.id));
 
 /** Whether part of the job is recorded in such a page: nothing new of it is placed until that is written. */
-export function hasTiedPage(state: ClusterState, job: Job): boolean {
+export function hasPageInAtomicGroup(state: ClusterState, job: Job): boolean {
   if (state.tiedPages.length === 0) return false;
-  for (const chunk of job.chunks.values()) if (chunk.page !== null && isTied(state, chunk.page)) return true;
+  for (const chunk of job.chunks.values())
+    if (chunk.page !== null && isInAtomicGroup(state, chunk.page)) return true;
   return false;
 }
 
@@ -101,7 +103,7 @@
  * Pages that were written under larger limits of the state service hold more than may be written now. Their chunks are
  * dealt out to further pages, and all of these are written in one transaction, so that no place is ever unrecorded.
  */
-export function splitOversizedPages(state: ClusterState, now: Steady): void {
+export function splitOversizedPages(state: ClusterState, now: MonotonicTime): void {
   for (const page of [...state.pages.values()]) {
     if (usedOf(state, page) <= room(state) && page.chunks.size <= mostChunks(state)) continue;
     const group = dealOut(state, page);
@@ -116,14 +118,14 @@
   }
 }
 
-function dealOut(state: ClusterState, page: Page): Page[] {
+function dealOut(state: ClusterState, page: RecordPage): RecordPage[] {
   const group = [page];
   let target = page;
   let used = 0;
   let count = 0;
   for (const chunk of [...page.chunks]) {
-    const job = state.jobs.get(chunk.job);
-    const need = job === undefined ? 0 : entryBound(state, job, chunk);
+    const job = state.jobs.get(chunk.jobId);
+    const need = job === undefined ? 0 : maxEntryBytes(state, job, chunk);
     if (count > 0 && (used + need > room(state) || count >= mostChunks(state))) {
       target = newPage(state, page.pool);
       group.push(target);
@@ -138,38 +140,50 @@
     used += need;
     count += 1;
   }
-  for (const each of group) each.used = null;
+  for (const each of group) each.reservedBytes = null;
   return group;
 }
 
-function newPage(state: ClusterState, pool: Page['pool']): Page {
+function newPage(state: ClusterState, pool: RecordPage['pool']): RecordPage {
   let id = 0;
   while (state.pages.has(id)) id += 1;
-  const page: Page = { id, pool, stamp: 0, version: 0, committed: 0, chunks: new Set(), used: null };
+  const page: RecordPage = {
+    id,
+    pool,
+    modRevision: 0,
+    version: 0,
+    committedVersion: 0,
+    chunks: new Set(),
+    reservedBytes: null,
+  };
   state.pages.set(id, page);
   return page;
 }
 
-function usedOf(state: ClusterState, page: Page): number {
-  if (page.used === null) {
-    page.used = 0;
+function usedOf(state: ClusterState, page: RecordPage): number {
+  if (page.reservedBytes === null) {
+    page.reservedBytes = 0;
     for (const chunk of page.chunks) {
-      const job = state.jobs.get(chunk.job);
-      if (job !== undefined) page.used += entryBound(state, job, chunk);
+      const job = state.jobs.get(chunk.jobId);
+      if (job !== undefined) page.reservedBytes += maxEntryBytes(state, job, chunk);
     }
   }
-  return page.used;
+  return page.reservedBytes;
 }
 
 /** A chunk that needs no record any more leaves its page; the page's next write leaves it out. */
-export function leavePage(chunk: Chunk): void {
+export function removeFromPage(chunk: TaskChunk): void {
   if (chunk.page === null) return;
   chunk.page.chunks.delete(chunk);
-  chunk.page.used = null;
+  chunk.page.reservedBytes = null;
   chunk.page = null;
 }
 
 /** What a page is to hold. */
-export function entriesOf(page: Page, record: (chunk: Chunk) => ChunkRecord): PageEntry[] {
-  return [...page.chunks].map((chunk) => ({ job: chunk.job, index: chunk.index, record: record(chunk) }));
+export function pageEntriesOf(page: RecordPage, record: (chunk: TaskChunk) => ChunkRecord): PageEntry[] {
+  return [...page.chunks].map((chunk) => ({
+    jobId: chunk.jobId,
+    chunkIndex: chunk.index,
+    record: record(chunk),
+  }));
 }
--- a/src/core/rentals.ts
+++ b/src/core/rentals.ts
@@ -1,14 +1,14 @@
 /** @file Machines to rent for work that neither free room nor machines on their way will hold. */
-import { isUsable, viewOf } from './capacity.js';
-import { type ClusterState, type RentOrder, emitLog } from './cluster-state.js';
+import { isUsable, resourcesOf } from './capacity.js';
+import { type ClusterState, type ScaleOutRequest, emitLog } from './cluster-state.js';
 import { type DemandForecast, forecastDemand } from './demand-forecast.js';
-import { shareTaken } from './fleet-size.js';
-import { zonesTaken } from './intents.js';
+import { usedShare } from './fleet-size.js';
+import { assignmentsByZone } from './intents.js';
 import type { Job, MachineType } from './model.js';
-import { estimateOf, wantedBy } from './urgency.js';
-import { type Free, fitsIn, zoneAllowed } from './placement.js';
-import { type Now, seconds, toSeconds } from './time.js';
-import { isZoneOut } from './zones.js';
+import { estimatedSeconds, startDeadline } from './urgency.js';
+import { type Resources, fits, isZoneAllowed } from './placement.js';
+import { type Timestamp, seconds, toSeconds } from './time.js';
+import { isZoneUnavailable } from './zones.js';
 
 /** Share of the time left that an array task may spend waiting for another's place: fetches and late ends need the rest. */
 const PATIENCE = 0.3;
@@ -17,21 +17,21 @@
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
-  readonly r: Free;
+  readonly r: Resources;
   readonly fresh: boolean;
 }
 
 const slotKey = (s: { type: string; zone: string; spot: boolean }): string =>
   `${s.type}|${s.zone}|${s.spot ? 's' : 'o'}`;
 
-const whole = (type: MachineType): Free => ({ cpus: type.cpus, gpus: type.gpus, memory: type.memory });
+const whole = (type: MachineType): Resources => ({ cpus: type.cpus, gpus: type.gpus, memory: type.memory });
 
 /** How many of a job's waiting tasks need room of their own; the rest can follow them in time. */
-function slotsWanted(state: ClusterState, job: Job, boot: number, now: Now): number {
-  const n = job.free.size;
+function slotsWanted(state: ClusterState, job: Job, boot: number, now: Timestamp): number {
+  const n = job.unassignedTasks.size;
   if (job.spec.kind !== 'array') return n;
-  const estimate = Math.max(estimateOf(state, job), 1);
-  const left = wantedBy(state, job) + estimate - now.wall.getTime() / 1000 - boot;
+  const estimate = Math.max(estimatedSeconds(state, job), 1);
+  const left = startDeadline(state, job) + estimate - now.wall.getTime() / 1000 - boot;
   const each = Math.max(1, Math.floor(Math.max(left, boot) / estimate));
   return Math.ceil(n / each);
 }
@@ -47,20 +47,20 @@
 }
 
 /** Places of running array tasks, soonest free first. */
-function turnovers(state: ClusterState, now: Now): Turnover[] {
+function turnovers(state: ClusterState, now: Timestamp): Turnover[] {
   const out: Turnover[] = [];
   for (const machine of state.machines.values()) {
-    if (!isUsable(state, machine, now.steady)) continue;
-    for (const intent of machine.intents.values()) {
-      const job = state.jobs.get(intent.job);
+    if (!isUsable(state, machine, now.monotonic)) continue;
+    for (const intent of machine.assignments.values()) {
+      const job = state.jobs.get(intent.jobId);
       if (
         job === undefined ||
         job.spec.kind !== 'array' ||
         intent.runningSince === null ||
-        intent.stopping !== null
+        intent.stopRequest !== null
       )
         continue;
-      const left = Math.max(estimateOf(state, job) - toSeconds(now.steady - intent.runningSince), 1);
+      const left = Math.max(estimatedSeconds(state, job) - toSeconds(now.monotonic - intent.runningSince), 1);
       out.push({ zone: machine.zone, type: machine.type, spot: machine.spot, left, job, used: false });
     }
   }
@@ -72,10 +72,10 @@
   state: ClusterState,
   job: Job,
   list: readonly Turnover[],
-  now: Now,
+  now: Timestamp,
 ): Generator<Turnover> {
   if (job.spec.kind !== 'array') return;
-  const slack = (wantedBy(state, job) - now.wall.getTime() / 1000) * PATIENCE;
+  const slack = (startDeadline(state, job) - now.wall.getTime() / 1000) * PATIENCE;
   for (const turnover of list) {
     if (turnover.left > slack) return;
     if (
@@ -83,8 +83,8 @@
       turnover.job.spec.gpus >= job.spec.gpus &&
       turnover.job.spec.cpus >= job.spec.cpus - 1e-6 &&
       turnover.job.spec.memory >= job.spec.memory - 1e-6 &&
-      (!turnover.spot || job.spec.spot) &&
-      (job.spec.types === null || job.spec.types.includes(turnover.type)) &&
+      (!turnover.spot || job.spec.allowSpot) &&
+      (job.spec.machineTypes === null || job.spec.machineTypes.includes(turnover.type)) &&
       (job.spec.zone === null || job.spec.zone === turnover.zone)
     )
       yield turnover;
@@ -101,7 +101,7 @@
     private readonly slots: readonly Slot[],
     private readonly taken: ReadonlyMap<string, number>,
   ) {
-    this.fixed = !job.spec.oneZone && !job.spec.spread;
+    this.fixed = !job.spec.singleZone && !job.spec.spreadAcrossZones;
   }
 
   next(): Slot | undefined {
@@ -111,10 +111,10 @@
       const slot = slots[k];
       if (
         slot !== undefined &&
-        fitsIn(spec, slot.r) &&
-        (!slot.spot || spec.spot) &&
-        (spec.types === null || spec.types.includes(slot.type)) &&
-        zoneAllowed(job, slot.zone, taken)
+        fits(spec, slot.r) &&
+        (!slot.spot || spec.allowSpot) &&
+        (spec.machineTypes === null || spec.machineTypes.includes(slot.type)) &&
+        isZoneAllowed(job, slot.zone, taken)
       ) {
         this.at = k;
         return slot;
@@ -132,7 +132,11 @@
 const RENT_A_ROUND = 400;
 
 /** Machines to rent for work that neither free room, nor room coming free, nor machines on their way will hold. */
-export function rentals(state: ClusterState, blocked: readonly Job[], now: Now): RentOrder[] {
+export function planScaleOut(
+  state: ClusterState,
+  blocked: readonly Job[],
+  now: Timestamp,
+): ScaleOutRequest[] {
   if (state.types.size === 0 || !state.listSeen) return [];
   const ahead = forecastDemand(state, now);
   const slots = expectedSlots(state, now);
@@ -140,11 +144,11 @@
   const turning = turnovers(state, now);
   let fresh = 0;
   for (const job of blocked) {
-    const taken = zonesTaken(job);
+    const taken = assignmentsByZone(job);
     const types = [...state.types.values()].filter(
-      (type) => job.spec.types === null || job.spec.types.includes(type.name),
+      (type) => job.spec.machineTypes === null || job.spec.machineTypes.includes(type.name),
     );
-    const boot = Math.min(...types.map((type) => toSeconds(type.boot)));
+    const boot = Math.min(...types.map((type) => toSeconds(type.bootTime)));
     const need = slotsWanted(state, job, Number.isFinite(boot) ? boot : 0, now);
     const room = new Fitting(job, slots, taken);
     const after = reusableSlots(state, job, turning, now);
@@ -176,27 +180,27 @@
 /** Machines for the work that comes while they boot, beyond what will be free by then. */
 function rentAhead(
   state: ClusterState,
-  { comes, ends, sample }: DemandForecast,
+  { arriving: comes, finishing: ends, sampleJob: sample }: DemandForecast,
   slots: readonly Slot[],
   orders: Orders,
   most: number,
-  now: Now,
+  now: Timestamp,
 ): void {
   if (sample === null || comes <= ends) return;
   let free = 0;
   for (const slot of slots) {
     const type = state.types.get(slot.type);
-    if (type !== undefined) free += Math.max(0, 1 - shareTaken(type, slot.r));
+    if (type !== undefined) free += Math.max(0, 1 - usedShare(type, slot.r));
   }
   const types = [...state.types.values()].filter(
-    (type) => sample.spec.types === null || sample.spec.types.includes(type.name),
+    (type) => sample.spec.machineTypes === null || sample.spec.machineTypes.includes(type.name),
   );
   for (let n = Math.min(most, Math.floor(comes - ends - free)); n > 0; n--)
     if (openSlot(state, sample, types, new Map(), orders, now) === null) return;
 }
 
-function inCalls(order: RentOrder): RentOrder[] {
-  const out: RentOrder[] = [];
+function inCalls(order: ScaleOutRequest): ScaleOutRequest[] {
+  const out: ScaleOutRequest[] = [];
   for (let left = order.count; left > 0; left -= RENT_AT_ONCE)
     out.push({ ...order, count: Math.min(left, RENT_AT_ONCE) });
   return out;
@@ -204,11 +208,11 @@
 
 type Orders = Map<string, { type: string; zone: string; spot: boolean; count: number }>;
 
-function expectedSlots(state: ClusterState, now: Now): Slot[] {
+function expectedSlots(state: ClusterState, now: Timestamp): Slot[] {
   const slots: Slot[] = [];
   for (const machine of state.machines.values()) {
-    if (!isUsable(state, machine, now.steady) || isZoneOut(state, machine.zone)) continue;
-    const r = { ...viewOf(state, machine).room };
+    if (!isUsable(state, machine, now.monotonic) || isZoneUnavailable(state, machine.zone)) continue;
+    const r = { ...resourcesOf(state, machine).projected };
     slots.push({ type: machine.type, zone: machine.zone, spot: machine.spot, r, fresh: false });
   }
   const coming = [...state.booting.values()].map((b) => ({
@@ -217,7 +221,7 @@
     spot: b.spot,
     count: 1,
   }));
-  for (const pending of state.renting.values()) coming.push(pending.order);
+  for (const pending of state.renting.values()) coming.push(pending.request);
   for (const c of coming) {
     const type = state.types.get(c.type);
     if (type === undefined) continue;
@@ -234,16 +238,16 @@
   types: readonly MachineType[],
   taken: ReadonlyMap<string, number>,
   orders: Orders,
-  now: Now,
+  now: Timestamp,
 ): Slot | null {
   const options: { type: MachineType; zone: string; spot: boolean; price: number; have: number }[] = [];
   for (const type of types) {
-    if (!fitsIn(job.spec, whole(type))) continue;
+    if (!fits(job.spec, whole(type))) continue;
     for (const zone of type.zones) {
-      if (!zoneAllowed(job, zone, taken) || isZoneOut(state, zone)) continue;
-      for (const spot of job.spec.spot ? [true, false] : [false]) {
+      if (!isZoneAllowed(job, zone, taken) || isZoneUnavailable(state, zone)) continue;
+      for (const spot of job.spec.allowSpot ? [true, false] : [false]) {
         const refused = state.refused.get(slotKey({ type: type.name, zone, spot }));
-        if (refused !== undefined && now.steady - refused < seconds(20)) continue;
+        if (refused !== undefined && now.monotonic - refused < seconds(20)) continue;
         const have = orders.get(slotKey({ type: type.name, zone, spot }))?.count ?? 0;
         options.push({ type, zone, spot, price: spot ? type.spotPrice : type.price, have });
       }
@@ -261,12 +265,12 @@
 }
 
 /** Remembers that the cloud had no such machine. */
-export function onRefused(state: ClusterState, order: RentOrder, now: Now): void {
-  state.refused.set(slotKey(order), now.steady);
+export function onScaleOutRefused(state: ClusterState, order: ScaleOutRequest, now: Timestamp): void {
+  state.refused.set(slotKey(order), now.monotonic);
 }
 
 /** Tells of a rental in the log. */
-export function logRent(state: ClusterState, order: RentOrder): void {
+export function logScaleOut(state: ClusterState, order: ScaleOutRequest): void {
   emitLog(
     state,
     'renting',
--- a/src/core/starved-gangs.ts
+++ b/src/core/starved-gangs.ts
@@ -1,10 +1,10 @@
 /** @file Room kept together, and machines emptied, for gangs that have waited long. */
-import { waitedSeconds } from './urgency.js';
-import { type ClusterState, NO_ROOM_FOR_ALL } from './cluster-state.js';
+import { pendingSeconds } from './urgency.js';
+import { type ClusterState, NO_GANG_CAPACITY } from './cluster-state.js';
 import type { Job, Machine } from './model.js';
-import { type Candidate, machineAllowed } from './placement.js';
-import { type Board, type Offer, book, zonesOf } from './preemption.js';
-import { type Now, toSeconds } from './time.js';
+import { type Candidate, isMachineAllowed } from './placement.js';
+import { type SchedulingSnapshot, type PreemptionPlan, reserve, zoneOptions } from './preemption.js';
+import { type Timestamp, toSeconds } from './time.js';
 import { zoneAdmits } from './zones.js';
 
 /**
@@ -18,14 +18,14 @@
 const FIRST_AFTER_S = 120;
 
 /** Chooses the gang that machines are emptied for: of those that lack room, the one that has waited longest. */
-export function chooseStarved(state: ClusterState, now: Now): void {
+export function chooseStarvedGang(state: ClusterState, now: Timestamp): void {
   let longest: Job | null = null;
   for (const id of state.waiting) {
     const job = state.jobs.get(id);
-    if (job === undefined || job.spec.kind !== 'gang' || job.waitReason !== NO_ROOM_FOR_ALL) continue;
-    if (longest === null || waitedSeconds(job, now) > waitedSeconds(longest, now)) longest = job;
+    if (job === undefined || job.spec.kind !== 'gang' || job.pendingReason !== NO_GANG_CAPACITY) continue;
+    if (longest === null || pendingSeconds(job, now) > pendingSeconds(longest, now)) longest = job;
   }
-  const waited = longest === null ? 0 : waitedSeconds(longest, now);
+  const waited = longest === null ? 0 : pendingSeconds(longest, now);
   if (longest === null || waited < EMPTY_AFTER_S) {
     state.emptying = null;
     return;
@@ -41,25 +41,25 @@
  * ever becoming free, those that will be empty soonest take nothing new. Only the first gang of a pass, and the one that
  * has waited longest, hold room, so that little stands idle.
  */
-export function holdTogether(
+export function reserveForGang(
   state: ClusterState,
   job: Job,
-  board: Board,
-  free: ReadonlyMap<string | null, readonly Offer[]>,
+  board: SchedulingSnapshot,
+  free: ReadonlyMap<string | null, readonly PreemptionPlan[]>,
   want: number,
-  now: Now,
+  now: Timestamp,
 ): void {
   const starved = state.emptying?.job === job.spec.id ? state.emptying : null;
-  if (starved === null && (state.holding !== null || waitedSeconds(job, now) < HOLD_AFTER_S)) return;
+  if (starved === null && (state.holding !== null || pendingSeconds(job, now) < HOLD_AFTER_S)) return;
   state.holding ??= job.spec.id;
-  const open = board.open.filter(
+  const open = board.candidates.filter(
     (candidate) =>
-      machineAllowed(job.spec, candidate.machine) &&
+      isMachineAllowed(job.spec, candidate.machine) &&
       zoneAdmits(state, job, candidate.machine, now) &&
-      !job.failedOn.has(candidate.machine.name),
+      !job.failuresByMachine.has(candidate.machine.name),
   );
   let best: Plan | null = null;
-  for (const zone of zonesOf(job, open)) {
+  for (const zone of zoneOptions(job, open)) {
     const plan = planEmpty(state, job, open, zone, free.get(zone) ?? [], want, now);
     if (
       best === null ||
@@ -69,15 +69,15 @@
       best = plan;
   }
   if (best === null) return;
-  for (const offer of best.free) book(state, job, offer, 1);
+  for (const offer of best.free) reserve(state, job, offer, 1);
   if (starved === null) return;
-  for (const at of best.empty) book(state, job, { at, victims: [], cost: 0 }, 1);
+  for (const at of best.empty) reserve(state, job, { candidate: at, victims: [], cost: 0 }, 1);
   starved.machines = new Set(best.empty.map((candidate) => candidate.machine.name));
 }
 
 /** Where a waiting gang's tasks could go in one zone: what is free, and machines to be emptied, once for each task. */
 interface Plan {
-  readonly free: readonly Offer[];
+  readonly free: readonly PreemptionPlan[];
   readonly empty: readonly Candidate[];
   /** Tasks for which not even that is enough, and the seconds until the last machine should be empty. */
   readonly missing: number;
@@ -89,13 +89,13 @@
   job: Job,
   open: readonly Candidate[],
   zone: string | null,
-  free: readonly Offer[],
+  free: readonly PreemptionPlan[],
   want: number,
-  now: Now,
+  now: Timestamp,
 ): Plan {
   const rows: { c: Candidate; left: number; each: number }[] = [];
   const kept = state.emptying?.job === job.spec.id ? state.emptying.machines : null;
-  const taken = new Set(free.map((offer) => offer.at));
+  const taken = new Set(free.map((offer) => offer.candidate));
   for (const candidate of open) {
     if ((zone !== null && candidate.machine.zone !== zone) || taken.has(candidate)) continue;
     const left = emptyIn(state, candidate.machine, now);
@@ -120,18 +120,26 @@
   const { cpus, gpus, memory } = job.spec;
   const times = (whole: number, part: number): number =>
     part > 0 ? Math.floor(whole / part + 1e-6) : Infinity;
-  return Math.min(times(type.cpus, cpus), times(type.gpus, gpus), times(type.memory, memory), job.spec.tasks);
+  return Math.min(
+    times(type.cpus, cpus),
+    times(type.gpus, gpus),
+    times(type.memory, memory),
+    job.spec.taskCount,
+  );
 }
 
 /** Seconds until a machine should be empty; null: replicas stay for good. */
-function emptyIn(state: ClusterState, machine: Machine, now: Now): number | null {
+function emptyIn(state: ClusterState, machine: Machine, now: Timestamp): number | null {
   let left = 0;
-  for (const intent of machine.intents.values()) {
-    const job = state.jobs.get(intent.job);
+  for (const intent of machine.assignments.values()) {
+    const job = state.jobs.get(intent.jobId);
     if (job === undefined) continue;
     if (job.spec.kind === 'service') return null;
-    const ran = intent.runningSince === null ? 0 : toSeconds(now.steady - intent.runningSince);
-    left = Math.max(left, intent.stopping === null ? Math.max(toSeconds(job.spec.estimate) - ran, 1) : 0);
+    const ran = intent.runningSince === null ? 0 : toSeconds(now.monotonic - intent.runningSince);
+    left = Math.max(
+      left,
+      intent.stopRequest === null ? Math.max(toSeconds(job.spec.estimatedDuration) - ran, 1) : 0,
+    );
   }
   return left;
 }
--- a/src/core/steering.ts
+++ b/src/core/steering.ts
@@ -1,17 +1,17 @@
 /** @file What narrows the choice among equally good machines. */
 import type { ClusterState } from './cluster-state.js';
 import type { Job, MachineType } from './model.js';
-import type { Candidate, Scored } from './placement.js';
+import type { Candidate, ScoredCandidate } from './placement.js';
 
 /** Machines that patient work leaves whole, for work that comes with less time; never an eighth of what there is. */
-export const LEFT_WHOLE = 2;
+export const WHOLE_MACHINES_KEPT = 2;
 
 /** Takes the empty machines out of the choice while there are few of them. */
-export function leaveWhole(fitting: Candidate[], open: readonly Candidate[]): void {
+export function keepMachinesWhole(fitting: Candidate[], open: readonly Candidate[]): void {
   let empty = 0;
-  for (const candidate of open) if (candidate.zeta === 0) empty += 1;
-  if (empty > LEFT_WHOLE) return;
-  for (let n = fitting.length - 1; n >= 0; n--) if (fitting[n]?.zeta === 0) fitting.splice(n, 1);
+  for (const candidate of open) if (candidate.taskCount === 0) empty += 1;
+  if (empty > WHOLE_MACHINES_KEPT) return;
+  for (let n = fitting.length - 1; n >= 0; n--) if (fitting[n]?.taskCount === 0) fitting.splice(n, 1);
 }
 
 /**
@@ -19,15 +19,15 @@
  * that the dear machines that only they need stay few, but not where one of their own job is. While some work needs most of a machine, small tasks go beside
  * others and leave whole machines free.
  */
-export function steer(state: ClusterState, job: Job, candidate: Candidate): number {
-  const breaks = candidate.zeta === 0 && state.wholeNeeded && !takesMost(job, candidate.type) ? 1 : 0;
-  if (job.spec.spot) return (candidate.machine.spot ? 0 : 2) + breaks;
+export function tieBreakScore(state: ClusterState, job: Job, candidate: Candidate): number {
+  const breaks = candidate.taskCount === 0 && state.wholeNeeded && !takesMost(job, candidate.type) ? 1 : 0;
+  if (job.spec.allowSpot) return (candidate.machine.spot ? 0 : 2) + breaks;
   if (job.spec.kind !== 'service') return breaks;
   let mates = 0;
-  for (const intent of candidate.machine.intents.values()) {
+  for (const intent of candidate.machine.assignments.values()) {
     // Two replicas of one service on a machine are lost together.
-    if (intent.job === job.spec.id) return 2;
-    if (state.jobs.get(intent.job)?.spec.kind === 'service') mates += 1;
+    if (intent.jobId === job.spec.id) return 2;
+    if (state.jobs.get(intent.jobId)?.spec.kind === 'service') mates += 1;
   }
   return 1 / (1 + mates);
 }
@@ -38,7 +38,7 @@
 }
 
 /** Whether some open job needs most of a machine for a task. */
-export function someNeedWhole(state: ClusterState): boolean {
+export function anyJobNeedsWholeMachine(state: ClusterState): boolean {
   for (const id of state.open) {
     const job = state.jobs.get(id);
     if (job !== undefined) for (const type of state.types.values()) if (takesMost(job, type)) return true;
@@ -47,22 +47,26 @@
 }
 
 /** Machines that the fleet wants to empty are taken only when no other fits. */
-export function openFirst(list: Scored[]): Scored[] {
-  const kept = list.filter((row) => !row.cand.machine.closed);
+export function preferSchedulable(list: ScoredCandidate[]): ScoredCandidate[] {
+  const kept = list.filter((row) => !row.candidate.machine.draining);
   return kept.length > 0 ? kept : list;
 }
 
 /** Replicas go to the zones that hold fewest of their job, so that one lost zone or machine costs little. */
-export function spreadOut(job: Job, list: Scored[], taken: ReadonlyMap<string, number>): Scored[] {
-  if (job.spec.kind !== 'service' || job.spec.tasks < 2) return list;
+export function spreadReplicas(
+  job: Job,
+  list: ScoredCandidate[],
+  taken: ReadonlyMap<string, number>,
+): ScoredCandidate[] {
+  if (job.spec.kind !== 'service' || job.spec.taskCount < 2) return list;
   let least = Infinity;
-  for (const row of list) least = Math.min(least, taken.get(row.cand.machine.zone) ?? 0);
-  return list.filter((row) => (taken.get(row.cand.machine.zone) ?? 0) === least);
+  for (const row of list) least = Math.min(least, taken.get(row.candidate.machine.zone) ?? 0);
+  return list.filter((row) => (taken.get(row.candidate.machine.zone) ?? 0) === least);
 }
 
 /** A job failing everywhere goes round again, on the machines that failed it least often. */
-export function retryable(job: Job, list: Scored[]): Scored[] {
-  const count = (row: Scored): number => job.failedOn.get(row.cand.machine.name) ?? 0;
+export function leastFailedCandidates(job: Job, list: ScoredCandidate[]): ScoredCandidate[] {
+  const count = (row: ScoredCandidate): number => job.failuresByMachine.get(row.candidate.machine.name) ?? 0;
   let least = Infinity;
   for (const row of list) least = Math.min(least, count(row));
   return list.filter((row) => count(row) === least);
--- a/src/core/zone-policy.ts
+++ b/src/core/zone-policy.ts
@@ -1,6 +1,6 @@
 /** @file What a policy for lost and returning zones is told, and what it decides. Without one, zones are all alike. */
-import type { Kind, Priority } from './model.js';
-import type { Now, Span } from './time.js';
+import type { JobKind, Priority } from './model.js';
+import type { Timestamp, Duration } from './time.js';
 
 /** What the owner sees of the machines of one zone at a moment. */
 export interface ZoneObservation {
@@ -8,32 +8,32 @@
   /** Machines that have reported in this term and are not proven gone. */
   readonly known: number;
   /** Those of them that were heard lately. */
-  readonly heard: number;
+  readonly responsive: number;
   /** GPUs of the machines that were heard lately. */
   readonly gpus: number;
   /** Names of the machines that were heard lately. */
-  readonly names: readonly string[];
+  readonly responsiveMachines: readonly string[];
 }
 
 /** What the owner sees of all zones at a moment. */
 export interface FleetObservation {
   readonly zones: readonly ZoneObservation[];
   /** The state service has lately confirmed this owner. */
-  readonly inContact: boolean;
+  readonly leadershipConfirmed: boolean;
   /** Replicas of services that are wanted and have no running place. */
   readonly replicasMissing: number;
   /** How long the slowest image now being fetched takes, with its start. */
-  readonly startTakes: Span;
+  readonly slowestStart: Duration;
 }
 
 /** What decides whether a job may be placed on a machine of a zone that was lost. */
-export interface ZoneRequest {
-  readonly kind: Kind;
+export interface ZoneAdmissionRequest {
+  readonly kind: JobKind;
   readonly priority: Priority;
   /** The job may run in this zone alone. */
-  readonly bound: boolean;
+  readonly restrictedToZone: boolean;
   /** For how long the job has waited to begin; nothing if it has begun before. */
-  readonly waited: Span;
+  readonly pendingFor: Duration;
 }
 
 /** One change of a zone's state, for the log. */
@@ -41,21 +41,21 @@
   readonly zone: string;
   readonly from: string;
   readonly to: string;
-  readonly why: string;
+  readonly reason: string;
 }
 
 /** Decides which machines of lost and returning zones take what. It reads no clock and sends nothing. */
 export interface ZonePolicy {
   /** Takes in what is seen now; yields the changes of state that follow. */
-  observe(seen: FleetObservation, now: Now): readonly ZoneChange[];
+  observe(seen: FleetObservation, now: Timestamp): readonly ZoneChange[];
   /** Whether a machine of the zone takes work that asks so. */
-  admits(zone: string, machine: string, request: ZoneRequest): boolean;
+  admits(zone: string, machine: string, request: ZoneAdmissionRequest): boolean;
   /** Whether machines there should neither be waited for nor rented. */
-  isOut(zone: string): boolean;
+  isUnavailable(zone: string): boolean;
   /** Whether replicas there should be prepared for elsewhere: they may turn out to be lost. */
-  isEvacuated(zone: string): boolean;
+  isEvacuating(zone: string): boolean;
   /** What the next owner must know, to be kept; null: nothing has changed since it was last asked for. */
-  takeRecord(): unknown;
+  takeUnsavedRecord(): unknown;
   /** Takes over what an earlier owner kept. What cannot be read is passed over, and a cautious start made. */
-  restore(record: unknown, now: Now): void;
+  restore(record: unknown, now: Timestamp): void;
 }
--- a/src/core/zones.ts
+++ b/src/core/zones.ts
@@ -1,24 +1,26 @@
 /** @file Zones as a policy for lost and returning ones sees them. Without such a policy nothing here is done. */
 import { type ClusterState, emitLog } from './cluster-state.js';
-import { zonesTaken } from './intents.js';
-import type { Intent, Job, Machine } from './model.js';
-import { mayStart } from './ownership-timing.js';
-import { type Candidate, fitsIn, machineAllowed, zoneAllowed } from './placement.js';
-import { type Now, type Span, seconds } from './time.js';
-import { waitedSeconds } from './urgency.js';
-import type { FleetObservation, ZoneObservation, ZoneRequest } from './zone-policy.js';
+import { assignmentsByZone } from './intents.js';
+import type { Assignment, Job, Machine } from './model.js';
+import { mayStartTasks } from './ownership-timing.js';
+import { type Candidate, fits, isMachineAllowed, isZoneAllowed } from './placement.js';
+import { type Timestamp, type Duration, seconds } from './time.js';
+import { pendingSeconds } from './urgency.js';
+import type { FleetObservation, ZoneObservation, ZoneAdmissionRequest } from './zone-policy.js';
 
 /** A replica whose machine is in a zone that may be lost, and that may have to start elsewhere. */
-export interface Displaced {
+export interface DisplacedReplicas {
   readonly job: Job;
   readonly tasks: ReadonlySet<number>;
 }
 
 /** How long a machine may be silent before it counts as not heard. */
-const quietAfter = (state: ClusterState): Span => (state.facts.report * 5n) / 2n + seconds(1);
+const quietAfter = (state: ClusterState): Duration => (state.facts.heartbeatInterval * 5n) / 2n + seconds(1);
 
-const isHeard = (state: ClusterState, machine: Machine, now: Now): boolean =>
-  machine.session > 0 && machine.heard > 0n && now.steady - machine.heard <= quietAfter(state);
+const isHeard = (state: ClusterState, machine: Machine, now: Timestamp): boolean =>
+  machine.agentEpoch > 0 &&
+  machine.lastHeartbeatAt > 0n &&
+  now.monotonic - machine.lastHeartbeatAt <= quietAfter(state);
 
 interface ZoneTally {
   known: number;
@@ -26,12 +28,12 @@
   readonly names: string[];
 }
 
-function tallyZones(state: ClusterState, now: Now): ZoneObservation[] {
+function tallyZones(state: ClusterState, now: Timestamp): ZoneObservation[] {
   const tallies = new Map<string, ZoneTally>();
   for (const zone of state.facts.zones) tallies.set(zone, { known: 0, gpus: 0, names: [] });
   for (const machine of state.machines.values()) {
-    if (machine.returning || machine.listed === 'failed') continue;
-    if (machine.session === 0 && machine.intents.size === 0) continue;
+    if (machine.releasing || machine.instanceState === 'failed') continue;
+    if (machine.agentEpoch === 0 && machine.assignments.size === 0) continue;
     const tally = tallies.get(zoneOf(machine));
     if (tally === undefined) continue;
     tally.known += 1;
@@ -43,30 +45,30 @@
     zone,
     known,
     gpus,
-    names,
-    heard: names.length,
+    responsiveMachines: names,
+    responsive: names.length,
   }));
 }
 
 /** A machine that has not reported in this term is known by the places that are recorded on it. */
 function zoneOf(machine: Machine): string {
   if (machine.zone !== '') return machine.zone;
-  for (const intent of machine.intents.values()) return intent.zone;
+  for (const intent of machine.assignments.values()) return intent.zone;
   return '';
 }
 
 /** Seconds that a start takes beside the image fetch. */
 const START_OVERHEAD = seconds(2);
 
-function slowestStart(state: ClusterState): Span {
+function slowestStart(state: ClusterState): Duration {
   let slowest = 0;
   for (const machine of state.machines.values()) {
     const rate = state.types.get(machine.type)?.fetchGbPerS ?? 0;
     if (rate <= 0) continue;
-    for (const intent of machine.intents.values()) {
+    for (const intent of machine.assignments.values()) {
       if (intent.phase !== 'placed' && intent.phase !== 'fetching') continue;
-      const job = state.jobs.get(intent.job);
-      if (job !== undefined && !machine.images.has(job.spec.image))
+      const job = state.jobs.get(intent.jobId);
+      if (job !== undefined && !machine.cachedImages.has(job.spec.image))
         slowest = Math.max(slowest, job.spec.imageGb / rate);
     }
   }
@@ -77,90 +79,94 @@
   let missing = 0;
   for (const id of state.waiting) {
     const job = state.jobs.get(id);
-    if (job?.spec.kind === 'service' && job.standing === 'open') missing += job.free.size;
+    if (job?.spec.kind === 'service' && job.status === 'open') missing += job.unassignedTasks.size;
   }
   return missing;
 }
 
 /** From a term's beginning, workers need this long to find their new owner. */
-const settling = (state: ClusterState): Span => quietAfter(state) + state.facts.report * 2n;
+const settling = (state: ClusterState): Duration => quietAfter(state) + state.facts.heartbeatInterval * 2n;
 
-function observeFleet(state: ClusterState, now: Now): FleetObservation {
+function observeFleet(state: ClusterState, now: Timestamp): FleetObservation {
   return {
     zones: tallyZones(state, now),
-    inContact: mayStart(state.contact, now.steady) && now.steady - state.began > settling(state),
+    leadershipConfirmed:
+      mayStartTasks(state.contact, now.monotonic) && now.monotonic - state.began > settling(state),
     replicasMissing: replicasMissing(state),
-    startTakes: slowestStart(state),
+    slowestStart: slowestStart(state),
   };
 }
 
 /** Has the policy look at the fleet; what changes is told once in the log and kept for the next owner. */
-export function watchZones(state: ClusterState, now: Now): void {
+export function observeZones(state: ClusterState, now: Timestamp): void {
   const policy = state.zonePolicy;
   if (policy === null) return;
   for (const change of policy.observe(observeFleet(state, now), now)) {
     emitLog(state, 'zone', { ...change }, 'info');
     state.needPass = true;
   }
-  const record = policy.takeRecord();
-  if (record !== null) state.effects.push({ kind: 'keep zones', record });
+  const record = policy.takeUnsavedRecord();
+  if (record !== null) state.effects.push({ kind: 'persist-zones', record });
 }
 
-const hasBegun = (job: Job): boolean => [...job.chunks.values()].some((chunk) => chunk.attempt > 0);
+const hasBegun = (job: Job): boolean => [...job.chunks.values()].some((chunk) => chunk.highestAttempt > 0);
 
-const requestOf = (job: Job, zone: string, now: Now): ZoneRequest => ({
+const requestOf = (job: Job, zone: string, now: Timestamp): ZoneAdmissionRequest => ({
   kind: job.spec.kind,
   priority: job.priority,
-  bound: job.spec.zone === zone,
+  restrictedToZone: job.spec.zone === zone,
   // Work that has begun before, and was lost with its zone, has no claim to begin in time.
-  waited: hasBegun(job) ? 0n : seconds(waitedSeconds(job, now)),
+  pendingFor: hasBegun(job) ? 0n : seconds(pendingSeconds(job, now)),
 });
 
 /** Whether the job may go on a machine, as far as its zone's state is concerned. */
-export function zoneAdmits(state: ClusterState, job: Job, machine: Machine, now: Now): boolean {
+export function zoneAdmits(state: ClusterState, job: Job, machine: Machine, now: Timestamp): boolean {
   const policy = state.zonePolicy;
   return policy === null || policy.admits(machine.zone, machine.name, requestOf(job, machine.zone, now));
 }
 
 /** Whether nothing should be rented or waited for in the zone. */
-export const isZoneOut = (state: ClusterState, zone: string): boolean =>
-  state.zonePolicy?.isOut(zone) === true;
+export const isZoneUnavailable = (state: ClusterState, zone: string): boolean =>
+  state.zonePolicy?.isUnavailable(zone) === true;
 
 /** Replicas on silent machines of zones that may be lost, by job. */
-export function displacedReplicas(state: ClusterState, now: Now): Displaced[] {
+export function displacedReplicas(state: ClusterState, now: Timestamp): DisplacedReplicas[] {
   const policy = state.zonePolicy;
   if (policy === null) return [];
   const byJob = new Map<Job, Set<number>>();
   for (const machine of state.machines.values()) {
-    if (!policy.isEvacuated(zoneOf(machine)) || isHeard(state, machine, now)) continue;
-    for (const intent of machine.intents.values()) addDisplaced(state, byJob, intent);
+    if (!policy.isEvacuating(zoneOf(machine)) || isHeard(state, machine, now)) continue;
+    for (const intent of machine.assignments.values()) addDisplaced(state, byJob, intent);
   }
   return [...byJob].map(([job, tasks]) => ({ job, tasks }));
 }
 
-function addDisplaced(state: ClusterState, byJob: Map<Job, Set<number>>, intent: Intent): void {
-  const job = state.jobs.get(intent.job);
-  if (job === undefined || job.spec.kind !== 'service' || job.standing !== 'open') return;
+function addDisplaced(state: ClusterState, byJob: Map<Job, Set<number>>, intent: Assignment): void {
+  const job = state.jobs.get(intent.jobId);
+  if (job === undefined || job.spec.kind !== 'service' || job.status !== 'open') return;
   const tasks = byJob.get(job);
-  if (tasks === undefined) byJob.set(job, new Set([intent.task]));
-  else tasks.add(intent.task);
+  if (tasks === undefined) byJob.set(job, new Set([intent.taskIndex]));
+  else tasks.add(intent.taskIndex);
 }
 
 /**
  * Keeps room in the remaining zones for replicas that may have to start there. It is only kept from lower work: the
  * replicas themselves start when it is proven that they are gone.
  */
-export function keepRoomForDisplaced(displaced: readonly Displaced[], open: readonly Candidate[]): void {
+export function reserveForDisplaced(
+  displaced: readonly DisplacedReplicas[],
+  open: readonly Candidate[],
+): void {
   for (const { job, tasks } of displaced) {
-    const taken = zonesTaken(job);
+    const taken = assignmentsByZone(job);
     for (const task of tasks) {
       const lost = zoneOfTask(job, task);
       if (lost !== null) taken.set(lost, Math.max(0, (taken.get(lost) ?? 0) - 1));
       const best = roomFor(job, open, taken);
       if (best === null) break;
-      best.room.cpus -= job.spec.cpus;
-      best.room.gpus -= job.spec.gpus;
-      best.room.memory -= job.spec.memory;
+      best.projected.cpus -= job.spec.cpus;
+      best.projected.gpus -= job.spec.gpus;
+      best.projected.memory -= job.spec.memory;
       taken.set(best.machine.zone, (taken.get(best.machine.zone) ?? 0) + 1);
     }
   }
@@ -168,7 +174,7 @@
 
 function zoneOfTask(job: Job, task: number): string | null {
   for (const chunk of job.chunks.values()) {
-    const intent = chunk.intents.get(task);
+    const intent = chunk.assignments.get(task);
     if (intent !== undefined) return intent.zone;
   }
   return null;
@@ -178,9 +184,9 @@
 function roomFor(job: Job, open: readonly Candidate[], taken: ReadonlyMap<string, number>): Candidate | null {
   let best: Candidate | null = null;
   for (const candidate of open) {
-    if (!fitsIn(job.spec, candidate.room) || !machineAllowed(job.spec, candidate.machine)) continue;
-    if (!zoneAllowed(job, candidate.machine.zone, taken)) continue;
-    if (best === null || candidate.room.gpus < best.room.gpus) best = candidate;
+    if (!fits(job.spec, candidate.projected) || !isMachineAllowed(job.spec, candidate.machine)) continue;
+    if (!isZoneAllowed(job, candidate.machine.zone, taken)) continue;
+    if (best === null || candidate.projected.gpus < best.projected.gpus) best = candidate;
   }
   return best;
 }
--- a/src/edge/api.ts
+++ b/src/edge/api.ts
@@ -2,8 +2,8 @@
 import type { Socket } from 'node:net';
 import express, { type NextFunction, type Request, type Response } from 'express';
 import { Observable, Subscription } from 'rxjs';
-import type { Report } from '../core/model.js';
-import type { Order } from '../core/cluster-state.js';
+import type { Heartbeat } from '../core/model.js';
+import type { WorkerCommand } from '../core/cluster-state.js';
 import { decode, encode } from '../wire/cbor.js';
 import {
   API_PATHS,
@@ -35,7 +35,7 @@
   readonly coreShare: number;
   readonly leading: () => boolean;
   /** The owner's answer to a report; null if we are not the owner or may not answer. */
-  readonly report: (report: Report) => { token: number; orders: Order[] } | null;
+  readonly report: (report: Heartbeat) => { token: number; orders: WorkerCommand[] } | null;
   readonly ownerLabel: () => string | null;
 }
 
@@ -163,7 +163,7 @@
 /** The answers to workers' reports. Most carry no orders and differ by the token alone: those are written once for each. */
 function reportAnswers(dependencies: ApiDependencies): (raw: Buffer) => ReportAnswer {
   let plain: { readonly token: number; readonly body: Buffer } | null = null;
-  const write = (token: number, list: readonly Order[]): Buffer => {
+  const write = (token: number, list: readonly WorkerCommand[]): Buffer => {
     if (list.length > 0) return encode(orders(token, list));
     if (plain?.token !== token) plain = { token, body: encode(orders(token, [])) };
     return plain.body;
--- a/src/edge/cloud-polling.ts
+++ b/src/edge/cloud-polling.ts
@@ -1,6 +1,6 @@
 import type { Subscription } from 'rxjs';
 import type { MachineType } from '../core/model.js';
-import { steady } from './clock.js';
+import { monotonicNow } from './clock.js';
 import { jittered } from './jitter.js';
 import { isAborted, pause, supervise } from './supervised-task.js';
 import type { TermContext } from './term-context.js';
@@ -20,12 +20,12 @@
   }
 
   private async pollList(signal: AbortSignal): Promise<void> {
-    const every = Math.max(2000, Number(this.term.dependencies.facts.listLag) / 1e6);
+    const every = Math.max(2000, Number(this.term.dependencies.facts.inventoryLag) / 1e6);
     while (!signal.aborted) {
-      const sent = steady();
+      const sent = monotonicNow();
       const machines = await this.term.dependencies.cloud.list(signal);
       if (isAborted(signal)) return;
-      if (machines !== null) this.term.event({ kind: 'list', machines, sent });
+      if (machines !== null) this.term.event({ kind: 'instance-inventory', machines, requestedAt: sent });
       await pause(machines === null ? jittered(1000) : every, signal);
     }
   }
@@ -35,7 +35,10 @@
     this.imagesTold = true;
     const rates = types.map((type) => type.fetchGbPerS).filter((r) => r > 0);
     if (rates.length > 0)
-      this.term.event({ kind: 'images', seen: this.term.dependencies.images.likely(Math.min(...rates)) });
+      this.term.event({
+        kind: 'images-observed',
+        sightings: this.term.dependencies.images.likely(Math.min(...rates)),
+      });
   }
 
   private async pollTypes(signal: AbortSignal): Promise<void> {
@@ -43,7 +46,7 @@
       const types = await this.term.dependencies.cloud.types(signal);
       if (isAborted(signal)) return;
       if (types !== null) {
-        this.term.event({ kind: 'types', types });
+        this.term.event({ kind: 'machine-types', types });
         if (!this.imagesTold) this.tellImages(types);
       }
       await pause(types === null ? jittered(1000) : 60_000, signal);
--- a/src/edge/cloud.ts
+++ b/src/edge/cloud.ts
@@ -1,5 +1,5 @@
-import type { Listed, MachineType } from '../core/model.js';
-import type { RentOrder } from '../core/cluster-state.js';
+import type { CloudInstance, MachineType } from '../core/model.js';
+import type { ScaleOutRequest } from '../core/cluster-state.js';
 import { CLOUD_PATHS, listQuery, parseList, parseTypes, rentBody, returnBody } from '../wire/dialect.js';
 import * as schemas from '../wire/schemas.js';
 import { RateLimiter } from './rate-limiter.js';
@@ -32,8 +32,8 @@
   }
 
   /** The whole list, or null if any page could not be had. */
-  async list(signal: AbortSignal): Promise<Listed[] | null> {
-    const all: Listed[] = [];
+  async list(signal: AbortSignal): Promise<CloudInstance[] | null> {
+    const all: CloudInstance[] = [];
     for (;;) {
       const outcome = await this.call(
         'GET',
@@ -50,7 +50,7 @@
   }
 
   /** Rents under a name that is never used for anything else; repeated until the answer is known or time is up. */
-  async rent(name: string, order: RentOrder, signal: AbortSignal): Promise<string[] | null> {
+  async rent(name: string, order: ScaleOutRequest, signal: AbortSignal): Promise<string[] | null> {
     for (let n = 0; n < 4 && !signal.aborted; n++) {
       const outcome = await this.call('POST', CLOUD_PATHS.machines, rentBody(name, order), signal);
       if (outcome.kind === 'answer' && outcome.status === 200) {
--- a/src/edge/commit-loop.ts
+++ b/src/edge/commit-loop.ts
@@ -1,8 +1,8 @@
 import { interval, type Subscription } from 'rxjs';
-import type { Standing } from '../core/model.js';
-import { changesIn, type Transaction } from '../core/outbox.js';
+import type { JobStatus } from '../core/model.js';
+import { operationCount, type Transaction } from '../core/outbox.js';
 import { jobKey, pageKey, partKey, summaryOf, writeJob, writePage } from '../wire/records.js';
-import { now } from './clock.js';
+import { currentTime } from './clock.js';
 import { jittered } from './jitter.js';
 import type { OwnedKey } from './owned-key.js';
 import { RateLimiter } from './rate-limiter.js';
@@ -38,7 +38,10 @@
   ) {
     const { facts, writeRps } = term.dependencies;
     this.writeRps = writeRps;
-    this.budget = new RateLimiter(writeRps * MOST_SHARE, Math.max(facts.txnOps, writeRps * 0.5));
+    this.budget = new RateLimiter(
+      writeRps * MOST_SHARE,
+      Math.max(facts.maxTransactionOperations, writeRps * 0.5),
+    );
   }
 
   /** Runs until unsubscribed. */
@@ -78,9 +81,9 @@
       await this.wakeSignal.wait(500, signal);
       if (isAborted(signal)) return;
       if (this.raise !== null) await this.raiseToken(signal);
-      const transaction = this.term.owner.nextTransaction(now());
+      const transaction = this.term.owner.nextTransaction(currentTime());
       if (transaction === null) continue;
-      const wait = this.budget.take(changesIn(transaction));
+      const wait = this.budget.take(operationCount(transaction));
       if (wait > 0) await pause(wait, signal);
       if (isAborted(signal)) return;
       await this.commit(transaction, signal);
@@ -110,7 +113,7 @@
       ],
     );
     if (isAborted(signal)) return;
-    if (result.kind === 'ok') this.term.event({ kind: 'raised', token: result.rev });
+    if (result.kind === 'ok') this.term.event({ kind: 'token-advanced', fencingToken: result.rev });
     else if (result.kind === 'conflict' && !(await this.key.stillOwner()))
       this.term.end('the part has changed hands');
   }
@@ -118,22 +121,26 @@
   /** Sends a transaction until its fate is known. Its guards make repeats harmless. */
   private async commit(transaction: Transaction, signal: AbortSignal): Promise<void> {
     const { store } = this.term.dependencies;
-    const guards: Guard[] = [{ key: partKey(this.term.dependencies.part), stamp: transaction.token }];
+    const guards: Guard[] = [{ key: partKey(this.term.dependencies.part), stamp: transaction.fencingToken }];
     const writes: Write[] = [];
-    for (const [id, stamp] of transaction.jobs) guards.push({ key: jobKey(id), stamp });
+    for (const [id, stamp] of transaction.guardedJobs) guards.push({ key: jobKey(id), stamp });
     for (const page of transaction.pages) {
       const key = pageKey(this.term.dependencies.part, page.id);
-      guards.push({ key, stamp: page.stamp });
+      guards.push({ key, stamp: page.modRevision });
       writes.push({ write: key, value: writePage(page.entries, this.term.dependencies.facts.zones) });
     }
-    for (const id of transaction.done) writes.push(...this.endOf(id, 'done'));
-    for (const id of transaction.cancelled) writes.push(...this.endOf(id, 'cancelled'));
+    for (const id of transaction.completedJobs) writes.push(...this.endOf(id, 'done'));
+    for (const id of transaction.cancelledJobs) writes.push(...this.endOf(id, 'cancelled'));
     let doubtful = false;
     for (let n = 0; !signal.aborted; n++) {
       const result = await store.commit(guards, writes);
       if (isAborted(signal)) return;
       if (result.kind === 'ok')
-        return this.term.event({ kind: 'settled', transaction: transaction, stamp: result.rev });
+        return this.term.event({
+          kind: 'transaction-committed',
+          transaction: transaction,
+          modRevision: result.rev,
+        });
       if (result.kind === 'conflict') return this.onConflict(transaction, result, doubtful, signal);
       if (result.kind === 'unknown') doubtful = true;
       else this.heedRefusal(result.why);
@@ -146,12 +153,12 @@
   private endOf(id: string, standing: 'done' | 'cancelled'): Write[] {
     const job = this.term.owner.state.jobs.get(id);
     if (job === undefined) return [];
-    const { spec, submitted } = job;
-    return [{ write: jobKey(id), value: writeJob({ spec, submitted, standing }) }];
+    const { spec, submittedAt: submitted } = job;
+    return [{ write: jobKey(id), value: writeJob({ spec, submittedAt: submitted, status: standing }) }];
   }
 
   /** How a job stands by the followed copy; null if it is not there. */
-  private standingOf(id: string): Standing | null {
+  private standingOf(id: string): JobStatus | null {
     const entry = this.term.dependencies.store.copy.get(jobKey(id));
     return entry === undefined ? null : summaryOf(entry.value).standing;
   }
@@ -175,14 +182,23 @@
     if (moved !== undefined) {
       const entry = store.copy.get(pageKey(this.term.dependencies.part, moved.id));
       if (doubtful && entry !== undefined)
-        return this.term.event({ kind: 'settled', transaction: transaction, stamp: entry.stamp });
+        return this.term.event({
+          kind: 'transaction-committed',
+          transaction: transaction,
+          modRevision: entry.stamp,
+        });
       return this.term.end('a page was written by somebody else');
     }
     if (doubtful && transaction.pages.length === 0) {
       const carriedOut =
-        transaction.done.every((id) => this.standingOf(id) === 'done') &&
-        transaction.cancelled.every((id) => this.standingOf(id) === 'cancelled');
-      if (carriedOut) return this.term.event({ kind: 'settled', transaction: transaction, stamp: store.rev });
+        transaction.completedJobs.every((id) => this.standingOf(id) === 'done') &&
+        transaction.cancelledJobs.every((id) => this.standingOf(id) === 'cancelled');
+      if (carriedOut)
+        return this.term.event({
+          kind: 'transaction-committed',
+          transaction: transaction,
+          modRevision: store.rev,
+        });
     }
     this.term.dependencies.log.info({ failed }, 'transaction refused by its guards; planned anew');
   }
--- a/src/edge/dependency-index.ts
+++ b/src/edge/dependency-index.ts
@@ -21,11 +21,11 @@
     const parsed = parseKey(key);
     if (parsed.kind !== 'job' || entry === null) return;
     if (entry.value instanceof EndedJob) {
-      this.graph.end(parsed.id, entry.value.standing);
+      this.graph.markFinished(parsed.id, entry.value.standing);
       return;
     }
-    const { spec, standing } = readJob(entry.value);
+    const { spec, status: standing } = readJob(entry.value);
     if (standing === 'open') this.graph.add(parsed.id, spec.dependencies);
-    else this.graph.end(parsed.id, standing);
+    else this.graph.markFinished(parsed.id, standing);
   }
 }
--- a/src/edge/ended-jobs.ts
+++ b/src/edge/ended-jobs.ts
@@ -37,7 +37,7 @@
     const routines = this.store.changes.subscribe(({ key, entry }) => {
       const parsed = parseKey(key);
       if (parsed.kind !== 'job' || entry === null) return;
-      if (readJob(entry.value).standing !== 'open') this.whole.add(parsed.id);
+      if (readJob(entry.value).status !== 'open') this.whole.add(parsed.id);
     });
     routines.add(interval(SWEEP_MS).subscribe(() => this.sweep()));
     return routines;
@@ -53,7 +53,8 @@
     this.whole.delete(id);
     const value = this.store.copy.get(jobKey(id))?.value;
     if (value === undefined || value instanceof EndedJob) return;
-    const { spec, standing } = readJob(value);
-    if (standing !== 'open') this.store.abridge(jobKey(id), new EndedJob(standing, spec.kind, spec.tasks));
+    const { spec, status: standing } = readJob(value);
+    if (standing !== 'open')
+      this.store.abridge(jobKey(id), new EndedJob(standing, spec.kind, spec.taskCount));
   }
 }
--- a/src/edge/feature-loader.ts
+++ b/src/edge/feature-loader.ts
@@ -2,7 +2,7 @@
 import { createRequire } from 'node:module';
 import { join } from 'node:path';
 import type * as ZoneRecoveryPackage from '@pumiceroad/zone-recovery';
-import type { Facts } from '../core/model.js';
+import type { ClusterConfig } from '../core/model.js';
 import type { ZonePolicy } from '../core/zone-policy.js';
 import type { Feature, Features } from './features.js';
 
@@ -15,8 +15,8 @@
 }
 
 /** What makes the policy for lost and returning zones, anew for each term; null: the feature is off. */
-export function zonePolicyFor(features: Features, facts: Facts): (() => ZonePolicy) | null {
+export function zonePolicyFor(features: Features, facts: ClusterConfig): (() => ZonePolicy) | null {
   if (!features.has('zone-recovery')) return null;
   const { ZoneRecovery } = loadFeature('zone-recovery') as typeof ZoneRecoveryPackage;
-  return () => new ZoneRecovery({ lease: facts.lease, report: facts.report });
+  return () => new ZoneRecovery({ lease: facts.workerLease, report: facts.heartbeatInterval });
 }
--- a/src/edge/images.ts
+++ b/src/edge/images.ts
@@ -1,6 +1,6 @@
 import type { Subscription } from 'rxjs';
 import { EndedJob, jobKey, parseKey, readJob } from '../wire/records.js';
-import { steady } from './clock.js';
+import { monotonicNow } from './clock.js';
 import { messageOf } from './supervised-task.js';
 import { warnSparsely, type Log } from './log.js';
 import type { DecodedPages } from './decoded-pages.js';
@@ -8,9 +8,9 @@
 
 /** An image that a machine is likely to have cached. */
 export interface ImageSeen {
-  readonly machine: string;
+  readonly machineName: string;
   readonly image: string;
-  readonly gb: number;
+  readonly sizeGb: number;
 }
 
 /** A place that has stood so long on a machine has its image, at the slowest fetch that is likely. */
@@ -46,7 +46,7 @@
     private readonly pages: DecodedPages,
     /** A leader hears of images from the workers themselves. */
     private readonly leading: () => boolean,
-    private readonly clock: () => bigint = steady,
+    private readonly clock: () => bigint = monotonicNow,
   ) {}
 
   /** How many machines something is known of. */
@@ -72,18 +72,18 @@
     for (const [machine, { images }] of this.byMachine)
       for (const [image, { gb, first, last }] of images)
         if (millisBetween(first, last) >= fetchedAfterMs(gb, gbPerS) && millisBetween(last, now) < FORGET_MS)
-          out.push({ machine, image, gb });
+          out.push({ machineName: machine, image, sizeGb: gb });
     return out;
   }
 
   private take(page: Entry): void {
     const now = this.clock();
     for (const entry of this.pages.of(page)) {
-      if (entry.record.intents.length === 0) continue;
-      const job = this.store.copy.get(jobKey(entry.job));
+      if (entry.record.assignments.length === 0) continue;
+      const job = this.store.copy.get(jobKey(entry.jobId));
       if (job === undefined || job.value instanceof EndedJob) continue;
       const { image, imageGb } = readJob(job.value).spec;
-      for (const intent of entry.record.intents) this.see(intent.machine, image, imageGb, now);
+      for (const intent of entry.record.assignments) this.see(intent.machineName, image, imageGb, now);
     }
     this.forgetOld(now);
   }
--- a/src/edge/inbound-connections.ts
+++ b/src/edge/inbound-connections.ts
@@ -1,4 +1,4 @@
-import { steady } from './clock.js';
+import { monotonicNow } from './clock.js';
 import type { Log } from './log.js';
 import type { SocketShares } from './sockets.js';
 
@@ -18,7 +18,7 @@
   constructor(
     private readonly shares: SocketShares,
     private readonly log: Log,
-    private readonly clock: () => bigint = steady,
+    private readonly clock: () => bigint = monotonicNow,
   ) {}
 
   get open(): number {
--- a/src/edge/listener.ts
+++ b/src/edge/listener.ts
@@ -1,6 +1,6 @@
 import { createServer, type Server, type Socket } from 'node:net';
 import { Observable } from 'rxjs';
-import { millisSince, steady } from './clock.js';
+import { millisecondsSince, monotonicNow } from './clock.js';
 import type { Target } from './http-client.js';
 
 /** A worker waits for 4 s: sooner after listening anew nothing can have been given up for its place in the queue. */
@@ -33,7 +33,7 @@
           subscriber.next({ port });
         });
         this.server = server;
-        this.openedAt = steady();
+        this.openedAt = monotonicNow();
       };
       this.listen();
       return () => {
@@ -45,7 +45,7 @@
 
   /** Resets what waits to be taken in; false: it was done a moment ago, and nothing is done. */
   reopen(leastMs = REOPEN_MS): boolean {
-    if (millisSince(this.openedAt) < leastMs) return false;
+    if (millisecondsSince(this.openedAt) < leastMs) return false;
     this.server?.close();
     this.listen();
     return true;
--- a/src/edge/log.ts
+++ b/src/edge/log.ts
@@ -1,5 +1,5 @@
 import pino from 'pino';
-import { millisSince, steady } from './clock.js';
+import { millisecondsSince, monotonicNow } from './clock.js';
 
 const LEVELS = new Set(['error', 'warn', 'info', 'debug']);
 
@@ -27,10 +27,10 @@
   const texts = lately.get(log) ?? new Map<string, { at: bigint; passedOver: number }>();
   lately.set(log, texts);
   const last = texts.get(text);
-  if (last !== undefined && millisSince(last.at) < SPARSE_MS) {
+  if (last !== undefined && millisecondsSince(last.at) < SPARSE_MS) {
     last.passedOver += 1;
     return;
   }
   log.warn(last === undefined ? about : { ...about, passedOver: last.passedOver }, text);
-  texts.set(text, { at: steady(), passedOver: 0 });
+  texts.set(text, { at: monotonicNow(), passedOver: 0 });
 }
--- a/src/edge/operator-settings.ts
+++ b/src/edge/operator-settings.ts
@@ -21,9 +21,9 @@
   betaRc: 0.02,
   phi: 0.1,
   bandwidth: null,
-  idle: seconds(15),
-  reserve: 0.35,
-  faultJobs: 2,
+  idleTimeout: seconds(15),
+  reserveShare: 0.35,
+  quarantineThreshold: 2,
 };
 
 /** All settings by group, with their ranges. */
@@ -45,17 +45,22 @@
     'idle-s': {
       low: 5,
       high: 86_400,
-      set: (k, v) => (k.idle = seconds(v)),
-      get: (settings) => toSeconds(settings.idle),
+      set: (k, v) => (k.idleTimeout = seconds(v)),
+      get: (settings) => toSeconds(settings.idleTimeout),
+    },
+    reserve: {
+      low: 0,
+      high: 5,
+      set: (k, v) => (k.reserveShare = v),
+      get: (settings) => settings.reserveShare,
     },
-    reserve: { low: 0, high: 5, set: (k, v) => (k.reserve = v), get: (settings) => settings.reserve },
   },
   machines: {
     'fault-jobs': {
       low: 1,
       high: 100,
-      set: (k, v) => (k.faultJobs = Math.round(v)),
-      get: (settings) => settings.faultJobs,
+      set: (k, v) => (k.quarantineThreshold = Math.round(v)),
+      get: (settings) => settings.quarantineThreshold,
     },
   },
 };
--- a/src/edge/owned-key.ts
+++ b/src/edge/owned-key.ts
@@ -20,7 +20,8 @@
       (entry.value as PartRecord).incarnation !== this.term.dependencies.record.incarnation
     )
       return false;
-    if (entry.stamp > this.term.owner.state.token) this.term.event({ kind: 'raised', token: entry.stamp });
+    if (entry.stamp > this.term.owner.state.token)
+      this.term.event({ kind: 'token-advanced', fencingToken: entry.stamp });
     return true;
   }
 }
--- a/src/edge/ownership.ts
+++ b/src/edge/ownership.ts
@@ -1,7 +1,7 @@
 import type { Subscription } from 'rxjs';
 import { toSeconds } from '../core/time.js';
 import { partKey, readPart, type PartRecord } from '../wire/records.js';
-import { steady } from './clock.js';
+import { monotonicNow } from './clock.js';
 import { WakeSignal } from './wake-signal.js';
 import { isAborted, supervise, messageOf } from './supervised-task.js';
 import { jittered } from './jitter.js';
@@ -50,7 +50,7 @@
 
   private async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      if (this.current === null && this.dependencies.store.loaded && steady() >= this.restsUntil) {
+      if (this.current === null && this.dependencies.store.loaded && monotonicNow() >= this.restsUntil) {
         try {
           await this.attempt(signal);
         } catch (e) {
@@ -73,7 +73,7 @@
     const ttlMs = this.leaseMs();
     const lease = await this.dependencies.store.grantLease(ttlMs);
     if (lease === null || signal.aborted) return;
-    const sent = steady();
+    const sent = monotonicNow();
     const result = await this.dependencies.store.commit(
       [{ key, stamp: known?.stamp ?? 0 }],
       [{ write: key, value: this.record, permit: lease }],
@@ -99,7 +99,7 @@
         ...this.dependencies,
         record: this.record,
         onAbdicate: () => {
-          this.restsUntil = steady() + REST;
+          this.restsUntil = monotonicNow() + REST;
         },
         onEnd: () => {
           if (this.current === term) this.current = null;
@@ -119,7 +119,7 @@
 
   /** Short enough for a takeover well before a worker's lease ends, long enough for a slow moment. */
   private leaseMs(): number {
-    return Math.round(Math.min(5, Math.max(2.5, toSeconds(this.dependencies.facts.lease) / 4)) * 1000);
+    return Math.round(Math.min(5, Math.max(2.5, toSeconds(this.dependencies.facts.workerLease) / 4)) * 1000);
   }
 }
 
--- a/src/edge/peers.ts
+++ b/src/edge/peers.ts
@@ -1,7 +1,7 @@
 import { createServer, connect, type Socket } from 'node:net';
 import { Observable, Subscription, fromEvent, interval, takeUntil } from 'rxjs';
 import { FrameReader, statusFrame, type Status } from '../wire/frames.js';
-import { millisSince, steady } from './clock.js';
+import { millisecondsSince, monotonicNow } from './clock.js';
 import { supervise, messageOf, pause } from './supervised-task.js';
 import { parseTarget } from './http-client.js';
 import { jittered } from './jitter.js';
@@ -44,7 +44,7 @@
   othersServing(): number {
     let serving = 0;
     for (const { status, at } of this.heard.values()) {
-      const age = millisSince(at);
+      const age = millisecondsSince(at);
       if (age < RECENT_MS && status.contactMs !== null && status.contactMs + age < 2 * RECENT_MS)
         serving += 1;
     }
@@ -107,7 +107,7 @@
 
   private take(status: Status): void {
     if (this.known.some((peer) => peer.label === status.label))
-      this.heard.set(status.label, { status, at: steady() });
+      this.heard.set(status.label, { status, at: monotonicNow() });
   }
 
   private async dial(peer: Peer, signal: AbortSignal): Promise<void> {
--- a/src/edge/reports.ts
+++ b/src/edge/reports.ts
@@ -1,6 +1,6 @@
 import type { Socket } from 'node:net';
 import { API_PATHS } from '../wire/dialect.js';
-import { steady } from './clock.js';
+import { monotonicNow } from './clock.js';
 
 /**
  * Workers' reports, read straight from the socket. They come hundreds of times a second over connections that carry
@@ -95,7 +95,7 @@
     /** What waits to be taken in has waited longer than those who wait have patience. */
     private readonly onStale: () => void = () => undefined,
     coreShare = 1,
-    private readonly clock: () => bigint = steady,
+    private readonly clock: () => bigint = monotonicNow,
     private readonly soon: (f: () => void) => NodeJS.Immediate = setImmediate,
   ) {
     this.turnNs = BigInt(Math.round(TURN_NS * coreShare));
--- a/src/edge/request-handler.ts
+++ b/src/edge/request-handler.ts
@@ -1,8 +1,8 @@
-import type { Facts, JobRecord, MachineType, Spec } from '../core/model.js';
-import { everWithinLimit } from '../core/quota.js';
+import type { ClusterConfig, JobRecord, MachineType, JobSpec } from '../core/model.js';
+import { fitsQuota } from '../core/quota.js';
 import type { UserStanding } from '../wire/dialect.js';
 import { EndedJob, ROOT, jobKey, parseKey, readJob, summaryOf, writeJob } from '../wire/records.js';
-import { millisSince, steady } from './clock.js';
+import { millisecondsSince, monotonicNow } from './clock.js';
 import { jittered } from './jitter.js';
 import type { Log } from './log.js';
 import { Counts } from './counts.js';
@@ -40,7 +40,7 @@
 
   constructor(
     private readonly store: Store,
-    private readonly facts: Pick<Facts, 'teams' | 'valueBytes'>,
+    private readonly facts: Pick<ClusterConfig, 'teams' | 'maxValueBytes'>,
     private readonly versions: Pick<Versions, 'allHave'>,
     private readonly log: Log,
     /** So little memory is left that nobody more is let in. */
@@ -84,7 +84,7 @@
   }
 
   /** Takes a job in. `spec` is null if the body was wrong; a known job gets its state all the same. */
-  async submit(id: string, spec: Spec | string): Promise<Answer<View>> {
+  async submit(id: string, spec: JobSpec | string): Promise<Answer<View>> {
     if (this.store.copy.has(jobKey(id))) return this.status(id, SUBMIT_LIMIT_MS);
     const why = typeof spec === 'string' ? spec : (this.neverRuns(spec) ?? this.tooLarge(spec));
     if (why !== null) return this.never(id, why);
@@ -102,7 +102,7 @@
   }
 
   /** Why a job with such dependencies is not taken in, or not now; null if it may be. */
-  private async refuseDependencies(spec: Spec): Promise<Answer<View> | null> {
+  private async refuseDependencies(spec: JobSpec): Promise<Answer<View> | null> {
     const { dependencies } = spec;
     if (dependencies.length === 0) return null;
     if (!this.versions.allHave(DEPENDENCIES)) return upgrading;
@@ -130,28 +130,29 @@
     return answer.kind === 'absent' ? { kind: 'never', why } : answer;
   }
 
-  private async write(spec: Spec): Promise<Answer<View>> {
-    const began = steady();
-    const record: JobRecord = { spec, submitted: new Date(), standing: 'open' };
+  private async write(spec: JobSpec): Promise<Answer<View>> {
+    const began = monotonicNow();
+    const record: JobRecord = { spec, submittedAt: new Date(), status: 'open' };
     const key = jobKey(spec.id);
     for (let n = 0; ; n++) {
       const result = await this.store.commit([{ key, stamp: 0 }], [{ write: key, value: writeJob(record) }]);
       if (result.kind === 'ok')
         return { kind: 'ok', fresh: true, value: { id: spec.id, standing: 'pending', done: 0, running: 0 } };
       if (result.kind === 'conflict') {
-        if (!(await this.store.reached(result.rev, SUBMIT_LIMIT_MS - millisSince(began)))) return cut;
+        if (!(await this.store.reached(result.rev, SUBMIT_LIMIT_MS - millisecondsSince(began)))) return cut;
         return this.status(spec.id, 1000);
       }
       const pauseMs = jittered(150 * 2 ** n);
-      if (millisSince(began) + pauseMs > (result.kind === 'refused' ? 1200 : SUBMIT_LIMIT_MS)) return cut;
+      if (millisecondsSince(began) + pauseMs > (result.kind === 'refused' ? 1200 : SUBMIT_LIMIT_MS))
+        return cut;
       await new Promise((done) => setTimeout(done, pauseMs));
     }
   }
 
   /** Cancels a job. The answer is given only when the cancellation, or an earlier end, is committed. */
   async cancel(id: string): Promise<Answer<View>> {
-    const began = steady();
-    for (let n = 0; millisSince(began) < SUBMIT_LIMIT_MS; n++) {
+    const began = monotonicNow();
+    for (let n = 0; millisecondsSince(began) < SUBMIT_LIMIT_MS; n++) {
       const seen = this.view(id);
       if (seen !== null && (seen.standing === 'done' || seen.standing === 'cancelled')) return ok(seen);
       if (this.cutOff()) return cut;
@@ -165,7 +166,7 @@
       if (entry === undefined) continue;
       // It ended a moment ago: the next round finds that.
       if (entry.value instanceof EndedJob) continue;
-      const record: JobRecord = { ...readJob(entry.value), standing: 'cancelled' };
+      const record: JobRecord = { ...readJob(entry.value), status: 'cancelled' };
       const result = await this.store.commit(
         [{ key: jobKey(id), stamp: entry.stamp }],
         [{ write: jobKey(id), value: writeJob(record) }],
@@ -179,26 +180,26 @@
 
   /** Nothing has been heard of the state service for so long that a user would only wait in vain. */
   private cutOff(): boolean {
-    return millisSince(this.store.freshAt) > CUT_MS;
+    return millisecondsSince(this.store.freshAt) > CUT_MS;
   }
 
   /**
    * Why no record can hold such a job; null if one can. The record must fit whatever becomes of the job: one that fits
    * only while the job is open could neither be cancelled nor, if a job that it needs is cancelled, be closed.
    */
-  private tooLarge(spec: Spec): string | null {
-    const longest: JobRecord = { spec, submitted: new Date(), standing: 'cancelled' };
+  private tooLarge(spec: JobSpec): string | null {
+    const longest: JobRecord = { spec, submittedAt: new Date(), status: 'cancelled' };
     const bytes = Buffer.byteLength(JSON.stringify(writeJob(longest)));
-    return bytes > this.facts.valueBytes ? 'too large for a record, with the jobs to wait for' : null;
+    return bytes > this.facts.maxValueBytes ? 'too large for a record, with the jobs to wait for' : null;
   }
 
-  private neverRuns(spec: Spec): string | null {
+  private neverRuns(spec: JobSpec): string | null {
     if (!this.facts.teams.some((team) => team.name === spec.team)) return `unknown team ${spec.team}`;
-    if (!everWithinLimit(spec, this.facts.teams)) return 'more than the limit of its team';
+    if (!fitsQuota(spec, this.facts.teams)) return 'more than the limit of its team';
     if (this.types.length === 0) return null;
     const fits = this.types.some(
       (type) =>
-        (spec.types === null || spec.types.includes(type.name)) &&
+        (spec.machineTypes === null || spec.machineTypes.includes(type.name)) &&
         (spec.zone === null || type.zones.includes(spec.zone)) &&
         spec.cpus <= type.cpus &&
         spec.gpus <= type.gpus &&
--- a/src/edge/service.ts
+++ b/src/edge/service.ts
@@ -1,7 +1,7 @@
 import { Subscription } from 'rxjs';
 import type { OperatorSettings } from '../core/model.js';
 import { serve } from './api.js';
-import { millisSince, steady } from './clock.js';
+import { millisecondsSince, monotonicNow } from './clock.js';
 import { Cloud } from './cloud.js';
 import { RequestHandler } from './request-handler.js';
 import { supervise, messageOf, pause } from './supervised-task.js';
@@ -43,7 +43,7 @@
     log,
   );
   const requests = new RequestHandler(store, facts, versions, log, () => memory.tight);
-  const incarnation = `${p.label}-${new Date().getTime()}-${steady()}`;
+  const incarnation = `${p.label}-${new Date().getTime()}-${monotonicNow()}`;
   const pages = new DecodedPages();
   const images = new ImagesSeen(store, log, pages, (): boolean => owner.term !== null);
   const owner: Ownership = new Ownership({
@@ -69,7 +69,7 @@
     () => ({
       label: p.label,
       owner: owner.term !== null,
-      contactMs: store.freshAt === 0n ? null : millisSince(store.freshAt),
+      contactMs: store.freshAt === 0n ? null : millisecondsSince(store.freshAt),
       token: BigInt(owner.term?.token ?? 0),
     }),
     log,
@@ -77,7 +77,7 @@
   const healthy = (): boolean =>
     isHealthy({
       ready: requests.ready,
-      copyMs: millisSince(store.freshAt),
+      copyMs: millisecondsSince(store.freshAt),
       leading: owner.term !== null,
       behind: owner.term?.behind === true,
       others: peers.others,
@@ -105,7 +105,7 @@
   all.add(
     supervise('contact', log, async (signal) => {
       while (!signal.aborted) {
-        if (store.loaded && millisSince(store.freshAt) > 800) await store.fresh(1000);
+        if (store.loaded && millisecondsSince(store.freshAt) > 800) await store.fresh(1000);
         await pause(500, signal);
       }
     }),
--- a/src/edge/settings.ts
+++ b/src/edge/settings.ts
@@ -1,8 +1,8 @@
 import { readFileSync } from 'node:fs';
 import * as z from 'zod';
-import type { Facts } from '../core/model.js';
+import type { ClusterConfig } from '../core/model.js';
 import { seconds } from '../core/time.js';
-import { LEAST_VALUE_BYTES } from '../core/record-pages.js';
+import { MIN_VALUE_BYTES } from '../core/record-pages.js';
 import { LEAST_MB } from './memory.js';
 import { LEAST_SOCKETS } from './sockets.js';
 
@@ -106,37 +106,37 @@
   Math.floor(Math.min(state.value_kb, state.next?.value_kb ?? Infinity) * 1024);
 
 function checkValueLimit(path: string, p: Platform): void {
-  if (valueBytesOf(p) < LEAST_VALUE_BYTES)
+  if (valueBytesOf(p) < MIN_VALUE_BYTES)
     throw new SettingsError(
-      `settings ${path}: facts.state: values must hold ${LEAST_VALUE_BYTES} bytes, now and by \`next\``,
+      `settings ${path}: facts.state: values must hold ${MIN_VALUE_BYTES} bytes, now and by \`next\``,
     );
 }
 
 /** The platform's settings as the core uses them. */
-export function factsOf(p: Platform): Facts {
+export function factsOf(p: Platform): ClusterConfig {
   const f = p.facts;
   return {
     zones: f.zones,
     teams: f.teams.map((t) => ({
       name: t.name,
-      cpus: t.cpus,
-      gpus: t.gpus,
-      cpusMax: t.cpus_max,
-      gpusMax: t.gpus_max,
+      fairShareCpus: t.cpus,
+      fairShareGpus: t.gpus,
+      cpuQuota: t.cpus_max,
+      gpuQuota: t.gpus_max,
     })),
     objectives: f.objectives.map((o) => ({
       kind: o.kind,
       class: o.class ?? '',
-      within: o.within_s === undefined ? null : seconds(o.within_s),
+      threshold: o.within_s === undefined ? null : seconds(o.within_s),
       share: o.share ?? 1,
     })),
-    report: seconds(f.workers.report_s),
-    lease: seconds(f.workers.lease_s),
-    gangWait: seconds(f.workers.gang_wait_s),
-    gangPeer: seconds(f.workers.gang_peer_s),
-    cancel: seconds(f.workers.cancel_s),
-    txnOps: Math.min(f.state.txn_ops, f.state.next?.txn_ops ?? Infinity),
-    valueBytes: valueBytesOf(p),
-    listLag: seconds(f.cloud.list_lag_s),
+    heartbeatInterval: seconds(f.workers.report_s),
+    workerLease: seconds(f.workers.lease_s),
+    gangStartTimeout: seconds(f.workers.gang_wait_s),
+    gangPeerTimeout: seconds(f.workers.gang_peer_s),
+    cancellationDeadline: seconds(f.workers.cancel_s),
+    maxTransactionOperations: Math.min(f.state.txn_ops, f.state.next?.txn_ops ?? Infinity),
+    maxValueBytes: valueBytesOf(p),
+    inventoryLag: seconds(f.cloud.list_lag_s),
   };
 }
--- a/src/edge/shared.ts
+++ b/src/edge/shared.ts
@@ -1,4 +1,4 @@
-import { steady } from './clock.js';
+import { monotonicNow } from './clock.js';
 
 /**
  * A read shared by those who need it. Whoever comes before the read is sent shares it; whoever comes after waits for the next
@@ -21,10 +21,10 @@
   private async run(): Promise<T> {
     // Always waits a turn, even with no gap to keep: clearing `unsent` before `ask` has stored it would leave the
     // finished read there for good, and every later request would be given its old answer.
-    const gap = this.gapMs - Number(steady() - this.sentAt) / 1e6;
+    const gap = this.gapMs - Number(monotonicNow() - this.sentAt) / 1e6;
     await new Promise((r) => setTimeout(r, Math.max(0, gap)));
     this.unsent = null;
-    this.sentAt = steady();
+    this.sentAt = monotonicNow();
     return this.read();
   }
 }
--- a/src/edge/state-contact.ts
+++ b/src/edge/state-contact.ts
@@ -1,5 +1,5 @@
 import type { Subscription } from 'rxjs';
-import { steady } from './clock.js';
+import { monotonicNow } from './clock.js';
 import type { OwnedKey } from './owned-key.js';
 import { isAborted, pause, supervise } from './supervised-task.js';
 import type { TermContext } from './term-context.js';
@@ -44,11 +44,11 @@
   /** A compare of our own stamp: proves that we are the owner, and as of when. */
   private async heartbeat(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      const sent = steady();
+      const sent = monotonicNow();
       const result = await this.term.dependencies.store.commit([this.key.guard()], [], 1000);
       if (isAborted(signal)) return;
       if (result.kind === 'ok' && (await this.term.dependencies.store.reached(result.rev, 1000)))
-        this.term.event({ kind: 'contact', at: sent });
+        this.term.event({ kind: 'leadership-confirmed', confirmedAt: sent });
       if (result.kind === 'conflict' && !(await this.key.stillOwner()))
         return this.term.end('the part has changed hands');
       await pause(HEARTBEAT_MS, signal);
--- a/src/edge/store.ts
+++ b/src/edge/store.ts
@@ -2,7 +2,7 @@
 import { STORE_PATHS } from '../wire/dialect.js';
 import { ROOT, isReadable, type EndedJob } from '../wire/records.js';
 import * as schemas from '../wire/schemas.js';
-import { steady } from './clock.js';
+import { monotonicNow } from './clock.js';
 import { supervise, pause } from './supervised-task.js';
 import { HttpClient } from './http-client.js';
 import { jittered } from './jitter.js';
@@ -70,7 +70,7 @@
   private readonly barrier = new SharedRead<{ rev: number; sent: bigint } | null>(
     BARRIER_GAP_MS,
     async () => {
-      const sent = steady();
+      const sent = monotonicNow();
       const result = await this.commit([], [], 1000);
       return result.kind === 'ok' ? { rev: result.rev, sent } : null;
     },
@@ -187,9 +187,9 @@
     await this.load(signal);
     let lastAt = 0n;
     while (!signal.aborted) {
-      const gap = this.followGapMs - Number(steady() - lastAt) / 1e6;
+      const gap = this.followGapMs - Number(monotonicNow() - lastAt) / 1e6;
       if (gap > 0) await pause(gap, signal);
-      lastAt = steady();
+      lastAt = monotonicNow();
       const stop = new AbortController();
       this.refollow = stop;
       const path = `${STORE_PATHS.follow}?under=${ROOT}&from=${this.rev}&holdMs=${FOLLOW_MS}`;
--- a/src/edge/term-context.ts
+++ b/src/edge/term-context.ts
@@ -1,6 +1,6 @@
-import type { Facts, OperatorSettings } from '../core/model.js';
+import type { ClusterConfig, OperatorSettings } from '../core/model.js';
 import type { ZonePolicy } from '../core/zone-policy.js';
-import type { Event, Owner } from '../core/owner.js';
+import type { Event, ClusterScheduler } from '../core/owner.js';
 import type { PartRecord } from '../wire/records.js';
 import type { Cloud } from './cloud.js';
 import type { DecodedPages } from './decoded-pages.js';
@@ -12,7 +12,7 @@
 export interface TermDependencies {
   readonly part: string;
   readonly record: PartRecord;
-  readonly facts: Facts;
+  readonly facts: ClusterConfig;
   readonly settings: OperatorSettings;
   readonly store: Store;
   readonly cloud: Cloud;
@@ -34,7 +34,7 @@
 /** A term as its own routines see it. */
 export interface TermContext {
   readonly dependencies: TermDependencies;
-  readonly owner: Owner;
+  readonly owner: ClusterScheduler;
   /** The lease in the state service that the owner's key hangs on, and how often it is renewed. */
   readonly lease: number;
   readonly renewMs: number;
--- a/src/edge/term-profile.ts
+++ b/src/edge/term-profile.ts
@@ -6,22 +6,22 @@
   'loading' | 'reports' | 'passes' | 'direct calls' | 'commits' | 'machine list' | 'ticks';
 
 const STEPS: Record<Event['kind'], TermStep> = {
-  job: 'loading',
-  ended: 'loading',
-  page: 'loading',
-  loaded: 'loading',
-  images: 'loading',
-  report: 'reports',
-  direct: 'direct calls',
-  settled: 'commits',
-  contact: 'ticks',
-  raised: 'ticks',
+  'job-changed': 'loading',
+  'job-finished': 'loading',
+  'page-loaded': 'loading',
+  'load-completed': 'loading',
+  'images-observed': 'loading',
+  heartbeat: 'reports',
+  'commands-answered': 'direct calls',
+  'transaction-committed': 'commits',
+  'leadership-confirmed': 'ticks',
+  'token-advanced': 'ticks',
   tick: 'ticks',
-  types: 'machine list',
-  list: 'machine list',
-  renting: 'machine list',
-  rented: 'machine list',
-  returned: 'machine list',
+  'machine-types': 'machine list',
+  'instance-inventory': 'machine list',
+  'scale-out-started': 'machine list',
+  'scale-out-answered': 'machine list',
+  'scale-in-answered': 'machine list',
 };
 
 /** The first part of a term, in which all that a takeover brings is done. */
--- a/src/edge/term.ts
+++ b/src/edge/term.ts
@@ -1,11 +1,20 @@
 import { setMaxListeners } from 'node:events';
 import { Subscription, interval } from 'rxjs';
-import { isBehind, type Effect, type Order, type RentOrder } from '../core/cluster-state.js';
-import type { Report } from '../core/model.js';
-import { Owner, type Event } from '../core/owner.js';
-import { mayAnswer, mayStart, othersQuietFrom } from '../core/ownership-timing.js';
+import {
+  isOverloaded,
+  type Effect,
+  type WorkerCommand,
+  type ScaleOutRequest,
+} from '../core/cluster-state.js';
+import type { Heartbeat } from '../core/model.js';
+import { ClusterScheduler, type Event } from '../core/owner.js';
+import {
+  mayAcknowledgeHeartbeats,
+  mayStartTasks,
+  previousLeadersDeadlineFrom,
+} from '../core/ownership-timing.js';
 import { EndedJob, parseKey, readJob, zonesKey, type PartRecord } from '../wire/records.js';
-import { now, steady } from './clock.js';
+import { currentTime, monotonicNow } from './clock.js';
 import { CloudPolling } from './cloud-polling.js';
 import { CommitLoop } from './commit-loop.js';
 import { OwnedKey } from './owned-key.js';
@@ -23,7 +32,7 @@
  * subscription, which ends with the term.
  */
 export class Term {
-  private readonly owner: Owner;
+  private readonly owner: ClusterScheduler;
   private readonly routines = new Subscription();
   private readonly workers: Workers;
   private readonly commits: CommitLoop;
@@ -33,7 +42,7 @@
   private readonly zones: ZoneKeeper;
   private rentals = 0;
   private over = false;
-  private tickedAt = steady();
+  private tickedAt = monotonicNow();
   private readonly stop = new AbortController();
 
   constructor(
@@ -46,16 +55,16 @@
   ) {
     // Rentals and returns under way each listen for the end of the term; there is no fixed number of them.
     setMaxListeners(0, this.stop.signal);
-    const t = now();
+    const t = currentTime();
     const term = {
-      token,
-      began: t.steady,
-      contact: claimed,
-      othersQuiet: othersQuietFrom(dependencies.facts, t.steady),
+      fencingToken: token,
+      startedAt: t.monotonic,
+      confirmedAt: claimed,
+      previousLeadersDeadline: previousLeadersDeadlineFrom(dependencies.facts, t.monotonic),
     };
     const zonePolicy = dependencies.newZonePolicy?.() ?? null;
-    this.owner = new Owner(dependencies.facts, dependencies.settings, term, zonePolicy);
-    this.profile = new TermProfile(t.steady, dependencies.log);
+    this.owner = new ClusterScheduler(dependencies.facts, dependencies.settings, term, zonePolicy);
+    this.profile = new TermProfile(t.monotonic, dependencies.log);
     const context: TermContext = {
       dependencies,
       owner: this.owner,
@@ -73,17 +82,17 @@
       dependencies.directs,
       () => this.owner.state.token,
       (order) =>
-        mayStart(this.owner.state.contact, steady()) &&
-        this.owner.state.jobs.get(order.job)?.standing === 'open',
+        mayStartTasks(this.owner.state.contact, monotonicNow()) &&
+        this.owner.state.jobs.get(order.jobId)?.status === 'open',
       (result) =>
         this.event({
-          kind: 'direct',
-          machine: result.job.machine,
-          session: result.job.session,
-          token: result.token,
-          orders: result.job.orders,
+          kind: 'commands-answered',
+          machineName: result.job.machine,
+          agentEpoch: result.job.session,
+          fencingToken: result.token,
+          commands: result.job.orders,
           outcome: result.outcome,
-          report: result.report,
+          heartbeat: result.report,
         }),
     );
   }
@@ -94,7 +103,7 @@
 
   /** It is late with what workers ask. */
   get behind(): boolean {
-    return isBehind(this.owner.state);
+    return isOverloaded(this.owner.state);
   }
 
   start(): void {
@@ -123,20 +132,24 @@
   }
 
   /** The answer to a worker's report, or null if we may no longer answer. */
-  report(report: Report): { token: number; orders: Order[] } | null {
-    if (this.over || !mayAnswer(this.dependencies.facts, this.owner.state.contact, steady())) return null;
-    this.event({ kind: 'report', report: report });
+  report(report: Heartbeat): { token: number; orders: WorkerCommand[] } | null {
+    if (
+      this.over ||
+      !mayAcknowledgeHeartbeats(this.dependencies.facts, this.owner.state.contact, monotonicNow())
+    )
+      return null;
+    this.event({ kind: 'heartbeat', heartbeat: report });
     if (this.isOver()) return null;
-    const began = now();
-    const orders = this.owner.answer(report, began);
-    if (this.profile.active) this.profile.add('reports', steady() - began.steady);
+    const began = currentTime();
+    const orders = this.owner.answerHeartbeat(report, began);
+    if (this.profile.active) this.profile.add('reports', monotonicNow() - began.monotonic);
     return { token: this.token, orders };
   }
 
   private loadJob(id: string, { value, stamp }: Entry): void {
     // Of a job that has ended and of which nothing is placed only others may want to know.
-    if (value instanceof EndedJob) this.event({ kind: 'ended', id, standing: value.standing });
-    else this.event({ kind: 'job', id, record: readJob(value), stamp });
+    if (value instanceof EndedJob) this.event({ kind: 'job-finished', id, status: value.standing });
+    else this.event({ kind: 'job-changed', id, record: readJob(value), modRevision: stamp });
   }
 
   private load(): void {
@@ -148,10 +161,15 @@
         pages.push({ id: parsed.id, entry });
     }
     for (const { id, entry } of pages)
-      this.event({ kind: 'page', id, entries: this.dependencies.pages.of(entry), stamp: entry.stamp });
-    this.event({ kind: 'loaded' });
+      this.event({
+        kind: 'page-loaded',
+        id,
+        entries: this.dependencies.pages.of(entry),
+        modRevision: entry.stamp,
+      });
+    this.event({ kind: 'load-completed' });
     const zones = this.dependencies.store.copy.get(zonesKey(this.dependencies.part));
-    if (zones !== undefined) this.owner.state.zonePolicy?.restore(zones.value, now());
+    if (zones !== undefined) this.owner.state.zonePolicy?.restore(zones.value, currentTime());
     this.dependencies.log.info(
       { token: this.token, jobs: this.owner.state.jobs.size, pages: pages.length },
       'term begins',
@@ -159,10 +177,10 @@
   }
 
   private tick(): void {
-    const t = steady();
+    const t = monotonicNow();
     const late = t - this.tickedAt - BigInt(TICK_MS) * 1_000_000n;
     this.tickedAt = t;
-    this.owner.ranLate(late > 0n ? late : 0n);
+    this.owner.recordEventLoopLag(late > 0n ? late : 0n);
     this.event({ kind: 'tick' });
     this.profile.tellWhenOver(t);
   }
@@ -170,12 +188,12 @@
   private event(event: Event): void {
     if (this.over) return;
     const passed = this.owner.state.passedAt;
-    const began = now();
+    const began = currentTime();
     const effects = this.owner.handle(event, began);
     const hasPassed = this.owner.state.passedAt !== passed;
     if (hasPassed || this.profile.active) {
-      const took = steady() - began.steady;
-      if (hasPassed) this.owner.passTook(took);
+      const took = monotonicNow() - began.monotonic;
+      if (hasPassed) this.owner.recordCycleDuration(took);
       if (this.profile.active) this.profile.add(hasPassed ? 'passes' : stepOf(event), took);
     }
     for (const effect of effects) this.carryOut(effect);
@@ -185,57 +203,62 @@
   private carryOut(effect: Effect): void {
     const { log } = this.dependencies;
     switch (effect.kind) {
-      case 'note':
-        log[effect.level](effect.about, effect.text);
+      case 'log':
+        log[effect.level](effect.fields, effect.message);
         break;
-      case 'direct': {
-        const endpoint = this.owner.state.machines.get(effect.machine)?.endpoint ?? '';
-        const job = { machine: effect.machine, endpoint, session: effect.session, orders: effect.orders };
+      case 'send-commands': {
+        const endpoint = this.owner.state.machines.get(effect.machineName)?.endpoint ?? '';
+        const job = {
+          machine: effect.machineName,
+          endpoint,
+          session: effect.agentEpoch,
+          orders: effect.commands,
+        };
         if (endpoint !== '') this.workers.push(job);
         break;
       }
-      case 'rent':
-        this.rent(effect.order);
+      case 'scale-out':
+        this.rent(effect.request);
         break;
-      case 'return':
-        this.giveBack(effect.machines, effect.why);
+      case 'scale-in':
+        this.giveBack(effect.machineNames, effect.reason);
         break;
-      case 'raise':
-        this.commits.requestRaise(effect.why);
+      case 'advance-token':
+        this.commits.requestRaise(effect.reason);
         break;
-      case 'keep zones':
+      case 'persist-zones':
         this.zones.keep(effect.record);
         break;
-      case 'abdicate':
-        this.end(effect.why);
+      case 'step-down':
+        this.end(effect.reason);
         this.dependencies.onAbdicate();
         // Without its lease the key goes at once, and another controller can take the part.
         void this.dependencies.store.revokeLease(this.lease);
         break;
-      case 'deposed':
-        this.end(`a worker has seen the higher token ${effect.token}`);
+      case 'superseded':
+        this.end(`a worker has seen the higher token ${effect.fencingToken}`);
         break;
     }
   }
 
-  private rent(order: RentOrder): void {
+  private rent(order: ScaleOutRequest): void {
     // The first token of a term is committed and belongs to this process alone: names made of it are never reused.
     const name = `r-${this.owner.state.firstToken}-${++this.rentals}`;
-    this.event({ kind: 'renting', name, order });
+    this.event({ kind: 'scale-out-started', name, request: order });
     void this.dependencies.cloud.rent(name, order, this.stop.signal).then((machines) => {
       this.dependencies.log.info(
         { name, wanted: order.count, got: machines?.length ?? 0 },
         'rental answered',
       );
-      this.event({ kind: 'rented', name, machines });
+      this.event({ kind: 'scale-out-answered', name, machines });
     });
   }
 
   private giveBack(machines: readonly string[], why: string): void {
     this.dependencies.log.info({ machines, why }, 'returning machines');
     void this.dependencies.cloud
-      .remove(machines, () => mayStart(this.owner.state.contact, steady()), this.stop.signal)
-      .then((ok) => this.event({ kind: 'returned', machines, ok }));
+      .remove(machines, () => mayStartTasks(this.owner.state.contact, monotonicNow()), this.stop.signal)
+      .then((ok) => this.event({ kind: 'scale-in-answered', machines, succeeded: ok }));
   }
 
   private onChange(change: Change): void {
@@ -243,8 +266,8 @@
     if (key.kind === 'job' && change.entry !== null) {
       if (change.entry.value instanceof EndedJob) return;
       const record = readJob(change.entry.value);
-      if (record.standing !== 'done') this.commits.countUsersChange();
-      this.event({ kind: 'job', id: key.id, record, stamp: change.entry.stamp });
+      if (record.status !== 'done') this.commits.countUsersChange();
+      this.event({ kind: 'job-changed', id: key.id, record, modRevision: change.entry.stamp });
     }
     if (key.kind === 'part' && key.part === this.dependencies.part) {
       const mine =
--- a/src/edge/workers.ts
+++ b/src/edge/workers.ts
@@ -1,6 +1,6 @@
 import { Subscription } from 'rxjs';
-import type { Report } from '../core/model.js';
-import type { Order } from '../core/cluster-state.js';
+import type { Heartbeat } from '../core/model.js';
+import type { WorkerCommand } from '../core/cluster-state.js';
 import { WORKER_PATHS, orders, parseReport } from '../wire/dialect.js';
 import { HttpClient } from './http-client.js';
 import { SerialTasks } from './serial-tasks.js';
@@ -10,7 +10,7 @@
   readonly machine: string;
   readonly endpoint: string;
   readonly session: number;
-  readonly orders: readonly Order[];
+  readonly orders: readonly WorkerCommand[];
 }
 
 /** What became of a direct call. */
@@ -18,7 +18,7 @@
   readonly job: DirectJob;
   readonly token: number;
   readonly outcome: 'executed' | 'refused' | 'unknown';
-  readonly report: Report | null;
+  readonly report: Heartbeat | null;
 }
 
 const LIMIT_MS = 2500;
@@ -41,7 +41,7 @@
     private readonly most: number,
     private readonly token: () => number,
     /** Whether a start may still be sent: asked when a command is sent, which may be long after it was given. */
-    private readonly mayStart: (order: Order) => boolean,
+    private readonly mayStart: (order: WorkerCommand) => boolean,
     private readonly result: (result: DirectResult) => void,
   ) {}
 
--- a/src/wire/dialect.ts
+++ b/src/wire/dialect.ts
@@ -1,7 +1,15 @@
 import type * as z from 'zod';
-import type { Listed, MachineType, Priority, Kind, Report, SeenTask, Spec } from '../core/model.js';
+import type {
+  CloudInstance,
+  MachineType,
+  Priority,
+  JobKind,
+  Heartbeat,
+  ReportedTask,
+  JobSpec,
+} from '../core/model.js';
 import { seconds, toSeconds } from '../core/time.js';
-import type { Order } from '../core/cluster-state.js';
+import type { WorkerCommand } from '../core/cluster-state.js';
 import * as schemas from './schemas.js';
 
 /** The one place that knows the interfaces' words (`docket`, `rig`, `baton`, …) for the names used inside. */
@@ -19,7 +27,7 @@
 /** Paths of a worker's own interface. */
 export const WORKER_PATHS = { commands: '/commands', status: '/status' } as const;
 
-const KINDS: Record<z.infer<typeof schemas.submission>['shape'], Kind> = {
+const KINDS: Record<z.infer<typeof schemas.submission>['shape'], JobKind> = {
   batch: 'array',
   ensemble: 'gang',
   service: 'service',
@@ -54,7 +62,7 @@
 export const isJobId = (s: string): boolean => schemas.JOB_ID.test(s);
 
 /** Reads a submission. */
-export function parseSubmission(body: unknown): Parsed<Spec> {
+export function parseSubmission(body: unknown): Parsed<JobSpec> {
   const r = schemas.submission.safeParse(body);
   if (!r.success) return failure(r.error);
   const b = r.data;
@@ -68,21 +76,21 @@
       team: b.desk,
       kind: KINDS[b.shape],
       priority: PRIORITIES[b.precedence],
-      tasks: b.tickets,
+      taskCount: b.tickets,
       cpus: b.vcpus,
       gpus: b.gpus,
       memory: b.memGb,
-      types: b.builds,
+      machineTypes: b.builds,
       zone: b.hall,
-      oneZone: b.oneZone,
-      spread: b.spread,
-      spot: b.loaners,
+      singleZone: b.oneZone,
+      spreadAcrossZones: b.spread,
+      allowSpot: b.loaners,
       image: b.bundle,
       imageGb: b.pullGb,
-      estimate: seconds(b.expectedS),
-      checkpoint: seconds(b.snapshotEveryS),
-      save: seconds(b.snapshotS),
-      due: b.dueS === null ? null : seconds(b.dueS),
+      estimatedDuration: seconds(b.expectedS),
+      checkpointInterval: seconds(b.snapshotEveryS),
+      checkpointDuration: seconds(b.snapshotS),
+      deadline: b.dueS === null ? null : seconds(b.dueS),
       dependencies,
     },
   };
@@ -97,7 +105,7 @@
 } as const;
 
 /** Reads a worker's report. */
-export function parseReport(body: unknown): Parsed<Report> {
+export function parseReport(body: unknown): Parsed<Heartbeat> {
   // Hundreds come a second: the plain form is read directly, and what deviates from it in any way goes to the schema.
   const plain = plainReport(body);
   if (plain !== null) return { ok: true, value: plain };
@@ -110,7 +118,7 @@
 const isName = (v: unknown): v is string => typeof v === 'string' && v.length > 0;
 
 /** A report in the form in which nearly all come; null if it has to be looked at more closely. */
-function plainReport(body: unknown): Report | null {
+function plainReport(body: unknown): Heartbeat | null {
   if (body === null || typeof body !== 'object') return null;
   const b = body as Record<string, unknown>;
   const { rig, endpoint, build, hall, loaners, shift, tick, baton, tickets } = b;
@@ -120,7 +128,7 @@
   if (recall !== null && !(typeof recall === 'number' && recall >= 0 && recall <= schemas.MOST_AMOUNT))
     return null;
   if (!Array.isArray(tickets)) return null;
-  const tasks: SeenTask[] = [];
+  const tasks: ReportedTask[] = [];
   for (const t of tickets as unknown[]) {
     if (t === null || typeof t !== 'object') return null;
     const { ticket, try: attempt, standing, cause, saved } = t as Record<string, unknown>;
@@ -132,48 +140,48 @@
     if ((cause ?? null) !== null && typeof cause !== 'string') return null;
     if ((saved ?? null) !== null && typeof saved !== 'boolean') return null;
     tasks.push({
-      job: ticket.slice(0, cut),
-      task: Number(digits),
+      jobId: ticket.slice(0, cut),
+      taskIndex: Number(digits),
       attempt,
       state,
-      why: typeof cause === 'string' ? cause : null,
-      saved: saved === true,
+      exitReason: typeof cause === 'string' ? cause : null,
+      checkpointed: saved === true,
     });
   }
   return {
-    machine: rig,
+    machineName: rig,
     endpoint,
     type: build,
     zone: hall,
     spot: loaners,
-    session: shift,
-    seq: tick,
-    token: baton,
-    notice: recall === null ? null : seconds(recall),
+    agentEpoch: shift,
+    sequence: tick,
+    fencingToken: baton,
+    preemptionNotice: recall === null ? null : seconds(recall),
     tasks,
   };
 }
 
-function reportOf(b: z.infer<typeof schemas.hello>): Report {
+function reportOf(b: z.infer<typeof schemas.hello>): Heartbeat {
   return {
-    machine: b.rig,
+    machineName: b.rig,
     endpoint: b.endpoint,
     type: b.build,
     zone: b.hall,
     spot: b.loaners,
-    session: b.shift,
-    seq: b.tick,
-    token: b.baton,
-    notice: b.recallS === null ? null : seconds(b.recallS),
-    tasks: b.tickets.map((t): SeenTask => {
+    agentEpoch: b.shift,
+    sequence: b.tick,
+    fencingToken: b.baton,
+    preemptionNotice: b.recallS === null ? null : seconds(b.recallS),
+    tasks: b.tickets.map((t): ReportedTask => {
       const cut = t.ticket.lastIndexOf('/');
       return {
-        job: t.ticket.slice(0, cut),
-        task: Number(t.ticket.slice(cut + 1)),
+        jobId: t.ticket.slice(0, cut),
+        taskIndex: Number(t.ticket.slice(cut + 1)),
         attempt: t.try,
         state: PHASES[t.standing],
-        why: t.cause,
-        saved: t.saved ?? false,
+        exitReason: t.cause,
+        checkpointed: t.saved ?? false,
       };
     }),
   };
@@ -182,15 +190,15 @@
 const VERBS = { start: 'run', stop: 'halt', forget: 'forget' } as const;
 
 /** Orders in the words of the workers. */
-export function orders(token: number, list: readonly Order[], session?: number): unknown {
+export function orders(token: number, list: readonly WorkerCommand[], session?: number): unknown {
   return {
     baton: token,
     shift: session,
     orders: list.map((order) => ({
       verb: VERBS[order.op],
-      ticket: `${order.job}/${order.task}`,
+      ticket: `${order.jobId}/${order.taskIndex}`,
       try: order.attempt,
-      windDownS: order.op === 'stop' ? (order.grace ?? 0) : undefined,
+      windDownS: order.op === 'stop' ? (order.gracePeriodS ?? 0) : undefined,
     })),
   };
 }
@@ -225,14 +233,14 @@
       fetchGbPerS: b.fetchGbPerS,
       price: b.rate,
       spotPrice: b.spotPrice,
-      boot: seconds(b.bootS),
+      bootTime: seconds(b.bootS),
       zones: b.halls,
     })),
   };
 }
 
 /** Reads a part of the cloud's list. */
-export function parseList(body: unknown): Parsed<{ machines: Listed[]; more: boolean }> {
+export function parseList(body: unknown): Parsed<{ machines: CloudInstance[]; more: boolean }> {
   const r = schemas.machineList.safeParse(body);
   if (!r.success) return failure(r.error);
   return {
--- a/src/wire/records.ts
+++ b/src/wire/records.ts
@@ -1,7 +1,7 @@
 import * as z from 'zod';
 import type { ChunkRecord } from '../core/chunks.js';
 import type { PageEntry } from '../core/record-pages.js';
-import type { JobRecord, Kind, Spec, Standing } from '../core/model.js';
+import type { JobRecord, JobKind, JobSpec, JobStatus } from '../core/model.js';
 import { seconds, toSeconds } from '../core/time.js';
 
 /**
@@ -90,28 +90,28 @@
  * Writes a job's record. Each field is named, in the order of the stored bytes: what is stored must not follow the names
  * used inside.
  */
-export function writeJob({ spec, submitted, standing }: JobRecord): unknown {
+export function writeJob({ spec, submittedAt: submitted, status: standing }: JobRecord): unknown {
   const s = {
     id: spec.id,
     class: spec.class,
     team: spec.team,
     kind: spec.kind,
     priority: spec.priority,
-    tasks: spec.tasks,
+    tasks: spec.taskCount,
     cpus: spec.cpus,
     gpus: spec.gpus,
     memory: spec.memory,
-    types: spec.types,
+    types: spec.machineTypes,
     zone: spec.zone,
-    oneZone: spec.oneZone,
-    spread: spec.spread,
-    spot: spec.spot,
+    oneZone: spec.singleZone,
+    spread: spec.spreadAcrossZones,
+    spot: spec.allowSpot,
     image: spec.image,
     imageGb: spec.imageGb,
-    estimate: toSeconds(spec.estimate),
-    checkpoint: toSeconds(spec.checkpoint),
-    save: toSeconds(spec.save),
-    due: spec.due === null ? null : toSeconds(spec.due),
+    estimate: toSeconds(spec.estimatedDuration),
+    checkpoint: toSeconds(spec.checkpointInterval),
+    save: toSeconds(spec.checkpointDuration),
+    due: spec.deadline === null ? null : toSeconds(spec.deadline),
   };
   const at = submitted.toISOString();
   const { dependencies } = spec;
@@ -123,7 +123,7 @@
 export class EndedJob {
   constructor(
     readonly standing: 'done' | 'cancelled',
-    readonly kind: Kind,
+    readonly kind: JobKind,
     readonly tasks: number,
   ) {}
 }
@@ -131,10 +131,10 @@
 /** The state of a job by its value in the copy, whether that is its whole record or what is kept of an ended one. */
 export function summaryOf(
   value: unknown,
-): Pick<EndedJob, 'kind' | 'tasks'> & { readonly standing: Standing } {
+): Pick<EndedJob, 'kind' | 'tasks'> & { readonly standing: JobStatus } {
   if (value instanceof EndedJob) return value;
-  const { spec, standing } = readJob(value);
-  return { standing, kind: spec.kind, tasks: spec.tasks };
+  const { spec, status: standing } = readJob(value);
+  return { standing, kind: spec.kind, tasks: spec.taskCount };
 }
 
 const parsed = new WeakMap<object, JobRecord>();
@@ -151,30 +151,30 @@
 
 function parseJob(v: unknown): JobRecord {
   const { st, at, s } = jobRecord.parse(v);
-  const spec: Spec = {
+  const spec: JobSpec = {
     id: s.id,
     class: s.class,
     team: s.team,
     kind: s.kind,
     priority: s.priority,
-    tasks: s.tasks,
+    taskCount: s.tasks,
     cpus: s.cpus,
     gpus: s.gpus,
     memory: s.memory,
-    types: s.types,
+    machineTypes: s.types,
     zone: s.zone,
-    oneZone: s.oneZone,
-    spread: s.spread,
-    spot: s.spot,
+    singleZone: s.oneZone,
+    spreadAcrossZones: s.spread,
+    allowSpot: s.spot,
     image: s.image,
     imageGb: s.imageGb,
-    estimate: seconds(s.estimate),
-    checkpoint: seconds(s.checkpoint),
-    save: seconds(s.save),
-    due: s.due === null ? null : seconds(s.due),
+    estimatedDuration: seconds(s.estimate),
+    checkpointInterval: seconds(s.checkpoint),
+    checkpointDuration: seconds(s.save),
+    deadline: s.due === null ? null : seconds(s.due),
     dependencies: s.dependencies ?? [],
   };
-  return { spec, submitted: new Date(at), standing: st };
+  return { spec, submittedAt: new Date(at), status: st };
 }
 
 /** Whether a value can be what its key says. Pages are taken apart only by who needs them. */
@@ -223,14 +223,14 @@
     written.set(entry.record, texts);
     const cached = texts.get(zones.join());
     if (cached !== undefined) return cached;
-    const done = runs(entry.record.done)
+    const done = runs(entry.record.completedTasks)
       .map(([a, b]) => (a === b ? String(a) : `${a}-${b}`))
       .join(',');
     const known = names.length;
-    const places = entry.record.intents
-      .map((i) => `${i.task}.${i.attempt}.${nameOut(i.machine)}.${i.session}.${zoneOf(i.zone)}`)
+    const places = entry.record.assignments
+      .map((i) => `${i.taskIndex}.${i.attempt}.${nameOut(i.machineName)}.${i.agentEpoch}.${zoneOf(i.zone)}`)
       .join(',');
-    const row = `${entry.job}/${entry.index} a${entry.record.attempt} c${entry.record.done.length},${entry.record.intents.length} ${done} ${places}`;
+    const row = `${entry.jobId}/${entry.chunkIndex} a${entry.record.highestAttempt} c${entry.record.completedTasks.length},${entry.record.assignments.length} ${done} ${places}`;
     // A row with a zone of its own is good for this page alone.
     if (names.length === known && known === zones.length) texts.set(zones.join(), row);
     return row;
@@ -256,14 +256,18 @@
     const intents = (m[7] === '' ? [] : (m[7] ?? '').split(',')).map((p) => {
       const [task, attempt, machine, session, zone] = p.split('.');
       return {
-        task: Number(task),
+        taskIndex: Number(task),
         attempt: Number(attempt),
-        machine: decodeURIComponent(machine ?? ''),
-        session: Number(session),
+        machineName: decodeURIComponent(machine ?? ''),
+        agentEpoch: Number(session),
         zone: zones[Number(zone)] ?? '',
       };
     });
-    return { job: m[1] ?? '', index: Number(m[2]), record: { attempt: Number(m[3]), done, intents } };
+    return {
+      jobId: m[1] ?? '',
+      chunkIndex: Number(m[2]),
+      record: { highestAttempt: Number(m[3]), completedTasks: done, assignments: intents },
+    };
   });
 }
 
--- a/test/behind.test.ts
+++ b/test/behind.test.ts
@@ -2,11 +2,11 @@
 import { connect, type Socket } from 'node:net';
 import { Duplex } from 'node:stream';
 import { test } from 'node:test';
-import { Owner } from '../src/core/owner.js';
+import { ClusterScheduler } from '../src/core/owner.js';
 import type { Transaction } from '../src/core/outbox.js';
-import { placementPassGap } from '../src/core/placement-pass.js';
-import { seconds, type Now } from '../src/core/time.js';
-import type { Effect, Order } from '../src/core/cluster-state.js';
+import { minCycleInterval } from '../src/core/placement-pass.js';
+import { seconds, type Timestamp } from '../src/core/time.js';
+import type { Effect, WorkerCommand } from '../src/core/cluster-state.js';
 import { DEFAULT_SETTINGS } from '../src/edge/operator-settings.js';
 import { Listener } from '../src/edge/listener.js';
 import { parseTarget } from '../src/edge/http-client.js';
@@ -199,41 +199,58 @@
 });
 
 const wall = new Date(Date.UTC(2030, 0, 1));
-const at = (s: number): Now => ({ steady: seconds(1000 + s), wall: new Date(wall.getTime() + s * 1000) });
+const at = (s: number): Timestamp => ({
+  monotonic: seconds(1000 + s),
+  wall: new Date(wall.getTime() + s * 1000),
+});
 
 /** An owner with machines that report, one of which holds a committed replica. */
 class Behind {
-  readonly owner = new Owner(FACTS, DEFAULT_SETTINGS, {
-    token: 1,
-    began: at(0).steady,
-    contact: at(0).steady,
-    othersQuiet: at(0).steady,
+  readonly owner = new ClusterScheduler(FACTS, DEFAULT_SETTINGS, {
+    fencingToken: 1,
+    startedAt: at(0).monotonic,
+    confirmedAt: at(0).monotonic,
+    previousLeadersDeadline: at(0).monotonic,
   });
   session = 1;
   private seq = 0;
   private stamp = 10;
 
   constructor(private readonly machines: number) {
-    this.owner.handle({ kind: 'types', types: [TYPE] }, at(0));
+    this.owner.handle({ kind: 'machine-types', types: [TYPE] }, at(0));
   }
 
   late(s: number): void {
-    for (let n = 0; n < 20; n++) this.owner.ranLate(seconds(s));
+    for (let n = 0; n < 20; n++) this.owner.recordEventLoopLag(seconds(s));
   }
 
   /** Each machine reports, with what it is told to hold; what its answer carries comes back. */
-  report(s: number, token = 1, holds: Record<string, readonly string[]> = {}): Order[] {
+  report(s: number, token = 1, holds: Record<string, readonly string[]> = {}): WorkerCommand[] {
     this.seq += 1;
-    this.owner.handle({ kind: 'contact', at: at(s).steady }, at(s));
-    const orders: Order[] = [];
+    this.owner.handle({ kind: 'leadership-confirmed', confirmedAt: at(s).monotonic }, at(s));
+    const orders: WorkerCommand[] = [];
     for (let n = 0; n < this.machines; n++) {
       const tasks = (holds[`m${n}`] ?? []).map((job) => ({
-        ...{ job, task: 0, attempt: 1, state: 'running' as const, why: null, saved: false },
+        ...{
+          jobId: job,
+          taskIndex: 0,
+          attempt: 1,
+          state: 'running' as const,
+          exitReason: null,
+          checkpointed: false,
+        },
       }));
-      const report = { machine: `m${n}`, endpoint: `m${n}:1`, type: 'big', zone: 'east', spot: false };
-      const whole = { ...report, session: this.session, seq: this.seq, token, notice: null, tasks };
-      this.owner.handle({ kind: 'report', report: whole }, at(s));
-      orders.push(...this.owner.answer(whole, at(s)));
+      const report = { machineName: `m${n}`, endpoint: `m${n}:1`, type: 'big', zone: 'east', spot: false };
+      const whole = {
+        ...report,
+        agentEpoch: this.session,
+        sequence: this.seq,
+        fencingToken: token,
+        preemptionNotice: null,
+        tasks,
+      };
+      this.owner.handle({ kind: 'heartbeat', heartbeat: whole }, at(s));
+      orders.push(...this.owner.answerHeartbeat(whole, at(s)));
     }
     return orders;
   }
@@ -244,13 +261,16 @@
     over: Parameters<typeof spec>[1],
     standing: 'open' | 'cancelled' = 'open',
   ): Effect[] {
-    const record = { spec: spec(id, over), submitted: at(s).wall, standing };
-    return this.owner.handle({ kind: 'job', id, record, stamp: ++this.stamp }, at(s));
+    const record = { spec: spec(id, over), submittedAt: at(s).wall, status: standing };
+    return this.owner.handle({ kind: 'job-changed', id, record, modRevision: ++this.stamp }, at(s));
   }
 
   commit(s: number): Effect[] {
     const transaction = this.owner.nextTransaction(at(s)) as Transaction;
-    return this.owner.handle({ kind: 'settled', transaction: transaction, stamp: ++this.stamp }, at(s));
+    return this.owner.handle(
+      { kind: 'transaction-committed', transaction: transaction, modRevision: ++this.stamp },
+      at(s),
+    );
   }
 
   tick(s: number): Effect[] {
@@ -258,7 +278,8 @@
   }
 }
 
-const direct = (effects: readonly Effect[]): Effect[] => effects.filter((effect) => effect.kind === 'direct');
+const direct = (effects: readonly Effect[]): Effect[] =>
+  effects.filter((effect) => effect.kind === 'send-commands');
 
 test('while the process is behind, starts and stops go with the answers to reports, not by direct calls', () => {
   for (const late of [0, 1]) {
@@ -274,13 +295,13 @@
     assert.equal(direct(b.commit(4)).length, late === 0 ? 1 : 0);
     // The answer carries the start in both cases, until a report shows the task.
     assert.deepEqual(
-      b.report(5).map((order) => `${order.op} ${order.job}`),
+      b.report(5).map((order) => `${order.op} ${order.jobId}`),
       ['start req-1'],
     );
     b.report(6, 1, { m0: ['req-1'] });
     assert.equal(direct(b.job(7, 'req-1', {}, 'cancelled')).length, late === 0 ? 1 : 0);
     assert.deepEqual(
-      b.report(8, 1, { m0: ['req-1'] }).map((order) => `${order.op} ${order.job}`),
+      b.report(8, 1, { m0: ['req-1'] }).map((order) => `${order.op} ${order.jobId}`),
       ['stop req-1'],
     );
   }
@@ -293,7 +314,7 @@
     ...{ name, endpoint: `${name}:1`, type: 'big', zone: 'east', spot: false },
     ...{ state: 'running' as const, age: seconds(60) },
   }));
-  b.owner.handle({ kind: 'list', machines, sent: at(0).steady }, at(0));
+  b.owner.handle({ kind: 'instance-inventory', machines, requestedAt: at(0).monotonic }, at(0));
 }
 
 test('a new owner asks all machines that nobody hears for its token, but hardly any while it is behind', () => {
@@ -311,14 +332,18 @@
   listMachines(b, 40);
   b.report(1, 0);
   assert.equal(direct(b.tick(1.5)).length, 1);
-  const asked = direct(b.tick(2.2)).map((effect) => (effect.kind === 'direct' ? effect.machine : ''));
+  const asked = direct(b.tick(2.2)).map((effect) =>
+    effect.kind === 'send-commands' ? effect.machineName : '',
+  );
   assert.equal(asked.length, 29, 'the others that nobody heard, but for the one that was just asked');
   assert.deepEqual(
     asked.filter((name) => Number(name.slice(1)) < 10),
     [],
   );
   // They had the token in the answer and should have shown it.
-  const silent = direct(b.tick(2.7)).map((effect) => (effect.kind === 'direct' ? effect.machine : ''));
+  const silent = direct(b.tick(2.7)).map((effect) =>
+    effect.kind === 'send-commands' ? effect.machineName : '',
+  );
   assert.equal(silent.filter((name) => Number(name.slice(1)) < 10).length, 10);
 });
 
@@ -328,17 +353,17 @@
     b.report(0);
     b.job(0, 'req-1', { kind: 'service', priority: 'production', cpus: 8 });
     b.commit(0);
-    const [place] = [...b.owner.state.machines.values()].filter((machine) => machine.intents.size > 0);
+    const [place] = [...b.owner.state.machines.values()].filter((machine) => machine.assignments.size > 0);
     assert.ok(place);
     b.late(late);
-    assert.equal(placementPassGap(b.owner.state), late === 0 ? 0n : seconds(2));
+    assert.equal(minCycleInterval(b.owner.state), late === 0 ? 0n : seconds(2));
     const returned: Effect[] = [];
     for (let s = 1; s < 9; s++) {
       // All others go on reporting.
-      b.owner.handle({ kind: 'contact', at: at(s).steady }, at(s));
+      b.owner.handle({ kind: 'leadership-confirmed', confirmedAt: at(s).monotonic }, at(s));
       for (const machine of b.owner.state.machines.values())
-        if (machine !== place) machine.heard = at(s).steady;
-      returned.push(...b.tick(s).filter((effect) => effect.kind === 'return'));
+        if (machine !== place) machine.lastHeartbeatAt = at(s).monotonic;
+      returned.push(...b.tick(s).filter((effect) => effect.kind === 'scale-in'));
     }
     assert.equal(returned.length, late === 0 ? 1 : 0);
   }
@@ -353,7 +378,7 @@
     b.session = 2;
     b.report(4);
     const machine = b.owner.state.machines.get('m0');
-    assert.equal(machine?.deafSince === null, late === 1);
+    assert.equal(machine?.unreachableSince === null, late === 1);
   }
 });
 
--- a/test/bounded.test.ts
+++ b/test/bounded.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import { Subject } from 'rxjs';
 import { test } from 'node:test';
-import { Owner } from '../src/core/owner.js';
-import { othersQuietFrom } from '../src/core/ownership-timing.js';
-import { seconds, type Now } from '../src/core/time.js';
+import { ClusterScheduler } from '../src/core/owner.js';
+import { previousLeadersDeadlineFrom } from '../src/core/ownership-timing.js';
+import { seconds, type Timestamp } from '../src/core/time.js';
 import { Counts } from '../src/edge/counts.js';
 import { DecodedPages } from '../src/edge/decoded-pages.js';
 import { EndedJobs } from '../src/edge/ended-jobs.js';
@@ -18,16 +18,21 @@
  * What was won for small machines, guarded by counts: memory that does not grow with the jobs that were ever run, and
  * nothing that is done anew while nothing changes.
  */
-const at = (s: number): Now => ({
-  steady: seconds(1000 + s),
+const at = (s: number): Timestamp => ({
+  monotonic: seconds(1000 + s),
   wall: new Date(Date.UTC(2030, 0, 1) + s * 1000),
 });
 
-function newOwner(): Owner {
-  const began = at(0).steady;
-  const term = { token: 1, began, contact: began, othersQuiet: othersQuietFrom(FACTS, began) };
-  const owner = new Owner(FACTS, DEFAULT_SETTINGS, term);
-  owner.handle({ kind: 'types', types: [TYPE] }, at(0));
+function newOwner(): ClusterScheduler {
+  const began = at(0).monotonic;
+  const term = {
+    fencingToken: 1,
+    startedAt: began,
+    confirmedAt: began,
+    previousLeadersDeadline: previousLeadersDeadlineFrom(FACTS, began),
+  };
+  const owner = new ClusterScheduler(FACTS, DEFAULT_SETTINGS, term);
+  owner.handle({ kind: 'machine-types', types: [TYPE] }, at(0));
   return owner;
 }
 
@@ -50,20 +55,32 @@
   }
 
   job(id: string, standing: 'open' | 'done' | 'cancelled'): void {
-    this.put(jobKey(id), writeJob({ spec: spec(id, { tasks: 3 }), submitted: at(0).wall, standing }));
+    this.put(
+      jobKey(id),
+      writeJob({ spec: spec(id, { taskCount: 3 }), submittedAt: at(0).wall, status: standing }),
+    );
   }
 
   place(id: string, machines: readonly string[]): void {
     const intents = machines.map((machine, task) => ({
-      task,
+      taskIndex: task,
       attempt: 1,
-      machine,
-      session: 1,
+      machineName: machine,
+      agentEpoch: 1,
       zone: 'east',
     }));
     this.put(
       pageKey('all', 0),
-      writePage([{ job: id, index: 0, record: { attempt: 1, done: [], intents } }], ['east']),
+      writePage(
+        [
+          {
+            jobId: id,
+            chunkIndex: 0,
+            record: { highestAttempt: 1, completedTasks: [], assignments: intents },
+          },
+        ],
+        ['east'],
+      ),
     );
   }
 
@@ -119,7 +136,7 @@
   assert.equal(pages.decoded, 1);
   const entry = copy.copy.get(pageKey('all', 0));
   assert.ok(entry);
-  assert.equal(pages.of(entry)[0]?.record.intents.length, 2);
+  assert.equal(pages.of(entry)[0]?.record.assignments.length, 2);
   assert.equal(pages.decoded, 1, 'a takeover takes nothing apart that was followed');
   leading = true;
   copy.place('req-1', ['m1']);
@@ -130,13 +147,18 @@
 test('the owner lets go of jobs that have been over for a while', () => {
   const owner = newOwner();
   for (let n = 0; n < 3000; n++) {
-    const record = { spec: spec(`req-${n}`), submitted: at(n).wall, standing: 'open' as const };
-    owner.handle({ kind: 'job', id: `req-${n}`, record, stamp: 2 * n + 1 }, at(n));
+    const record = { spec: spec(`req-${n}`), submittedAt: at(n).wall, status: 'open' as const };
+    owner.handle({ kind: 'job-changed', id: `req-${n}`, record, modRevision: 2 * n + 1 }, at(n));
     owner.handle(
-      { kind: 'job', id: `req-${n}`, record: { ...record, standing: 'cancelled' }, stamp: 2 * n + 2 },
+      {
+        kind: 'job-changed',
+        id: `req-${n}`,
+        record: { ...record, status: 'cancelled' },
+        modRevision: 2 * n + 2,
+      },
       at(n),
     );
-    owner.handle({ kind: 'contact', at: at(n).steady }, at(n));
+    owner.handle({ kind: 'leadership-confirmed', confirmedAt: at(n).monotonic }, at(n));
     owner.handle({ kind: 'tick' }, at(n));
   }
   assert.ok(owner.state.jobs.size <= 125, `${owner.state.jobs.size} jobs are held`);
@@ -147,19 +169,26 @@
   const owner = newOwner();
   const hello = (s: number): void => {
     for (let n = 0; n < 20; n++) {
-      const machine = { machine: `m${n}`, endpoint: `m${n}:1`, type: 'big', zone: 'east', spot: false };
-      const report = { ...machine, session: 1, seq: s + 1, token: 1, notice: null, tasks: [] };
-      owner.handle({ kind: 'report', report }, at(s));
-      owner.answer(report, at(s));
+      const machine = { machineName: `m${n}`, endpoint: `m${n}:1`, type: 'big', zone: 'east', spot: false };
+      const report = {
+        ...machine,
+        agentEpoch: 1,
+        sequence: s + 1,
+        fencingToken: 1,
+        preemptionNotice: null,
+        tasks: [],
+      };
+      owner.handle({ kind: 'heartbeat', heartbeat: report }, at(s));
+      owner.answerHeartbeat(report, at(s));
     }
-    owner.handle({ kind: 'contact', at: at(s).steady }, at(s));
+    owner.handle({ kind: 'leadership-confirmed', confirmedAt: at(s).monotonic }, at(s));
     owner.handle({ kind: 'tick' }, at(s));
   };
   for (let s = 0; s < 5; s++) hello(s);
   const before = owner.state.machinesScanned;
   for (let s = 5; s < 25; s++) hello(s);
   assert.equal(owner.state.machinesScanned, before);
-  const record = { spec: spec('req-1'), submitted: at(25).wall, standing: 'open' as const };
-  owner.handle({ kind: 'job', id: 'req-1', record, stamp: 9 }, at(25));
+  const record = { spec: spec('req-1'), submittedAt: at(25).wall, status: 'open' as const };
+  owner.handle({ kind: 'job-changed', id: 'req-1', record, modRevision: 9 }, at(25));
   assert.equal(owner.state.machinesScanned, before + 20, 'one pass for the new job');
 });
--- a/test/cancelled-dependents.test.ts
+++ b/test/cancelled-dependents.test.ts
@@ -2,68 +2,74 @@
 import { test } from 'node:test';
 import type { JobRecord } from '../src/core/model.js';
 import { chunkOf } from '../src/core/chunks.js';
-import { place } from '../src/core/intents.js';
+import { assignTask } from '../src/core/intents.js';
 import { isStartable } from '../src/core/orders.js';
-import { changesIn, type Transaction } from '../src/core/outbox.js';
-import { Owner } from '../src/core/owner.js';
-import { othersQuietFrom } from '../src/core/ownership-timing.js';
-import { seconds, type Now } from '../src/core/time.js';
+import { operationCount, type Transaction } from '../src/core/outbox.js';
+import { ClusterScheduler } from '../src/core/owner.js';
+import { previousLeadersDeadlineFrom } from '../src/core/ownership-timing.js';
+import { seconds, type Timestamp } from '../src/core/time.js';
 import { DEFAULT_SETTINGS } from '../src/edge/operator-settings.js';
 import { FACTS, TYPE, spec } from './player.js';
 
 const DEPENDENTS = 3000;
 
-const at = (s: number): Now => ({
-  steady: seconds(1000 + s),
+const at = (s: number): Timestamp => ({
+  monotonic: seconds(1000 + s),
   wall: new Date(Date.UTC(2030, 0, 1) + s * 1000),
 });
 
 /** The job records of a state service, and the owners that write them. */
 class Records {
-  readonly jobs = new Map<string, { record: JobRecord; stamp: number }>();
+  readonly jobs = new Map<string, { record: JobRecord; modRevision: number }>();
   private stamp = 100;
   changes = 0;
 
-  put(id: string, standing: JobRecord['standing'], dependencies: readonly string[] = []): void {
-    const record = { spec: spec(id, { dependencies }), submitted: at(0).wall, standing };
-    this.jobs.set(id, { record, stamp: ++this.stamp });
+  put(id: string, standing: JobRecord['status'], dependencies: readonly string[] = []): void {
+    const record = { spec: spec(id, { dependencies }), submittedAt: at(0).wall, status: standing };
+    this.jobs.set(id, { record, modRevision: ++this.stamp });
   }
 
   /** A new owner that has read everything. */
-  takeOver(s: number): Owner {
-    const began = at(s).steady;
-    const term = { token: ++this.stamp, began, contact: began, othersQuiet: othersQuietFrom(FACTS, began) };
-    const owner = new Owner(FACTS, DEFAULT_SETTINGS, term);
-    owner.handle({ kind: 'types', types: [TYPE] }, at(s));
-    for (const [id, job] of this.jobs) owner.handle({ kind: 'job', id, ...job }, at(s));
-    owner.handle({ kind: 'loaded' }, at(s));
+  takeOver(s: number): ClusterScheduler {
+    const began = at(s).monotonic;
+    const term = {
+      fencingToken: ++this.stamp,
+      startedAt: began,
+      confirmedAt: began,
+      previousLeadersDeadline: previousLeadersDeadlineFrom(FACTS, began),
+    };
+    const owner = new ClusterScheduler(FACTS, DEFAULT_SETTINGS, term);
+    owner.handle({ kind: 'machine-types', types: [TYPE] }, at(s));
+    for (const [id, job] of this.jobs) owner.handle({ kind: 'job-changed', id, ...job }, at(s));
+    owner.handle({ kind: 'load-completed' }, at(s));
     return owner;
   }
 
   /** Carries a transaction out; false if one of its guards fails. */
   carryOut(transaction: Transaction): number | null {
-    for (const [id, stamp] of transaction.jobs) if (this.jobs.get(id)?.stamp !== stamp) return null;
+    for (const [id, stamp] of transaction.guardedJobs)
+      if (this.jobs.get(id)?.modRevision !== stamp) return null;
     const stamp = ++this.stamp;
-    this.changes += changesIn(transaction);
-    for (const id of transaction.cancelled) {
+    this.changes += operationCount(transaction);
+    for (const id of transaction.cancelledJobs) {
       const job = this.jobs.get(id);
       assert.ok(job !== undefined);
-      this.jobs.set(id, { record: { ...job.record, standing: 'cancelled' }, stamp });
+      this.jobs.set(id, { record: { ...job.record, status: 'cancelled' }, modRevision: stamp });
     }
     return stamp;
   }
 
   get open(): number {
-    return [...this.jobs.values()].filter(({ record }) => record.standing === 'open').length;
+    return [...this.jobs.values()].filter(({ record }) => record.status === 'open').length;
   }
 }
 
-function commitNext(records: Records, owner: Owner, s: number): boolean {
+function commitNext(records: Records, owner: ClusterScheduler, s: number): boolean {
   const transaction = owner.nextTransaction(at(s));
   if (transaction === null) return false;
-  assert.ok(changesIn(transaction) <= FACTS.txnOps);
+  assert.ok(operationCount(transaction) <= FACTS.maxTransactionOperations);
   const stamp = records.carryOut(transaction);
-  if (stamp !== null) owner.handle({ kind: 'settled', transaction, stamp }, at(s));
+  if (stamp !== null) owner.handle({ kind: 'transaction-committed', transaction, modRevision: stamp }, at(s));
   return true;
 }
 
@@ -75,13 +81,13 @@
   for (let n = 1; n <= DEPENDENTS; n++) records.put(`req-${n}`, 'open', [`req-${n === 1 ? 0 : n >> 1}`]);
   const first = records.takeOver(0);
   for (let n = 0; n < 100; n++) assert.ok(commitNext(records, first, 1));
-  assert.equal(records.open, DEPENDENTS - 100 * FACTS.txnOps);
+  assert.equal(records.open, DEPENDENTS - 100 * FACTS.maxTransactionOperations);
   const second = records.takeOver(10);
   let s = 10;
   while (commitNext(records, second, s)) s += 0.5;
   assert.equal(records.open, 0);
   assert.equal(records.changes, DEPENDENTS, 'each is written once');
-  second.handle({ kind: 'contact', at: at(s + 130).steady }, at(s + 130));
+  second.handle({ kind: 'leadership-confirmed', confirmedAt: at(s + 130).monotonic }, at(s + 130));
   second.handle({ kind: 'tick' }, at(s + 130));
   assert.equal(second.state.jobs.size, 0, 'nothing of them is held');
   assert.equal(
@@ -97,10 +103,10 @@
   records.put('req-1', 'open', ['req-0']);
   const owner = records.takeOver(0);
   for (const s of [1, 130, 260]) {
-    owner.handle({ kind: 'contact', at: at(s).steady }, at(s));
+    owner.handle({ kind: 'leadership-confirmed', confirmedAt: at(s).monotonic }, at(s));
     owner.handle({ kind: 'tick' }, at(s));
   }
-  assert.equal(owner.state.jobs.get('req-1')?.standing, 'cancelled');
+  assert.equal(owner.state.jobs.get('req-1')?.status, 'cancelled');
   assert.ok(commitNext(records, owner, 261));
   assert.equal(records.open, 0);
 });
@@ -112,12 +118,12 @@
   records.put('req-1', 'open', ['req-0']);
   const owner = records.takeOver(0);
   const transaction = owner.nextTransaction(at(1));
-  assert.deepEqual(transaction?.cancelled, ['req-1']);
+  assert.deepEqual(transaction?.cancelledJobs, ['req-1']);
   records.put('req-1', 'cancelled', ['req-0']);
   assert.equal(records.carryOut(transaction), null);
   const job = records.jobs.get('req-1');
   assert.ok(job !== undefined);
-  owner.handle({ kind: 'job', id: 'req-1', ...job }, at(1));
+  owner.handle({ kind: 'job-changed', id: 'req-1', ...job }, at(1));
   assert.equal(owner.nextTransaction(at(2)), null);
 });
 
@@ -128,13 +134,20 @@
   records.put('req-1', 'open', ['req-0']);
   records.put('req-2', 'open');
   const owner = records.takeOver(0);
-  const machine = { machine: 'm1', endpoint: 'm1:1', type: 'big', zone: 'east', spot: false };
-  const report = { ...machine, session: 1, seq: 1, token: owner.state.token, notice: null, tasks: [] };
-  owner.handle({ kind: 'report', report }, at(1));
-  owner.handle({ kind: 'contact', at: at(1).steady }, at(1));
+  const machine = { machineName: 'm1', endpoint: 'm1:1', type: 'big', zone: 'east', spot: false };
+  const report = {
+    ...machine,
+    agentEpoch: 1,
+    sequence: 1,
+    fencingToken: owner.state.token,
+    preemptionNotice: null,
+    tasks: [],
+  };
+  owner.handle({ kind: 'heartbeat', heartbeat: report }, at(1));
+  owner.handle({ kind: 'leadership-confirmed', confirmedAt: at(1).monotonic }, at(1));
   owner.handle({ kind: 'tick' }, at(1));
   assert.equal(owner.nextTransaction(at(1))?.pages.length, 1, 'the place of req-2');
-  assert.deepEqual(owner.nextTransaction(at(6))?.cancelled, ['req-1']);
+  assert.deepEqual(owner.nextTransaction(at(6))?.cancelledJobs, ['req-1']);
 });
 
 // A place of a job that waits should never come to be; if one did, by a fault elsewhere, it must still not be started.
@@ -144,17 +157,25 @@
   records.put('req-1', 'open', ['req-0']);
   const owner = records.takeOver(0);
   const { state } = owner;
-  const about = { machine: 'm1', endpoint: 'm1:1', type: 'big', zone: 'east', spot: false };
-  const report = { ...about, session: 1, seq: 1, token: state.token, notice: null, tasks: [] };
-  owner.handle({ kind: 'contact', at: at(1).steady }, at(1));
-  owner.handle({ kind: 'report', report }, at(1));
+  const about = { machineName: 'm1', endpoint: 'm1:1', type: 'big', zone: 'east', spot: false };
+  const report = {
+    ...about,
+    agentEpoch: 1,
+    sequence: 1,
+    fencingToken: state.token,
+    preemptionNotice: null,
+    tasks: [],
+  };
+  owner.handle({ kind: 'leadership-confirmed', confirmedAt: at(1).monotonic }, at(1));
+  owner.handle({ kind: 'heartbeat', heartbeat: report }, at(1));
   const machine = state.machines.get('m1');
   const starts = (id: string): boolean => {
     const job = state.jobs.get(id);
     assert.ok(job !== undefined && machine !== undefined);
-    const intent = job.chunks.get(0)?.intents.get(0) ?? place(state, job, 0, 1, machine, at(1).steady);
-    chunkOf(job, 0).committed = state.version;
-    return isStartable(state, machine, intent, at(1).steady);
+    const intent =
+      job.chunks.get(0)?.assignments.get(0) ?? assignTask(state, job, 0, 1, machine, at(1).monotonic);
+    chunkOf(job, 0).committedVersion = state.version;
+    return isStartable(state, machine, intent, at(1).monotonic);
   };
   assert.equal(starts('req-0'), true);
   assert.equal(starts('req-1'), false);
--- a/test/dependencies.test.ts
+++ b/test/dependencies.test.ts
@@ -13,8 +13,8 @@
   const take = [
     (graph: DependencyGraph) => graph.add('b', ['a']),
     (graph: DependencyGraph) => graph.add('c', ['a', 'b', 'x']),
-    (graph: DependencyGraph) => graph.end('a', 'done'),
-    (graph: DependencyGraph) => graph.end('x', 'cancelled'),
+    (graph: DependencyGraph) => graph.markFinished('a', 'done'),
+    (graph: DependencyGraph) => graph.markFinished('x', 'cancelled'),
     (graph: DependencyGraph) => graph.add('d', ['c']),
   ];
   const orders = (list: readonly number[]): number[][] =>
@@ -42,9 +42,9 @@
 test('the same end or job told again changes nothing', () => {
   const graph = new DependencyGraph();
   graph.add('b', ['a']);
-  assert.deepEqual(graph.end('a', 'done').ready, ['b']);
-  assert.deepEqual(graph.end('a', 'done').ready, []);
-  assert.deepEqual(graph.end('a', 'cancelled').cancelled, [], 'a job that is done stays done');
+  assert.deepEqual(graph.markFinished('a', 'done').ready, ['b']);
+  assert.deepEqual(graph.markFinished('a', 'done').ready, []);
+  assert.deepEqual(graph.markFinished('a', 'cancelled').cancelled, [], 'a job that is done stays done');
   assert.equal(graph.isCancelled('b'), false);
 });
 
@@ -52,13 +52,14 @@
 test('deep chains and wide fans cost work in proportion to their dependencies alone', () => {
   const size = 5000;
   const done = chain(size);
-  for (let n = 0; n < size - 1; n++) assert.deepEqual(done.end(`j${n}`, 'done').ready, [`j${n + 1}`]);
+  for (let n = 0; n < size - 1; n++)
+    assert.deepEqual(done.markFinished(`j${n}`, 'done').ready, [`j${n + 1}`]);
   assert.ok(done.steps <= 4 * size, `${done.steps} steps along a chain`);
   const cancelled = chain(size);
-  assert.equal(cancelled.end('j0', 'cancelled').cancelled.length, size - 1);
+  assert.equal(cancelled.markFinished('j0', 'cancelled').cancelled.length, size - 1);
   assert.ok(cancelled.steps <= 4 * size, `${cancelled.steps} steps to cancel a chain`);
   const fan = new DependencyGraph();
   for (let n = 0; n < size; n++) fan.add(`f${n}`, ['root']);
-  assert.equal(fan.end('root', 'done').ready.length, size);
+  assert.equal(fan.markFinished('root', 'done').ready.length, size);
   assert.ok(fan.steps <= 4 * size, `${fan.steps} steps for a fan`);
 });
--- a/test/fleet.test.ts
+++ b/test/fleet.test.ts
@@ -1,43 +1,46 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { forecastDemand } from '../src/core/demand-forecast.js';
-import type { Spec } from '../src/core/model.js';
-import { Owner } from '../src/core/owner.js';
-import { placementPassGap } from '../src/core/placement-pass.js';
-import { seconds, toSeconds, type Now } from '../src/core/time.js';
+import type { JobSpec } from '../src/core/model.js';
+import { ClusterScheduler } from '../src/core/owner.js';
+import { minCycleInterval } from '../src/core/placement-pass.js';
+import { seconds, toSeconds, type Timestamp } from '../src/core/time.js';
 import { DEFAULT_SETTINGS } from '../src/edge/operator-settings.js';
 import { FACTS, TYPE, spec } from './player.js';
 
 // Seen on a large fleet: machines were rented for what waited, and all that came while they booted waited as long again.
 test('machines are rented ahead for work that comes steadily, not for what came all at once', () => {
   const wall = new Date(Date.UTC(2030, 0, 1));
-  const at = (s: number): Now => ({ steady: seconds(1000 + s), wall: new Date(wall.getTime() + s * 1000) });
-  const owner = new Owner(FACTS, DEFAULT_SETTINGS, {
-    token: 1,
-    began: at(0).steady,
-    contact: at(0).steady,
-    othersQuiet: at(0).steady,
+  const at = (s: number): Timestamp => ({
+    monotonic: seconds(1000 + s),
+    wall: new Date(wall.getTime() + s * 1000),
   });
-  owner.handle({ kind: 'types', types: [TYPE] }, at(0));
-  owner.handle({ kind: 'list', machines: [], sent: at(0).steady }, at(0));
+  const owner = new ClusterScheduler(FACTS, DEFAULT_SETTINGS, {
+    fencingToken: 1,
+    startedAt: at(0).monotonic,
+    confirmedAt: at(0).monotonic,
+    previousLeadersDeadline: at(0).monotonic,
+  });
+  owner.handle({ kind: 'machine-types', types: [TYPE] }, at(0));
+  owner.handle({ kind: 'instance-inventory', machines: [], requestedAt: at(0).monotonic }, at(0));
   let n = 0;
   const submit = (s: number, count: number): void => {
     for (let k = 0; k < count; k++) {
-      const record = { spec: spec(`req-${++n}`), submitted: at(s).wall, standing: 'open' as const };
-      owner.handle({ kind: 'job', id: `req-${n}`, record, stamp: n + 1 }, at(s));
+      const record = { spec: spec(`req-${++n}`), submittedAt: at(s).wall, status: 'open' as const };
+      owner.handle({ kind: 'job-changed', id: `req-${n}`, record, modRevision: n + 1 }, at(s));
     }
   };
   // A day begins with much at once: nothing is said of a rate yet.
   submit(0, 100);
-  assert.equal(forecastDemand(owner.state, at(4)).comes, 0);
+  assert.equal(forecastDemand(owner.state, at(4)).arriving, 0);
   // From then on one task a second, half a machine each, for the 30 s of a boot.
   for (let s = 1; s < 60; s++) submit(s, 1);
-  const { comes } = forecastDemand(owner.state, at(59));
+  const { arriving: comes } = forecastDemand(owner.state, at(59));
   assert.ok(comes > 13 && comes < 17, `${comes}`);
   const rented = owner
-    .handle({ kind: 'contact', at: at(59).steady }, at(59))
+    .handle({ kind: 'leadership-confirmed', confirmedAt: at(59).monotonic }, at(59))
     .concat(owner.handle({ kind: 'tick' }, at(59)))
-    .reduce((sum, effect) => sum + (effect.kind === 'rent' ? effect.order.count : 0), 0);
+    .reduce((sum, effect) => sum + (effect.kind === 'scale-out' ? effect.request.count : 0), 0);
   const waiting = [...owner.state.waiting].length / 2;
   assert.ok(rented > waiting + 10, `${rented} rented for ${waiting} that wait`);
 });
@@ -46,44 +49,47 @@
 // may wait for 90 s while a machine that fits has room.
 test('patient work leaves the last empty machine whole, and takes it once it has waited a while', () => {
   const wall = new Date(Date.UTC(2030, 0, 1));
-  const at = (s: number): Now => ({ steady: seconds(1000 + s), wall: new Date(wall.getTime() + s * 1000) });
-  const within = seconds(5);
-  const facts = { ...FACTS, objectives: [{ kind: 'wait', class: 'hasty', within, share: 0.9 }] };
-  const owner = new Owner(facts, DEFAULT_SETTINGS, {
-    token: 1,
-    began: at(0).steady,
-    contact: at(0).steady,
-    othersQuiet: at(0).steady,
+  const at = (s: number): Timestamp => ({
+    monotonic: seconds(1000 + s),
+    wall: new Date(wall.getTime() + s * 1000),
+  });
+  const threshold = seconds(5);
+  const facts = { ...FACTS, objectives: [{ kind: 'wait', class: 'hasty', threshold, share: 0.9 }] };
+  const owner = new ClusterScheduler(facts, DEFAULT_SETTINGS, {
+    fencingToken: 1,
+    startedAt: at(0).monotonic,
+    confirmedAt: at(0).monotonic,
+    previousLeadersDeadline: at(0).monotonic,
   });
-  owner.handle({ kind: 'types', types: [TYPE] }, at(0));
+  owner.handle({ kind: 'machine-types', types: [TYPE] }, at(0));
   const reports = (s: number, seq: number): void => {
-    owner.handle({ kind: 'contact', at: at(s).steady }, at(s));
+    owner.handle({ kind: 'leadership-confirmed', confirmedAt: at(s).monotonic }, at(s));
     for (let n = 0; n < 17; n++) {
       const report = {
-        machine: `m${n}`,
+        machineName: `m${n}`,
         endpoint: `m${n}:1`,
         type: 'big',
         zone: 'east',
         spot: false,
-        session: 1,
-        seq,
-        token: 1,
-        notice: null,
+        agentEpoch: 1,
+        sequence: seq,
+        fencingToken: 1,
+        preemptionNotice: null,
         tasks: [],
       };
-      owner.handle({ kind: 'report', report }, at(s));
-      owner.answer(report, at(s));
+      owner.handle({ kind: 'heartbeat', heartbeat: report }, at(s));
+      owner.answerHeartbeat(report, at(s));
     }
   };
   const submit = (id: string, over: Parameters<typeof spec>[1]): void => {
-    const record = { spec: spec(id, over), submitted: wall, standing: 'open' as const };
-    owner.handle({ kind: 'job', id, record, stamp: 5 }, at(0));
+    const record = { spec: spec(id, over), submittedAt: wall, status: 'open' as const };
+    owner.handle({ kind: 'job-changed', id, record, modRevision: 5 }, at(0));
   };
   reports(0, 1);
-  submit('req-1', { tasks: 16, cpus: 5, kind: 'service', priority: 'production' });
-  submit('req-2', { cpus: 5, due: seconds(2000) });
-  const placed = (): number => owner.state.jobs.get('req-2')?.placedCount ?? 0;
-  assert.equal(owner.state.jobs.get('req-1')?.placedCount, 16);
+  submit('req-1', { taskCount: 16, cpus: 5, kind: 'service', priority: 'production' });
+  submit('req-2', { cpus: 5, deadline: seconds(2000) });
+  const placed = (): number => owner.state.jobs.get('req-2')?.assignedCount ?? 0;
+  assert.equal(owner.state.jobs.get('req-1')?.assignedCount, 16);
   for (let s = 1; s <= 90 && placed() === 0; s++) {
     reports(s, s + 1);
     owner.handle({ kind: 'tick' }, at(s));
@@ -95,48 +101,68 @@
 // Seen on 5 % of a core: passes with blocked gangs followed one another, and workers' leases ran out behind them.
 test('passes that take long are made further apart, but never too far', () => {
   const t = seconds(1000);
-  const owner = new Owner(FACTS, DEFAULT_SETTINGS, { token: 1, began: t, contact: t, othersQuiet: t });
-  assert.equal(placementPassGap(owner.state), 0n);
-  for (let n = 0; n < 10; n++) owner.passTook(seconds(0.1));
-  const gap = toSeconds(placementPassGap(owner.state));
+  const owner = new ClusterScheduler(FACTS, DEFAULT_SETTINGS, {
+    fencingToken: 1,
+    startedAt: t,
+    confirmedAt: t,
+    previousLeadersDeadline: t,
+  });
+  assert.equal(minCycleInterval(owner.state), 0n);
+  for (let n = 0; n < 10; n++) owner.recordCycleDuration(seconds(0.1));
+  const gap = toSeconds(minCycleInterval(owner.state));
   assert.ok(gap > 0.39 && gap <= 0.4, `${gap}`);
-  for (let n = 0; n < 10; n++) owner.passTook(seconds(30));
-  assert.equal(placementPassGap(owner.state), seconds(2));
-  for (let n = 0; n < 60; n++) owner.passTook(0n);
-  assert.ok(placementPassGap(owner.state) < seconds(0.001));
+  for (let n = 0; n < 10; n++) owner.recordCycleDuration(seconds(30));
+  assert.equal(minCycleInterval(owner.state), seconds(2));
+  for (let n = 0; n < 60; n++) owner.recordCycleDuration(0n);
+  assert.ok(minCycleInterval(owner.state) < seconds(0.001));
 });
 
 // Of work without GPUs on some machines and work that takes all GPUs of others, much fits together: room for what comes
 // is kept for what the work needs of the scarcest resource, not for every machine on which something is scarce.
 test('machines are kept for the scarcest resource of the fleet, and the others closed', () => {
   const wall = new Date(Date.UTC(2030, 0, 1));
-  const at = (s: number): Now => ({ steady: seconds(1000 + s), wall: new Date(wall.getTime() + s * 1000) });
-  const term = { token: 1, began: at(0).steady, contact: at(0).steady, othersQuiet: at(0).steady };
-  const owner = new Owner(FACTS, DEFAULT_SETTINGS, term);
-  owner.handle({ kind: 'types', types: [TYPE] }, at(0));
+  const at = (s: number): Timestamp => ({
+    monotonic: seconds(1000 + s),
+    wall: new Date(wall.getTime() + s * 1000),
+  });
+  const term = {
+    fencingToken: 1,
+    startedAt: at(0).monotonic,
+    confirmedAt: at(0).monotonic,
+    previousLeadersDeadline: at(0).monotonic,
+  };
+  const owner = new ClusterScheduler(FACTS, DEFAULT_SETTINGS, term);
+  owner.handle({ kind: 'machine-types', types: [TYPE] }, at(0));
   for (let n = 0; n < 8; n++) {
-    const about = { machine: `m${n}`, endpoint: `m${n}:1`, type: 'big', zone: 'east', spot: false };
-    const report = { ...about, session: 1, seq: 1, token: 1, notice: null, tasks: [] };
-    owner.handle({ kind: 'report', report }, at(0));
+    const about = { machineName: `m${n}`, endpoint: `m${n}:1`, type: 'big', zone: 'east', spot: false };
+    const report = {
+      ...about,
+      agentEpoch: 1,
+      sequence: 1,
+      fencingToken: 1,
+      preemptionNotice: null,
+      tasks: [],
+    };
+    owner.handle({ kind: 'heartbeat', heartbeat: report }, at(0));
   }
-  const whole = { tasks: 4, priority: 'low' as const };
-  const submit = (id: string, over: Partial<Spec>): void => {
+  const whole = { taskCount: 4, priority: 'low' as const };
+  const submit = (id: string, over: Partial<JobSpec>): void => {
     const record = {
       spec: spec(id, { ...whole, ...over }),
-      submitted: at(0).wall,
-      standing: 'open' as const,
+      submittedAt: at(0).wall,
+      status: 'open' as const,
     };
-    owner.handle({ kind: 'job', id, record, stamp: 2 }, at(0));
+    owner.handle({ kind: 'job-changed', id, record, modRevision: 2 }, at(0));
   };
   submit('req-1', { cpus: 8, gpus: 0, memory: 1 });
   submit('req-2', { cpus: 0.5, gpus: 2, memory: 1 });
-  owner.handle({ kind: 'contact', at: at(3).steady }, at(3));
+  owner.handle({ kind: 'leadership-confirmed', confirmedAt: at(3).monotonic }, at(3));
   owner.handle({ kind: 'tick' }, at(3));
   const machines = [...owner.state.machines.values()];
   assert.ok(
-    machines.every((machine) => machine.intents.size === 1),
+    machines.every((machine) => machine.assignments.size === 1),
     'each is in use',
   );
   // Four machines' worth and the reserve of a third, and not eight.
-  assert.equal(machines.filter((machine) => machine.closed).length, 2);
+  assert.equal(machines.filter((machine) => machine.draining).length, 2);
 });
--- a/test/golden-records.test.ts
+++ b/test/golden-records.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { readZones, writeZones, type ZoneHealth } from '../packages/zone-recovery/src/index.js';
-import type { JobRecord, Spec } from '../src/core/model.js';
+import type { JobRecord, JobSpec } from '../src/core/model.js';
 import type { PageEntry } from '../src/core/record-pages.js';
-import { seconds, type Now } from '../src/core/time.js';
+import { seconds, type Timestamp } from '../src/core/time.js';
 import { encode } from '../src/wire/cbor.js';
 import { FRAME_LIMIT, FrameReader, statusFrame, type Status } from '../src/wire/frames.js';
 import {
@@ -54,59 +54,65 @@
 };
 
 const submitted = new Date(Date.UTC(2030, 0, 1, 12, 0, 0, 250));
-const bare: Spec = {
+const bare: JobSpec = {
   id: 'req-1',
   class: 'web',
   team: 'shop',
   kind: 'service',
   priority: 'production',
-  tasks: 3,
+  taskCount: 3,
   cpus: 0.5,
   gpus: 0,
   memory: 2,
-  types: null,
+  machineTypes: null,
   zone: null,
-  oneZone: false,
-  spread: false,
-  spot: false,
+  singleZone: false,
+  spreadAcrossZones: false,
+  allowSpot: false,
   image: 'img-1',
   imageGb: 0,
-  estimate: 0n,
-  checkpoint: 0n,
-  save: 0n,
-  due: null,
+  estimatedDuration: 0n,
+  checkpointInterval: 0n,
+  checkpointDuration: 0n,
+  deadline: null,
   dependencies: [],
 };
-const whole: Spec = {
+const whole: JobSpec = {
   id: 'req-000412',
   class: 'train',
   team: 'vision',
   kind: 'gang',
   priority: 'high',
-  tasks: 16,
+  taskCount: 16,
   cpus: 8,
   gpus: 1,
   memory: 64.5,
-  types: ['g8', 'g9'],
+  machineTypes: ['g8', 'g9'],
   zone: 'a',
-  oneZone: true,
-  spread: true,
-  spot: true,
+  singleZone: true,
+  spreadAcrossZones: true,
+  allowSpot: true,
   image: 'img-07',
   imageGb: 6.2,
-  estimate: seconds(240),
-  checkpoint: seconds(30),
-  save: seconds(4),
-  due: seconds(900),
+  estimatedDuration: seconds(240),
+  checkpointInterval: seconds(30),
+  checkpointDuration: seconds(4),
+  deadline: seconds(900),
   dependencies: ['req-7', 'req-8'],
 };
-const array: Spec = { ...bare, kind: 'array', priority: 'low', estimate: seconds(0.25), due: 0n };
+const array: JobSpec = {
+  ...bare,
+  kind: 'array',
+  priority: 'low',
+  estimatedDuration: seconds(0.25),
+  deadline: 0n,
+};
 
 test('the record of a job, with all optional fields and with none', () => {
   const records: readonly [Golden, JobRecord][] = [
-    [WHOLE_JOB, { spec: whole, submitted, standing: 'open' }],
-    [BARE_JOB, { spec: bare, submitted, standing: 'done' }],
-    [ARRAY_JOB, { spec: array, submitted, standing: 'cancelled' }],
+    [WHOLE_JOB, { spec: whole, submittedAt: submitted, status: 'open' }],
+    [BARE_JOB, { spec: bare, submittedAt: submitted, status: 'done' }],
+    [ARRAY_JOB, { spec: array, submittedAt: submitted, status: 'cancelled' }],
   ];
   for (const [golden, record] of records) {
     assertBytes(encode(writeJob(record)), golden);
@@ -149,21 +155,21 @@
       'bmZsb3NzZXMCaWhvbGRVbnRpbBpw3IFeaGFkbWl0dGVkAKVkem9uZWFlZXBoYXNlaXJldHVybmluZ2Zsb3NzZXMCaWhvbGRVbn' +
       'RpbBpw3IFAaGFkbWl0dGVkB6Vkem9uZWFmZXBoYXNlZ2hlYWx0aHlmbG9zc2VzA2lob2xkVW50aWwacNyBQGhhZG1pdHRlZAA=',
   };
-  const at: Now = { steady: seconds(1000), wall: new Date(Date.UTC(2030, 0, 1, 12)) };
+  const at: Timestamp = { monotonic: seconds(1000), wall: new Date(Date.UTC(2030, 0, 1, 12)) };
   const healthy: ZoneHealth = {
     phase: 'healthy',
-    since: at.steady,
+    since: at.monotonic,
     losses: 0,
-    countedAt: at.steady,
-    holdUntil: at.steady,
+    countedAt: at.monotonic,
+    holdUntil: at.monotonic,
     admitted: 0,
-    steppedAt: at.steady,
+    steppedAt: at.monotonic,
   };
   const zones = new Map<string, ZoneHealth>([
     ['a', healthy],
     ['b', { ...healthy, phase: 'suspect' }],
     ['c', { ...healthy, phase: 'lost', losses: 1 }],
-    ['d', { ...healthy, phase: 'held-down', losses: 2, holdUntil: at.steady + seconds(30) }],
+    ['d', { ...healthy, phase: 'held-down', losses: 2, holdUntil: at.monotonic + seconds(30) }],
     ['e', { ...healthy, phase: 'returning', losses: 2, admitted: 7 }],
     ['f', { ...healthy, losses: 3 }],
   ]);
@@ -178,26 +184,30 @@
 
 test('a page of chunks, with and without results and places', () => {
   const entries: PageEntry[] = [
-    { job: 'req-1', index: 0, record: { attempt: 1, done: [], intents: [] } },
-    { job: 'req-2', index: 12, record: { attempt: 70_000, done: [480, 481, 482], intents: [] } },
+    { jobId: 'req-1', chunkIndex: 0, record: { highestAttempt: 1, completedTasks: [], assignments: [] } },
+    {
+      jobId: 'req-2',
+      chunkIndex: 12,
+      record: { highestAttempt: 70_000, completedTasks: [480, 481, 482], assignments: [] },
+    },
     {
-      job: 'req-3',
-      index: 0,
+      jobId: 'req-3',
+      chunkIndex: 0,
       record: {
-        attempt: 2,
-        done: [],
-        intents: [{ task: 5, attempt: 2, machine: 'n-000231', session: 12, zone: 'we.st' }],
+        highestAttempt: 2,
+        completedTasks: [],
+        assignments: [{ taskIndex: 5, attempt: 2, machineName: 'n-000231', agentEpoch: 12, zone: 'we.st' }],
       },
     },
     {
-      job: 'req-4',
-      index: 0,
+      jobId: 'req-4',
+      chunkIndex: 0,
       record: {
-        attempt: 3,
-        done: [0, 1, 2, 7],
-        intents: [
-          { task: 4, attempt: 3, machine: 'n-000231', session: 2, zone: 'east' },
-          { task: 5, attempt: 2, machine: 'a.b,c|d', session: 1, zone: 'east' },
+        highestAttempt: 3,
+        completedTasks: [0, 1, 2, 7],
+        assignments: [
+          { taskIndex: 4, attempt: 3, machineName: 'n-000231', agentEpoch: 2, zone: 'east' },
+          { taskIndex: 5, attempt: 2, machineName: 'a.b,c|d', agentEpoch: 1, zone: 'east' },
         ],
       },
     },
--- a/test/golden-requests.test.ts
+++ b/test/golden-requests.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import pino from 'pino';
-import type { Order } from '../src/core/cluster-state.js';
-import type { Listed, MachineType, Report, Spec } from '../src/core/model.js';
+import type { WorkerCommand } from '../src/core/cluster-state.js';
+import type { CloudInstance, MachineType, Heartbeat, JobSpec } from '../src/core/model.js';
 import { seconds } from '../src/core/time.js';
 import { Cloud } from '../src/edge/cloud.js';
 import { Store } from '../src/edge/store.js';
@@ -81,50 +81,50 @@
     'cHNob3RT+wAAAAAAAAAAZGtpbmRkZ2FuZ2V0YXNrcwk=',
 };
 
-const whole: Spec = {
+const whole: JobSpec = {
   id: 'req-000412',
   class: 'train',
   team: 'vision',
   kind: 'gang',
   priority: 'high',
-  tasks: 16,
+  taskCount: 16,
   cpus: 8,
   gpus: 1,
   memory: 64,
-  types: ['g8'],
+  machineTypes: ['g8'],
   zone: 'a',
-  oneZone: true,
-  spread: false,
-  spot: true,
+  singleZone: true,
+  spreadAcrossZones: false,
+  allowSpot: true,
   image: 'img-07',
   imageGb: 6.2,
-  estimate: seconds(240),
-  checkpoint: seconds(30),
-  save: seconds(4),
-  due: seconds(900),
+  estimatedDuration: seconds(240),
+  checkpointInterval: seconds(30),
+  checkpointDuration: seconds(4),
+  deadline: seconds(900),
   dependencies: ['req-7', 'req-8'],
 };
-const bare: Spec = {
+const bare: JobSpec = {
   id: 'req-1',
   class: 'web',
   team: 'shop',
   kind: 'service',
   priority: 'production',
-  tasks: 3,
+  taskCount: 3,
   cpus: 0.5,
   gpus: 0,
   memory: 2,
-  types: null,
+  machineTypes: null,
   zone: null,
-  oneZone: false,
-  spread: true,
-  spot: false,
+  singleZone: false,
+  spreadAcrossZones: true,
+  allowSpot: false,
   image: 'img-1',
   imageGb: 0,
-  estimate: 0n,
-  checkpoint: 0n,
-  save: 0n,
-  due: null,
+  estimatedDuration: 0n,
+  checkpointInterval: 0n,
+  checkpointDuration: 0n,
+  deadline: null,
   dependencies: [],
 };
 
@@ -136,7 +136,7 @@
 
 // The words are stored in records under other words: both sides of the table are part of an external form.
 test('every shape and precedence has its word', () => {
-  const read = (shape: string, precedence: string): Spec =>
+  const read = (shape: string, precedence: string): JobSpec =>
     valueOf(
       parseSubmission(
         JSON.parse(
@@ -235,27 +235,77 @@
     'awBlYmF0b24AZ3RpY2tldHOA',
 };
 
-const report: Report = {
-  machine: 'n-000231',
+const report: Heartbeat = {
+  machineName: 'n-000231',
   endpoint: '10.1.0.232:9000',
   type: 'g8',
   zone: 'a',
   spot: true,
-  session: 1,
-  seq: 88,
-  token: 41,
-  notice: seconds(62.5),
+  agentEpoch: 1,
+  sequence: 88,
+  fencingToken: 41,
+  preemptionNotice: seconds(62.5),
   tasks: [
-    { job: 'req-000412', task: 0, attempt: 2, state: 'fetching', why: null, saved: false },
-    { job: 'req-000412', task: 1, attempt: 2, state: 'waiting', why: null, saved: false },
-    { job: 'req-000412', task: 2, attempt: 2, state: 'running', why: null, saved: false },
-    { job: 'req-000412', task: 3, attempt: 2, state: 'saving', why: null, saved: false },
-    { job: 'req-000398', task: 0, attempt: 1, state: 'exited', why: 'done', saved: false },
-    { job: 'req-000399', task: 10, attempt: 1, state: 'exited', why: 'stopped', saved: true },
-    { job: 'req-000399', task: 11, attempt: 1, state: 'exited', why: 'no_such', saved: false },
+    {
+      jobId: 'req-000412',
+      taskIndex: 0,
+      attempt: 2,
+      state: 'fetching',
+      exitReason: null,
+      checkpointed: false,
+    },
+    {
+      jobId: 'req-000412',
+      taskIndex: 1,
+      attempt: 2,
+      state: 'waiting',
+      exitReason: null,
+      checkpointed: false,
+    },
+    {
+      jobId: 'req-000412',
+      taskIndex: 2,
+      attempt: 2,
+      state: 'running',
+      exitReason: null,
+      checkpointed: false,
+    },
+    { jobId: 'req-000412', taskIndex: 3, attempt: 2, state: 'saving', exitReason: null, checkpointed: false },
+    {
+      jobId: 'req-000398',
+      taskIndex: 0,
+      attempt: 1,
+      state: 'exited',
+      exitReason: 'done',
+      checkpointed: false,
+    },
+    {
+      jobId: 'req-000399',
+      taskIndex: 10,
+      attempt: 1,
+      state: 'exited',
+      exitReason: 'stopped',
+      checkpointed: true,
+    },
+    {
+      jobId: 'req-000399',
+      taskIndex: 11,
+      attempt: 1,
+      state: 'exited',
+      exitReason: 'no_such',
+      checkpointed: false,
+    },
   ],
 };
-const quiet: Report = { ...report, spot: false, session: 2, seq: 0, token: 0, notice: null, tasks: [] };
+const quiet: Heartbeat = {
+  ...report,
+  spot: false,
+  agentEpoch: 2,
+  sequence: 0,
+  fencingToken: 0,
+  preemptionNotice: null,
+  tasks: [],
+};
 
 /** The same report with its number as a big integer, which only the schema takes. */
 const bySchema = (body: unknown): unknown => {
@@ -273,11 +323,11 @@
   }
 });
 
-const ORDERS: readonly Order[] = [
-  { op: 'start', job: 'req-000412', task: 4, attempt: 2 },
-  { op: 'stop', job: 'req-000377', task: 1, attempt: 1, grace: 10 },
-  { op: 'stop', job: 'req-000377', task: 2, attempt: 1 },
-  { op: 'forget', job: 'req-000398', task: 0, attempt: 1 },
+const ORDERS: readonly WorkerCommand[] = [
+  { op: 'start', jobId: 'req-000412', taskIndex: 4, attempt: 2 },
+  { op: 'stop', jobId: 'req-000377', taskIndex: 1, attempt: 1, gracePeriodS: 10 },
+  { op: 'stop', jobId: 'req-000377', taskIndex: 2, attempt: 1 },
+  { op: 'forget', jobId: 'req-000398', taskIndex: 0, attempt: 1 },
 ];
 const IN_ANSWER: Golden = {
   text: '{"baton":41,"orders":[{"verb":"run","ticket":"req-000412/4","try":2},{"verb":"halt","ticket":"req-000377/1","try":1,"windDownS":10},{"verb":"halt","ticket":"req-000377/2","try":1,"windDownS":0},{"verb":"forget","ticket":"req-000398/0","try":1}]}',
@@ -365,11 +415,11 @@
     fetchGbPerS: 1.5,
     price: 12,
     spotPrice: 4.5,
-    boot: seconds(45),
+    bootTime: seconds(45),
     zones: ['a', 'b'],
   },
 ];
-const listed: Listed[] = [
+const listed: CloudInstance[] = [
   {
     name: 'n-000231',
     endpoint: '10.1.0.232:9000',
--- a/test/golden-settings.test.ts
+++ b/test/golden-settings.test.ts
@@ -4,7 +4,7 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { after, test } from 'node:test';
-import type { Facts, OperatorSettings } from '../src/core/model.js';
+import type { ClusterConfig, OperatorSettings } from '../src/core/model.js';
 import { seconds } from '../src/core/time.js';
 import { parseFeatures, readFeatures } from '../src/edge/features.js';
 import {
@@ -53,21 +53,21 @@
   }
 }`;
 
-const facts: Facts = {
+const facts: ClusterConfig = {
   zones: ['augusta', 'midtown'],
-  teams: [{ name: 'desk-ops', cpus: 1.5, gpus: 2, cpusMax: 8, gpusMax: 4 }],
+  teams: [{ name: 'desk-ops', fairShareCpus: 1.5, fairShareGpus: 2, cpuQuota: 8, gpuQuota: 4 }],
   objectives: [
-    { kind: 'wait', class: 'live-validator', within: seconds(1.5), share: 0.85 },
-    { kind: 'cost', class: '', within: null, share: 1 },
+    { kind: 'wait', class: 'live-validator', threshold: seconds(1.5), share: 0.85 },
+    { kind: 'cost', class: '', threshold: null, share: 1 },
   ],
-  report: seconds(3),
-  lease: seconds(24),
-  gangWait: seconds(30),
-  gangPeer: seconds(8),
-  cancel: seconds(49),
-  txnOps: 6,
-  valueBytes: 2560,
-  listLag: seconds(4),
+  heartbeatInterval: seconds(3),
+  workerLease: seconds(24),
+  gangStartTimeout: seconds(30),
+  gangPeerTimeout: seconds(8),
+  cancellationDeadline: seconds(49),
+  maxTransactionOperations: 6,
+  maxValueBytes: 2560,
+  inventoryLag: seconds(4),
 };
 
 test('the platform’s settings are read whole', () => {
@@ -103,7 +103,12 @@
 
 test('what may be left out of the platform’s settings has its value', () => {
   const platform = readPlatform(fileWith('bare.json', without(OBJECTIVES, NEXT, LIMITS, SKEW)));
-  assert.deepEqual(factsOf(platform), { ...facts, objectives: [], txnOps: 8, valueBytes: 4096 });
+  assert.deepEqual(factsOf(platform), {
+    ...facts,
+    objectives: [],
+    maxTransactionOperations: 8,
+    maxValueBytes: 4096,
+  });
   assert.equal(platform.facts.state.next, undefined);
   assert.equal(platform.facts.limits, undefined);
   assert.equal(platform.facts.skew_ms, 0);
@@ -201,9 +206,9 @@
   betaRc: 3,
   phi: 0.2,
   bandwidth: 1.5,
-  idle: seconds(20.5),
-  reserve: 0.5,
-  faultJobs: 4,
+  idleTimeout: seconds(20.5),
+  reserveShare: 0.5,
+  quarantineThreshold: 4,
 };
 
 test('the operators’ settings are read whole, and have known values without a file', () => {
@@ -215,9 +220,9 @@
     betaRc: 0.02,
     phi: 0.1,
     bandwidth: null,
-    idle: seconds(15),
-    reserve: 0.35,
-    faultJobs: 2,
+    idleTimeout: seconds(15),
+    reserveShare: 0.35,
+    quarantineThreshold: 2,
   };
   assert.deepEqual(DEFAULT_SETTINGS, defaults);
   assert.deepEqual(readOperatorSettings(undefined), defaults);
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -17,7 +17,7 @@
  * and the rest grows no faster than the fleet.
  */
 const SIZES = [1000, 4000] as const;
-const ARRAY = { cpus: 10, gpus: 1, memory: 54, tasks: 40, priority: 'low' as const };
+const ARRAY = { cpus: 10, gpus: 1, memory: 54, taskCount: 40, priority: 'low' as const };
 const TASKS_PER_MACHINE = 4;
 /** Time for all tasks to be placed, recorded and started. */
 const SETTLE_S = 10;
@@ -43,7 +43,7 @@
   const fleet = new CoreFleet(machines);
   fleet.helloAll();
   fleet.helloAll();
-  for (let n = 0; n < (machines * TASKS_PER_MACHINE) / ARRAY.tasks; n++) {
+  for (let n = 0; n < (machines * TASKS_PER_MACHINE) / ARRAY.taskCount; n++) {
     fleet.submit(`req-${n}`, ARRAY);
   }
   rest(fleet, SETTLE_S);
@@ -123,7 +123,7 @@
   fleet.commits = 0;
   const owner = fleet.newOwner();
   assert.equal(owner.state.machines.size, 4000);
-  const placed = [...owner.state.jobs.values()].reduce((sum, job) => sum + job.placedCount, 0);
+  const placed = [...owner.state.jobs.values()].reduce((sum, job) => sum + job.assignedCount, 0);
   assert.equal(placed, before);
   rest(fleet, REST_S);
   assert.equal(running(fleet), before, 'no task is started twice or stopped');
@@ -154,12 +154,18 @@
     () => clock,
   );
   const following = images.start();
-  copy.put(jobKey('req-1'), writeJob({ spec: spec('req-1'), submitted: new Date(0), standing: 'open' }));
+  copy.put(jobKey('req-1'), writeJob({ spec: spec('req-1'), submittedAt: new Date(0), status: 'open' }));
   const seen = (from: number, to: number): void => {
     const intents = Array.from({ length: to - from }, (_, n) => ({
-      ...{ task: n, attempt: 1, machine: `n-${from + n}`, session: 1, zone: 'east' },
+      ...{ taskIndex: n, attempt: 1, machineName: `n-${from + n}`, agentEpoch: 1, zone: 'east' },
     }));
-    const entries = [{ job: 'req-1', index: 0, record: { attempt: 1, done: [], intents } }];
+    const entries = [
+      {
+        jobId: 'req-1',
+        chunkIndex: 0,
+        record: { highestAttempt: 1, completedTasks: [], assignments: intents },
+      },
+    ];
     copy.put(pageKey('all', 0), writePage(entries, ['east']));
   };
   for (let n = 0; n < 100; n++) seen(100 * n, 100 * n + 100);
