--- a/test/limits-next.test.ts
+++ b/test/limits-next.test.ts
@@ -3,10 +3,10 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { test } from 'node:test';
-import { Owner } from '../src/core/owner.js';
-import { othersQuietFrom } from '../src/core/ownership-timing.js';
+import { ClusterScheduler } from '../src/core/owner.js';
+import { previousLeadersDeadlineFrom } from '../src/core/ownership-timing.js';
 import type { PageEntry } from '../src/core/record-pages.js';
-import { seconds, type Now } from '../src/core/time.js';
+import { seconds, type Timestamp } from '../src/core/time.js';
 import { DEFAULT_SETTINGS } from '../src/edge/operator-settings.js';
 import { CommitLoop } from '../src/edge/commit-loop.js';
 import { makeLog } from '../src/edge/log.js';
@@ -17,32 +17,37 @@
 import { FACTS, TYPE, spec } from './player.js';
 import { ownAddress, platform } from './standins/site.js';
 
-const at = (s: number): Now => ({
-  steady: seconds(1000 + s),
+const at = (s: number): Timestamp => ({
+  monotonic: seconds(1000 + s),
   wall: new Date(Date.UTC(2030, 0, 1) + s * 1000),
 });
 
-const SMALL = { ...FACTS, valueBytes: 2048, txnOps: 4 };
+const SMALL = { ...FACTS, maxValueBytes: 2048, maxTransactionOperations: 4 };
 const JOBS = 14;
 
-function newOwner(facts: typeof FACTS): Owner {
-  const began = at(0).steady;
-  const term = { token: 1, began, contact: began, othersQuiet: othersQuietFrom(facts, began) };
-  const owner = new Owner(facts, DEFAULT_SETTINGS, term);
-  owner.handle({ kind: 'types', types: [TYPE] }, at(0));
+function newOwner(facts: typeof FACTS): ClusterScheduler {
+  const began = at(0).monotonic;
+  const term = {
+    fencingToken: 1,
+    startedAt: began,
+    confirmedAt: began,
+    previousLeadersDeadline: previousLeadersDeadlineFrom(facts, began),
+  };
+  const owner = new ClusterScheduler(facts, DEFAULT_SETTINGS, term);
+  owner.handle({ kind: 'machine-types', types: [TYPE] }, at(0));
   return owner;
 }
 
 /** A page as a version under the larger limits left it: many jobs' places, more than may be written now. */
 function largePage(id: number): readonly PageEntry[] {
   return Array.from({ length: JOBS }, (_, n) => ({
-    job: `req-${id}${n}`,
-    index: 0,
+    jobId: `req-${id}${n}`,
+    chunkIndex: 0,
     record: {
-      attempt: 1,
-      done: [],
-      intents: Array.from({ length: 9 }, (_, task) => ({
-        ...{ task, attempt: 1, machine: `n-00000${task}`, session: 1, zone: 'east' },
+      highestAttempt: 1,
+      completedTasks: [],
+      assignments: Array.from({ length: 9 }, (_, task) => ({
+        ...{ taskIndex: task, attempt: 1, machineName: `n-00000${task}`, agentEpoch: 1, zone: 'east' },
       })),
     },
   }));
@@ -54,21 +59,22 @@
   const ids = [1, 2, 3];
   const committed = new Map(ids.map((id) => [id, writePage(largePage(id), FACTS.zones)]));
   for (const text of committed.values()) assert.ok(text.length > 2048);
-  for (const { job: id } of ids.flatMap(largePage)) {
-    const record = { spec: spec(id, { tasks: 9 }), submitted: at(0).wall, standing: 'open' as const };
-    owner.handle({ kind: 'job', id, record, stamp: 2 }, at(0));
+  for (const { jobId: id } of ids.flatMap(largePage)) {
+    const record = { spec: spec(id, { taskCount: 9 }), submittedAt: at(0).wall, status: 'open' as const };
+    owner.handle({ kind: 'job-changed', id, record, modRevision: 2 }, at(0));
   }
-  for (const id of ids) owner.handle({ kind: 'page', id, entries: largePage(id), stamp: 50 }, at(0));
-  owner.handle({ kind: 'loaded' }, at(0));
+  for (const id of ids)
+    owner.handle({ kind: 'page-loaded', id, entries: largePage(id), modRevision: 50 }, at(0));
+  owner.handle({ kind: 'load-completed' }, at(0));
   let stamp = 100;
   for (let n = 0; n < 20; n++) {
     const transaction = owner.nextTransaction(at(5));
     if (transaction === null) break;
     assert.ok(transaction.pages.length <= 4);
     for (const page of transaction.pages) committed.set(page.id, writePage(page.entries, FACTS.zones));
-    const places = [...committed.values()].flatMap(readPage).flatMap((entry) => entry.record.intents);
+    const places = [...committed.values()].flatMap(readPage).flatMap((entry) => entry.record.assignments);
     assert.equal(places.length, ids.length * JOBS * 9);
-    owner.handle({ kind: 'settled', transaction, stamp: ++stamp }, at(5));
+    owner.handle({ kind: 'transaction-committed', transaction, modRevision: ++stamp }, at(5));
   }
   assert.ok(committed.size > ids.length);
   for (const text of committed.values()) assert.ok(text.length <= 2048, `${text.length} bytes`);
@@ -81,7 +87,7 @@
   const read = (next: unknown): { readonly txnOps: number; readonly valueBytes: number } => {
     const p = platform('one', ownAddress(), ownAddress(), { addr: ownAddress() });
     writeFileSync(file, JSON.stringify({ ...p, facts: { ...p.facts, state: { ...p.facts.state, next } } }));
-    const { txnOps, valueBytes } = factsOf(readPlatform(file));
+    const { maxTransactionOperations: txnOps, maxValueBytes: valueBytes } = factsOf(readPlatform(file));
     return { txnOps, valueBytes };
   };
   assert.deepEqual(read({ value_kb: 2, txn_ops: 3, write_rps: 10 }), { txnOps: 3, valueBytes: 2048 });
@@ -102,7 +108,7 @@
 
 // Nothing tells when the lower limit comes into force but its first refusal.
 test('once the state service refuses for too many changes, the owner keeps to what was announced', async () => {
-  const facts = { ...FACTS, txnOps: 8 };
+  const facts = { ...FACTS, maxTransactionOperations: 8 };
   const secondCommitAfter = async (nextWriteRps: number): Promise<number> => {
     const sent: number[] = [];
     const answers = [
@@ -112,12 +118,18 @@
     ];
     const pages = Array.from({ length: 8 }, (_, id) => ({
       id,
-      stamp: 1,
+      modRevision: 1,
       version: 1,
       entries: [],
       chunks: [],
     }));
-    const transaction = { token: 1, jobs: new Map(), pages, done: [], cancelled: [] };
+    const transaction = {
+      fencingToken: 1,
+      guardedJobs: new Map(),
+      pages,
+      completedJobs: [],
+      cancelledJobs: [],
+    };
     const store = {
       commit: () => {
         sent.push(performance.now());
--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -84,7 +84,7 @@
 });
 
 test('a value that is not what its key says is found before anyone relies on it', () => {
-  const record = { spec: spec('req-1'), submitted: new Date(0), standing: 'open' as const };
+  const record = { spec: spec('req-1'), submittedAt: new Date(0), status: 'open' as const };
   assert.ok(isReadable('main/job/req-1', decode(encode(writeJob(record)))));
   assert.ok(isReadable('main/part/all', { label: 'a', incarnation: 'b' }));
   for (const [key, value] of [
@@ -118,7 +118,7 @@
     () => undefined,
   );
   const running = workers.start();
-  const start = { op: 'start', job: 'req-1', task: 0, attempt: 1 } as const;
+  const start = { op: 'start', jobId: 'req-1', taskIndex: 0, attempt: 1 } as const;
   const at = (n: number): string => `127.0.0.${n + 1}:${port}`;
   for (let n = 0; n < 40; n++) workers.push({ machine: `q${n}`, endpoint: at(n), session: 1, orders: [] });
   for (let n = 40; n < 44; n++)
--- a/test/outbox.test.ts
+++ b/test/outbox.test.ts
@@ -1,13 +1,13 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Owner } from '../src/core/owner.js';
-import { othersQuietFrom } from '../src/core/ownership-timing.js';
-import { seconds, type Now } from '../src/core/time.js';
+import { ClusterScheduler } from '../src/core/owner.js';
+import { previousLeadersDeadlineFrom } from '../src/core/ownership-timing.js';
+import { seconds, type Timestamp } from '../src/core/time.js';
 import { DEFAULT_SETTINGS } from '../src/edge/operator-settings.js';
 import { FACTS, TYPE, spec } from './player.js';
 
-const at = (s: number): Now => ({
-  steady: seconds(1000 + s),
+const at = (s: number): Timestamp => ({
+  monotonic: seconds(1000 + s),
   wall: new Date(Date.UTC(2030, 0, 1) + s * 1000),
 });
 
@@ -15,36 +15,58 @@
 // committed, and a page with more of them than a transaction takes conditions could never be written.
 test('however many small jobs start at once, all their places come to be committed', () => {
   for (const txnOps of [4, 8]) {
-    const began = at(0).steady;
-    const term = { token: 1, began, contact: began, othersQuiet: othersQuietFrom(FACTS, began) };
-    const owner = new Owner({ ...FACTS, txnOps }, DEFAULT_SETTINGS, term);
-    owner.handle({ kind: 'types', types: [{ ...TYPE, cpus: 1000, gpus: 1000, memory: 10_000 }] }, at(0));
+    const began = at(0).monotonic;
+    const term = {
+      fencingToken: 1,
+      startedAt: began,
+      confirmedAt: began,
+      previousLeadersDeadline: previousLeadersDeadlineFrom(FACTS, began),
+    };
+    const owner = new ClusterScheduler(
+      { ...FACTS, maxTransactionOperations: txnOps },
+      DEFAULT_SETTINGS,
+      term,
+    );
+    owner.handle(
+      { kind: 'machine-types', types: [{ ...TYPE, cpus: 1000, gpus: 1000, memory: 10_000 }] },
+      at(0),
+    );
     for (const seq of [1, 2]) {
-      const machine = { machine: 'm1', endpoint: 'm1:1', type: 'big', zone: 'east', spot: false };
+      const machine = { machineName: 'm1', endpoint: 'm1:1', type: 'big', zone: 'east', spot: false };
       owner.handle(
-        { kind: 'report', report: { ...machine, session: 1, seq, token: 1, notice: null, tasks: [] } },
+        {
+          kind: 'heartbeat',
+          heartbeat: {
+            ...machine,
+            agentEpoch: 1,
+            sequence: seq,
+            fencingToken: 1,
+            preemptionNotice: null,
+            tasks: [],
+          },
+        },
         at(0),
       );
     }
     owner.state.needPass = false;
     for (let n = 0; n < 240; n++) {
-      const record = { spec: spec(`req-${n}`), submitted: at(0).wall, standing: 'open' as const };
-      owner.state.passedAt = at(100).steady;
-      owner.handle({ kind: 'job', id: `req-${n}`, record, stamp: n + 2 }, at(0));
+      const record = { spec: spec(`req-${n}`), submittedAt: at(0).wall, status: 'open' as const };
+      owner.state.passedAt = at(100).monotonic;
+      owner.handle({ kind: 'job-changed', id: `req-${n}`, record, modRevision: n + 2 }, at(0));
     }
     owner.state.passedAt = began;
-    owner.handle({ kind: 'contact', at: at(1).steady }, at(1));
+    owner.handle({ kind: 'leadership-confirmed', confirmedAt: at(1).monotonic }, at(1));
     owner.handle({ kind: 'tick' }, at(3));
     let stamp = 1000;
     for (let n = 0; n < 200; n++) {
       const transaction = owner.nextTransaction(at(10));
       if (transaction === null) break;
-      assert.ok(transaction.jobs.size + transaction.pages.length + 1 <= 4 * txnOps);
-      owner.handle({ kind: 'settled', transaction, stamp: ++stamp }, at(10));
+      assert.ok(transaction.guardedJobs.size + transaction.pages.length + 1 <= 4 * txnOps);
+      owner.handle({ kind: 'transaction-committed', transaction, modRevision: ++stamp }, at(10));
     }
-    const placed = [...owner.state.jobs.values()].filter((job) => job.placedCount > 0);
+    const placed = [...owner.state.jobs.values()].filter((job) => job.assignedCount > 0);
     assert.equal(placed.length, 240);
-    const open = [...owner.state.pages.values()].filter((page) => page.version > page.committed);
+    const open = [...owner.state.pages.values()].filter((page) => page.version > page.committedVersion);
     assert.equal(open.length, 0, `${open.length} pages are never committed with ${txnOps} changes`);
   }
 });
--- a/test/parts.test.ts
+++ b/test/parts.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { contention, grantedCpu } from '../src/core/placement.js';
-import { answeringSpan, othersQuietFrom } from '../src/core/ownership-timing.js';
+import { contentionCost, grantedCpu } from '../src/core/placement.js';
+import { acknowledgementWindow, previousLeadersDeadlineFrom } from '../src/core/ownership-timing.js';
 import { seconds, toSeconds } from '../src/core/time.js';
 import { DEFAULT_SETTINGS, parseOperatorSettings } from '../src/edge/operator-settings.js';
 import { decode, encode } from '../src/wire/cbor.js';
@@ -9,12 +9,12 @@
 import { headOf } from '../src/edge/reports.js';
 import { parseReport, parseSubmission } from '../src/wire/dialect.js';
 import { countsIn, pageKey, parseKey, readPage, writePage } from '../src/wire/records.js';
-import { CHUNK_TASKS, recordOf } from '../src/core/chunks.js';
-import { endIntent, place } from '../src/core/intents.js';
-import { machineOf } from '../src/core/machine-registry.js';
-import { changesIn, settled } from '../src/core/outbox.js';
-import { Owner } from '../src/core/owner.js';
-import { entriesOf } from '../src/core/record-pages.js';
+import { CHUNK_TASKS, chunkRecordOf } from '../src/core/chunks.js';
+import { endAssignment, assignTask } from '../src/core/intents.js';
+import { getOrAddMachine } from '../src/core/machine-registry.js';
+import { operationCount, onCommitted } from '../src/core/outbox.js';
+import { ClusterScheduler } from '../src/core/owner.js';
+import { pageEntriesOf } from '../src/core/record-pages.js';
 import { FACTS, spec } from './player.js';
 
 test('whole numbers above 32 bits stay integers on the wire, and fields without a value are left out', () => {
@@ -28,17 +28,17 @@
   assert.equal(grantedCpu(4, 4, 0.5), 4);
   assert.equal(grantedCpu(2, 6, 0.5), 3);
   assert.equal(grantedCpu(2, 48, 0.5), 4);
-  assert.equal(contention(0, DEFAULT_SETTINGS), 0);
+  assert.equal(contentionCost(0, DEFAULT_SETTINGS), 0);
   assert.ok(
-    Math.abs(contention(3, DEFAULT_SETTINGS) - (DEFAULT_SETTINGS.betaCs + 4 * DEFAULT_SETTINGS.betaRc)) <
+    Math.abs(contentionCost(3, DEFAULT_SETTINGS) - (DEFAULT_SETTINGS.betaCs + 4 * DEFAULT_SETTINGS.betaRc)) <
       1e-12,
   );
 });
 
 test('the lease and the time a cut owner answers fit in the time a cancellation has', () => {
-  const span = answeringSpan(FACTS);
-  assert.ok(span > 0n && toSeconds(span + FACTS.lease) < toSeconds(FACTS.cancel));
-  assert.ok(othersQuietFrom(FACTS, 0n) > span);
+  const span = acknowledgementWindow(FACTS);
+  assert.ok(span > 0n && toSeconds(span + FACTS.workerLease) < toSeconds(FACTS.cancellationDeadline));
+  assert.ok(previousLeadersDeadlineFrom(FACTS, 0n) > span);
 });
 
 test("operators' settings: ranges and the line of a mistake", () => {
@@ -52,28 +52,33 @@
 });
 
 test('a page with the longest names stays below the value limit, and comes back as it was', () => {
-  const owner = new Owner(FACTS, DEFAULT_SETTINGS, { token: 1, began: 0n, contact: 0n, othersQuiet: 0n });
-  const now = { steady: 0n, wall: new Date(0) };
+  const owner = new ClusterScheduler(FACTS, DEFAULT_SETTINGS, {
+    fencingToken: 1,
+    startedAt: 0n,
+    confirmedAt: 0n,
+    previousLeadersDeadline: 0n,
+  });
+  const now = { monotonic: 0n, wall: new Date(0) };
   const zone = 'a-zone-with-a-name';
   for (let n = 0; n < 12; n++) {
     const id = `req-00000${n}`;
-    const record = { spec: spec(id, { tasks: 100_000 }), submitted: now.wall, standing: 'open' as const };
-    owner.handle({ kind: 'job', id, record, stamp: n + 1 }, now);
+    const record = { spec: spec(id, { taskCount: 100_000 }), submittedAt: now.wall, status: 'open' as const };
+    owner.handle({ kind: 'job-changed', id, record, modRevision: n + 1 }, now);
   }
-  const machine = machineOf(owner.state, 'n-000000231', 0n);
-  machine.session = 999;
+  const machine = getOrAddMachine(owner.state, 'n-000000231', 0n);
+  machine.agentEpoch = 999;
   machine.zone = zone;
   for (const job of owner.state.jobs.values())
-    for (let t = 0; t < 3 * CHUNK_TASKS; t++) place(owner.state, job, 99_000 + t, 9999, machine, 0n);
+    for (let t = 0; t < 3 * CHUNK_TASKS; t++) assignTask(owner.state, job, 99_000 + t, 9999, machine, 0n);
   assert.ok(owner.state.pages.size > 12 && owner.state.pages.size < 40, `${owner.state.pages.size} pages`);
   for (const page of owner.state.pages.values()) {
-    const entries = entriesOf(page, recordOf);
+    const entries = pageEntriesOf(page, chunkRecordOf);
     const out = writePage(entries, ['east', 'west']);
     assert.ok(JSON.stringify(out).length <= 4096, `${out.length} characters`);
     assert.deepEqual(readPage(decode(encode(out))), entries);
     assert.equal(
       countsIn(out).reduce((sum, c) => sum + c.placed, 0),
-      entries.reduce((sum, entry) => sum + entry.record.intents.length, 0),
+      entries.reduce((sum, entry) => sum + entry.record.assignments.length, 0),
     );
   }
   assert.deepEqual(parseKey(pageKey('all', 3)), { kind: 'page', part: 'all', id: 3 });
@@ -105,8 +110,8 @@
   const r = parseSubmission(BODY);
   assert.ok(r.ok);
   assert.equal(r.value.kind, 'gang');
-  assert.equal(r.value.types, null);
-  assert.equal(r.value.due, seconds(900));
+  assert.equal(r.value.machineTypes, null);
+  assert.equal(r.value.deadline, seconds(900));
   for (const wrong of [
     { tickets: 0 },
     { tickets: 1.5 },
@@ -121,32 +126,37 @@
 
 test('a job that is done is marked so however many pages go on changing', () => {
   // Seen on a large fleet: pages took every change of every transaction, and users heard of the end 100 s late.
-  const owner = new Owner(FACTS, DEFAULT_SETTINGS, { token: 1, began: 0n, contact: 0n, othersQuiet: 0n });
+  const owner = new ClusterScheduler(FACTS, DEFAULT_SETTINGS, {
+    fencingToken: 1,
+    startedAt: 0n,
+    confirmedAt: 0n,
+    previousLeadersDeadline: 0n,
+  });
   const state = owner.state;
-  const now = { steady: seconds(1), wall: new Date(0) };
-  const machine = machineOf(state, 'm', 0n);
-  machine.session = 1;
+  const now = { monotonic: seconds(1), wall: new Date(0) };
+  const machine = getOrAddMachine(state, 'm', 0n);
+  machine.agentEpoch = 1;
   const add = (id: string, tasks: number): void => {
-    const record = { spec: spec(id, { tasks }), submitted: now.wall, standing: 'open' as const };
-    owner.handle({ kind: 'job', id, record, stamp: 5 }, now);
+    const record = { spec: spec(id, { taskCount: tasks }), submittedAt: now.wall, status: 'open' as const };
+    owner.handle({ kind: 'job-changed', id, record, modRevision: 5 }, now);
   };
   add('req-1', 1);
   const first = state.jobs.get('req-1');
   assert.ok(first !== undefined);
-  const intent = place(state, first, 0, 1, machine, now.steady);
-  settled(state, owner.nextTransaction(now) ?? assert.fail('nothing to commit'), 10, now);
-  for (let n = 0; n < 3 * FACTS.txnOps; n++) {
+  const intent = assignTask(state, first, 0, 1, machine, now.monotonic);
+  onCommitted(state, owner.nextTransaction(now) ?? assert.fail('nothing to commit'), 10, now);
+  for (let n = 0; n < 3 * FACTS.maxTransactionOperations; n++) {
     add(`req-2${n}`, 120);
     const job = state.jobs.get(`req-2${n}`);
-    if (job !== undefined) for (let t = 0; t < 120; t++) place(state, job, t, 1, machine, now.steady);
+    if (job !== undefined) for (let t = 0; t < 120; t++) assignTask(state, job, t, 1, machine, now.monotonic);
   }
-  endIntent(state, intent, true, 'done', now.steady);
+  endAssignment(state, intent, true, 'done', now.monotonic);
   const told: string[] = [];
   for (let n = 0; n < 4 && told.length === 0; n++) {
     const transaction = owner.nextTransaction(now) ?? assert.fail('nothing to commit');
-    assert.ok(changesIn(transaction) <= FACTS.txnOps);
-    told.push(...transaction.done);
-    settled(state, transaction, 20 + n, now);
+    assert.ok(operationCount(transaction) <= FACTS.maxTransactionOperations);
+    told.push(...transaction.completedJobs);
+    onCommitted(state, transaction, 20 + n, now);
   }
   assert.deepEqual(told, ['req-1']);
 });
@@ -171,12 +181,12 @@
   assert.ok(plain.ok && long.ok);
   assert.deepEqual(plain.value, long.value);
   assert.deepEqual(plain.value.tasks[0], {
-    job: 'req-000412',
-    task: 3,
+    jobId: 'req-000412',
+    taskIndex: 3,
     attempt: 2,
     state: 'exited',
-    why: 'done',
-    saved: false,
+    exitReason: 'done',
+    checkpointed: false,
   });
   for (const wrong of [
     { rig: '' },
--- a/test/player.ts
+++ b/test/player.ts
@@ -1,33 +1,41 @@
 import assert from 'node:assert/strict';
-import { Owner, type Event } from '../src/core/owner.js';
-import type { Facts, JobRecord, Listed, MachineType, Report, SeenTask, Spec } from '../src/core/model.js';
+import { ClusterScheduler, type Event } from '../src/core/owner.js';
+import type {
+  ClusterConfig,
+  JobRecord,
+  CloudInstance,
+  MachineType,
+  Heartbeat,
+  ReportedTask,
+  JobSpec,
+} from '../src/core/model.js';
 import type { Transaction } from '../src/core/outbox.js';
-import { waitingInOrder } from '../src/core/placement-pass.js';
-import { othersQuietFrom } from '../src/core/ownership-timing.js';
-import { seconds, type Now } from '../src/core/time.js';
-import type { Effect, Order } from '../src/core/cluster-state.js';
+import { pendingJobsInOrder } from '../src/core/placement-pass.js';
+import { previousLeadersDeadlineFrom } from '../src/core/ownership-timing.js';
+import { seconds, type Timestamp } from '../src/core/time.js';
+import type { Effect, WorkerCommand } from '../src/core/cluster-state.js';
 import { DEFAULT_SETTINGS } from '../src/edge/operator-settings.js';
 
 /**
  * Plays a trace: one line per event, `>` lines for what must come out, `=` lines for what must hold. Traces are kept in
  * `test/traces` and read from top to bottom; docs in `test/traces/README.md`.
  */
-export const FACTS: Facts = {
+export const FACTS: ClusterConfig = {
   zones: ['east', 'west'],
   teams: [
-    { name: 'red', cpus: 0, gpus: 0, cpusMax: 0, gpusMax: 0 },
-    { name: 'blue', cpus: 0, gpus: 2, cpusMax: 0, gpusMax: 4 },
-    { name: 'green', cpus: 0, gpus: 2, cpusMax: 0, gpusMax: 4 },
+    { name: 'red', fairShareCpus: 0, fairShareGpus: 0, cpuQuota: 0, gpuQuota: 0 },
+    { name: 'blue', fairShareCpus: 0, fairShareGpus: 2, cpuQuota: 0, gpuQuota: 4 },
+    { name: 'green', fairShareCpus: 0, fairShareGpus: 2, cpuQuota: 0, gpuQuota: 4 },
   ],
   objectives: [],
-  report: seconds(1),
-  lease: seconds(10),
-  gangWait: seconds(30),
-  gangPeer: seconds(8),
-  cancel: seconds(30),
-  txnOps: 8,
-  valueBytes: 4096,
-  listLag: seconds(4),
+  heartbeatInterval: seconds(1),
+  workerLease: seconds(10),
+  gangStartTimeout: seconds(30),
+  gangPeerTimeout: seconds(8),
+  cancellationDeadline: seconds(30),
+  maxTransactionOperations: 8,
+  maxValueBytes: 4096,
+  inventoryLag: seconds(4),
 };
 
 export const TYPE: MachineType = {
@@ -39,32 +47,32 @@
   fetchGbPerS: 1,
   price: 10,
   spotPrice: 4,
-  boot: seconds(30),
+  bootTime: seconds(30),
   zones: ['east', 'west'],
 };
 
-export function spec(id: string, over: Partial<Spec> = {}): Spec {
+export function spec(id: string, over: Partial<JobSpec> = {}): JobSpec {
   return {
     id,
     class: 'work',
     team: 'red',
     kind: 'array',
     priority: 'normal',
-    tasks: 1,
+    taskCount: 1,
     cpus: 2,
     gpus: 1,
     memory: 8,
-    types: null,
+    machineTypes: null,
     zone: null,
-    oneZone: false,
-    spread: false,
-    spot: false,
+    singleZone: false,
+    spreadAcrossZones: false,
+    allowSpot: false,
     image: 'img',
     imageGb: 2,
-    estimate: seconds(30),
-    checkpoint: 0n,
-    save: 0n,
-    due: null,
+    estimatedDuration: seconds(30),
+    checkpointInterval: 0n,
+    checkpointDuration: 0n,
+    deadline: null,
     dependencies: [],
     ...over,
   };
@@ -87,7 +95,7 @@
 const flag = (v: string | undefined): boolean => v === 'yes';
 
 export class Player {
-  readonly owner: Owner;
+  readonly owner: ClusterScheduler;
   private at = 0;
   private out: string[] = [];
   private transaction: Transaction | null = null;
@@ -95,19 +103,19 @@
   private readonly seqs = new Map<string, number>();
 
   constructor(readonly token = 100) {
-    const began = this.now().steady;
-    this.owner = new Owner(FACTS, DEFAULT_SETTINGS, {
-      token,
-      began,
-      contact: began,
-      othersQuiet: othersQuietFrom(FACTS, began),
+    const began = this.now().monotonic;
+    this.owner = new ClusterScheduler(FACTS, DEFAULT_SETTINGS, {
+      fencingToken: token,
+      startedAt: began,
+      confirmedAt: began,
+      previousLeadersDeadline: previousLeadersDeadlineFrom(FACTS, began),
     });
     this.stamp = token + 1;
-    this.event({ kind: 'types', types: [TYPE] });
+    this.event({ kind: 'machine-types', types: [TYPE] });
   }
 
-  now(): Now {
-    return { steady: seconds(1000 + this.at), wall: new Date(Date.UTC(2030, 0, 1) + this.at * 1000) };
+  now(): Timestamp {
+    return { monotonic: seconds(1000 + this.at), wall: new Date(Date.UTC(2030, 0, 1) + this.at * 1000) };
   }
 
   event(event: Event): void {
@@ -115,13 +123,13 @@
   }
 
   private record(effect: Effect): void {
-    if (effect.kind === 'direct' && effect.orders.length > 0)
-      for (const order of effect.orders) this.out.push(`direct ${effect.machine} ${orderText(order)}`);
-    else if (effect.kind === 'direct') this.out.push(`fence ${effect.machine}`);
-    else if (effect.kind === 'return') this.out.push(`return ${effect.machines.join(',')}`);
-    else if (effect.kind === 'raise') this.out.push('raise');
-    else if (effect.kind === 'abdicate') this.out.push('abdicate');
-    else if (effect.kind === 'deposed') this.out.push(`deposed ${effect.token}`);
+    if (effect.kind === 'send-commands' && effect.commands.length > 0)
+      for (const order of effect.commands) this.out.push(`direct ${effect.machineName} ${orderText(order)}`);
+    else if (effect.kind === 'send-commands') this.out.push(`fence ${effect.machineName}`);
+    else if (effect.kind === 'scale-in') this.out.push(`return ${effect.machineNames.join(',')}`);
+    else if (effect.kind === 'advance-token') this.out.push('raise');
+    else if (effect.kind === 'step-down') this.out.push('abdicate');
+    else if (effect.kind === 'superseded') this.out.push(`deposed ${effect.fencingToken}`);
   }
 
   play(text: string, name: string): void {
@@ -151,7 +159,7 @@
         this.event({ kind: 'tick' });
         break;
       case 'contact':
-        this.event({ kind: 'contact', at: this.now().steady });
+        this.event({ kind: 'leadership-confirmed', confirmedAt: this.now().monotonic });
         break;
       case 'job':
         this.job(name, args);
@@ -160,7 +168,7 @@
         this.standing(name, 'cancelled');
         break;
       case 'ended':
-        this.event({ kind: 'ended', id: name, standing: bare[1] === 'done' ? 'done' : 'cancelled' });
+        this.event({ kind: 'job-finished', id: name, status: bare[1] === 'done' ? 'done' : 'cancelled' });
         break;
       case 'held':
         this.held(name, bare[1] ?? '', args);
@@ -181,17 +189,17 @@
         this.commit();
         break;
       case 'raised':
-        this.event({ kind: 'raised', token: Number(name) });
+        this.event({ kind: 'token-advanced', fencingToken: Number(name) });
         break;
       case 'list':
         this.event({
-          kind: 'list',
+          kind: 'instance-inventory',
           machines: bare.map(listedOf),
-          sent: seconds(1000 + num(args['sent'], this.at)),
+          requestedAt: seconds(1000 + num(args['sent'], this.at)),
         });
         break;
       case 'returned':
-        this.event({ kind: 'returned', machines: [name], ok: true });
+        this.event({ kind: 'scale-in-answered', machines: [name], succeeded: true });
         break;
       default:
         throw new Error(`unknown line "${line}"`);
@@ -200,76 +208,98 @@
 
   private job(id: string, a: Args): void {
     const s = spec(id, {
-      kind: (a['kind'] ?? 'array') as Spec['kind'],
+      kind: (a['kind'] ?? 'array') as JobSpec['kind'],
       team: a['team'] ?? 'red',
-      priority: (a['priority'] ?? 'normal') as Spec['priority'],
-      tasks: num(a['tasks'], 1),
+      priority: (a['priority'] ?? 'normal') as JobSpec['priority'],
+      taskCount: num(a['tasks'], 1),
       gpus: num(a['gpus'], 1),
       cpus: num(a['cpus'], 2),
-      oneZone: flag(a['onezone']),
-      spread: flag(a['spread']),
-      checkpoint: seconds(num(a['checkpoint'], 0)),
-      save: seconds(num(a['save'], 0)),
+      singleZone: flag(a['onezone']),
+      spreadAcrossZones: flag(a['spread']),
+      checkpointInterval: seconds(num(a['checkpoint'], 0)),
+      checkpointDuration: seconds(num(a['save'], 0)),
       image: a['image'] ?? 'img',
       imageGb: num(a['gb'], 2),
-      estimate: seconds(num(a['estimate'], 30)),
-      due: a['due'] === undefined ? null : seconds(Number(a['due'])),
+      estimatedDuration: seconds(num(a['estimate'], 30)),
+      deadline: a['due'] === undefined ? null : seconds(Number(a['due'])),
       dependencies: (a['after'] ?? '').split(',').filter(Boolean),
     });
-    const record: JobRecord = { spec: s, submitted: this.now().wall, standing: 'open' };
-    this.event({ kind: 'job', id, record, stamp: ++this.stamp });
+    const record: JobRecord = { spec: s, submittedAt: this.now().wall, status: 'open' };
+    this.event({ kind: 'job-changed', id, record, modRevision: ++this.stamp });
   }
 
   private standing(id: string, standing: 'cancelled'): void {
     const job = this.owner.state.jobs.get(id);
     assert.ok(job !== undefined, `no job ${id}`);
-    const record: JobRecord = { spec: job.spec, submitted: job.submitted, standing };
-    this.event({ kind: 'job', id, record, stamp: ++this.stamp });
+    const record: JobRecord = { spec: job.spec, submittedAt: job.submittedAt, status: standing };
+    this.event({ kind: 'job-changed', id, record, modRevision: ++this.stamp });
   }
 
   /** A place recorded by an earlier owner, and results: `held j/0#1 m1 session=1 zone=east done=1,2`. */
   private held(ref: string, machine: string, a: Args): void {
-    const { job, task, attempt } = refOf(ref);
+    const { jobId: job, taskIndex: task, attempt } = refOf(ref);
     const done = (a['done'] ?? '').split(',').filter(Boolean).map(Number);
-    const intents = [{ task, attempt, machine, session: num(a['session'], 1), zone: a['zone'] ?? 'east' }];
+    const intents = [
+      {
+        taskIndex: task,
+        attempt,
+        machineName: machine,
+        agentEpoch: num(a['session'], 1),
+        zone: a['zone'] ?? 'east',
+      },
+    ];
     this.event({
-      kind: 'page',
+      kind: 'page-loaded',
       id: this.owner.state.pages.size,
-      entries: [{ job, index: 0, record: { attempt, done, intents } }],
-      stamp: ++this.stamp,
+      entries: [
+        {
+          jobId: job,
+          chunkIndex: 0,
+          record: { highestAttempt: attempt, completedTasks: done, assignments: intents },
+        },
+      ],
+      modRevision: ++this.stamp,
     });
   }
 
-  private makeReport(machine: string, tasks: readonly string[], a: Args): Report {
+  private makeReport(machine: string, tasks: readonly string[], a: Args): Heartbeat {
     const seq = num(a['seq'], (this.seqs.get(machine) ?? 0) + 1);
     this.seqs.set(machine, Math.max(seq, this.seqs.get(machine) ?? 0));
     return {
-      machine,
+      machineName: machine,
       endpoint: `${machine}:1`,
       type: 'big',
       zone: a['zone'] ?? 'east',
       spot: false,
-      session: num(a['session'], 1),
-      seq,
-      token: num(a['token'], this.owner.state.token),
-      notice: null,
+      agentEpoch: num(a['session'], 1),
+      sequence: seq,
+      fencingToken: num(a['token'], this.owner.state.token),
+      preemptionNotice: null,
       tasks: tasks.map(seenOf),
     };
   }
 
   private report(machine: string, tasks: readonly string[], a: Args, answered: boolean): void {
     const report = this.makeReport(machine, tasks, a);
-    this.event({ kind: 'report', report: report });
+    this.event({ kind: 'heartbeat', heartbeat: report });
     if (!answered) return;
-    for (const order of this.owner.answer(report, this.now()))
+    for (const order of this.owner.answerHeartbeat(report, this.now()))
       this.out.push(`answer ${machine} ${orderText(order)}`);
   }
 
   /** A direct call without orders was answered: the worker's report comes with it. */
   private echo(machine: string, tasks: readonly string[], a: Args): void {
     const report = this.makeReport(machine, tasks, a);
-    const { session, token } = report;
-    this.event({ kind: 'direct', machine, session, token, orders: [], outcome: 'executed', report });
+    const { agentEpoch: session, fencingToken: token } = report;
+    this.event({
+      kind: 'commands-answered',
+      machineName: machine,
+      agentEpoch: session,
+      fencingToken: token,
+      commands: [],
+      outcome: 'executed',
+      heartbeat: report,
+    });
   }
 
   private outcome(
@@ -280,14 +310,22 @@
     const orders = refs.map((r) => ({ op: 'start' as const, ...refOf(r) }));
     const m = this.owner.state.machines.get(machine);
     const token = this.owner.state.token;
-    this.event({ kind: 'direct', machine, session: m?.session ?? 1, token, orders, outcome, report: null });
+    this.event({
+      kind: 'commands-answered',
+      machineName: machine,
+      agentEpoch: m?.agentEpoch ?? 1,
+      fencingToken: token,
+      commands: orders,
+      outcome,
+      heartbeat: null,
+    });
   }
 
   private commit(): void {
     this.transaction = this.owner.nextTransaction(this.now());
     assert.ok(this.transaction !== null, 'nothing to commit');
-    for (const id of this.transaction.done) this.out.push(`done ${id}`);
-    this.event({ kind: 'settled', transaction: this.transaction, stamp: ++this.stamp });
+    for (const id of this.transaction.completedJobs) this.out.push(`done ${id}`);
+    this.event({ kind: 'transaction-committed', transaction: this.transaction, modRevision: ++this.stamp });
   }
 
   private expect(text: string): void {
@@ -304,23 +342,24 @@
       const [id = '', ...want] = rest;
       const got: string[] = [];
       for (const chunk of this.owner.state.jobs.get(id)?.chunks.values() ?? [])
-        for (const intent of chunk.intents.values())
-          got.push(`${intent.task}#${intent.attempt}@${intent.machine}`);
+        for (const intent of chunk.assignments.values())
+          got.push(`${intent.taskIndex}#${intent.attempt}@${intent.machineName}`);
       return assert.deepEqual(got.sort(), want.sort());
     }
-    if (what === 'used') return assert.equal(this.owner.state.quota.of(rest[0] ?? '').gpus, Number(rest[1]));
+    if (what === 'used')
+      return assert.equal(this.owner.state.quota.usageOf(rest[0] ?? '').gpus, Number(rest[1]));
     if (what === 'priority') return assert.equal(this.owner.state.jobs.get(rest[0] ?? '')?.priority, rest[1]);
     if (what === 'queue')
       return assert.deepEqual(
-        waitingInOrder(this.owner.state, this.now()).map((job) => job.spec.id),
+        pendingJobsInOrder(this.owner.state, this.now()).map((job) => job.spec.id),
         rest,
       );
-    if (what === 'standing') return assert.equal(this.owner.state.jobs.get(rest[0] ?? '')?.standing, rest[1]);
+    if (what === 'standing') return assert.equal(this.owner.state.jobs.get(rest[0] ?? '')?.status, rest[1]);
     throw new Error(`unknown check ${what}`);
   }
 }
 
-const listedOf = (name: string): Listed => ({
+const listedOf = (name: string): CloudInstance => ({
   name,
   endpoint: `${name}:1`,
   type: 'big',
@@ -330,19 +369,24 @@
   age: seconds(60),
 });
 
-function orderText(order: Order): string {
-  const grace = order.op === 'stop' ? ` grace=${order.grace ?? 0}` : '';
-  return `${order.op} ${order.job}/${order.task}#${order.attempt}${grace}`;
+function orderText(order: WorkerCommand): string {
+  const grace = order.op === 'stop' ? ` grace=${order.gracePeriodS ?? 0}` : '';
+  return `${order.op} ${order.jobId}/${order.taskIndex}#${order.attempt}${grace}`;
 }
 
-function refOf(ref: string): { job: string; task: number; attempt: number } {
+function refOf(ref: string): { jobId: string; taskIndex: number; attempt: number } {
   const m = /^(.+)\/(\d+)#(\d+)$/.exec(ref);
   assert.ok(m !== null, `not a task: ${ref}`);
-  return { job: m[1] ?? '', task: Number(m[2]), attempt: Number(m[3]) };
+  return { jobId: m[1] ?? '', taskIndex: Number(m[2]), attempt: Number(m[3]) };
 }
 
 /** `j/0#1:running` or `j/0#1:exited:done`. */
-function seenOf(text: string): SeenTask {
+function seenOf(text: string): ReportedTask {
   const [ref = '', state = 'running', why] = text.split(':');
-  return { ...refOf(ref), state: state as SeenTask['state'], why: why ?? null, saved: false };
+  return {
+    ...refOf(ref),
+    state: state as ReportedTask['state'],
+    exitReason: why ?? null,
+    checkpointed: false,
+  };
 }
--- a/test/random.test.ts
+++ b/test/random.test.ts
@@ -2,13 +2,13 @@
 import { test } from 'node:test';
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
-import { Owner, type Event } from '../src/core/owner.js';
-import type { JobRecord, Report, SeenTask } from '../src/core/model.js';
+import { ClusterScheduler, type Event } from '../src/core/owner.js';
+import type { JobRecord, Heartbeat, ReportedTask } from '../src/core/model.js';
 import type { Transaction } from '../src/core/outbox.js';
 import type { PageEntry } from '../src/core/record-pages.js';
-import { mayAnswer, othersQuietFrom } from '../src/core/ownership-timing.js';
-import { seconds, toSeconds, type Now } from '../src/core/time.js';
-import type { Effect, Order } from '../src/core/cluster-state.js';
+import { mayAcknowledgeHeartbeats, previousLeadersDeadlineFrom } from '../src/core/ownership-timing.js';
+import { seconds, toSeconds, type Timestamp } from '../src/core/time.js';
+import type { Effect, WorkerCommand } from '../src/core/cluster-state.js';
 import { DEFAULT_SETTINGS } from '../src/edge/operator-settings.js';
 import { FACTS, TYPE, spec } from './player.js';
 
@@ -26,18 +26,18 @@
   mute: boolean;
   /** It stands still until then, and what is sent to it waits. */
   hangs: number;
-  held: Map<string, SeenTask & { ends: number }>;
+  held: Map<string, ReportedTask & { ends: number }>;
 }
 
 /** A small world round the core: late, lost and doubled messages, sessions that end, takeovers, cancellations. */
 class Chaos {
   private readonly source;
   private at = 1000;
-  private owner: Owner;
+  private owner: ClusterScheduler;
   /** Whether there was an owner before. */
   private begun = false;
   /** The owner before, cut from the state service and the others, but not from its workers. */
-  private former: Owner | null = null;
+  private former: ClusterScheduler | null = null;
   /** The token of the part's present owner, as the store has it. */
   private part = 0;
   private rev = 1;
@@ -81,29 +81,31 @@
     return uniformInt(this.source, 0, n - 1);
   }
 
-  private now(): Now {
-    return { steady: seconds(this.at), wall: new Date(Date.UTC(2030, 0, 1) + this.at * 1000) };
+  private now(): Timestamp {
+    return { monotonic: seconds(this.at), wall: new Date(Date.UTC(2030, 0, 1) + this.at * 1000) };
   }
 
   /** A new term: a higher token, and everything known comes from what was committed. */
-  private newOwner(): Owner {
-    const began = this.now().steady;
+  private newOwner(): ClusterScheduler {
+    const began = this.now().monotonic;
     const token = ++this.rev;
     this.part = token;
-    const owner = new Owner(FACTS, DEFAULT_SETTINGS, {
-      token,
-      began,
-      contact: began,
-      othersQuiet: othersQuietFrom(FACTS, began),
+    const owner = new ClusterScheduler(FACTS, DEFAULT_SETTINGS, {
+      fencingToken: token,
+      startedAt: began,
+      confirmedAt: began,
+      previousLeadersDeadline: previousLeadersDeadlineFrom(FACTS, began),
     });
     // Half of the owners that lose the part do not know it yet and go on answering.
     this.former = this.begun && this.pick(2) === 0 ? this.owner : null;
     this.begun = true;
     this.owner = owner;
     this.busy = false;
-    this.event({ kind: 'types', types: [TYPE] });
-    for (const [id, j] of this.jobs) this.event({ kind: 'job', id, record: j.record, stamp: j.stamp });
-    for (const [id, p] of this.pages) this.event({ kind: 'page', id, entries: p.entries, stamp: p.stamp });
+    this.event({ kind: 'machine-types', types: [TYPE] });
+    for (const [id, j] of this.jobs)
+      this.event({ kind: 'job-changed', id, record: j.record, modRevision: j.stamp });
+    for (const [id, p] of this.pages)
+      this.event({ kind: 'page-loaded', id, entries: p.entries, modRevision: p.stamp });
     return owner;
   }
 
@@ -117,35 +119,35 @@
   }
 
   private effect(effect: Effect, owner = this.owner): void {
-    if (effect.kind === 'deposed' && owner === this.former) this.former = null;
-    if (effect.kind === 'raise' && owner === this.owner) {
+    if (effect.kind === 'superseded' && owner === this.former) this.former = null;
+    if (effect.kind === 'advance-token' && owner === this.owner) {
       this.later(0.5, () => {
         if (owner !== this.owner) return;
         this.part = ++this.rev;
-        this.event({ kind: 'raised', token: this.part });
+        this.event({ kind: 'token-advanced', fencingToken: this.part });
       });
     }
-    if (effect.kind !== 'direct') return;
+    if (effect.kind !== 'send-commands') return;
     const token = owner.state.token;
-    const worker = this.workers.find((worker) => worker.name === effect.machine);
+    const worker = this.workers.find((worker) => worker.name === effect.machineName);
     assert.ok(worker !== undefined);
-    const tell = (outcome: 'executed' | 'refused' | 'unknown', report: Report | null): void => {
+    const tell = (outcome: 'executed' | 'refused' | 'unknown', report: Heartbeat | null): void => {
       if (owner !== this.owner) return;
       this.event({
-        kind: 'direct',
-        machine: effect.machine,
-        session: effect.session,
-        token,
-        orders: effect.orders,
+        kind: 'commands-answered',
+        machineName: effect.machineName,
+        agentEpoch: effect.agentEpoch,
+        fencingToken: token,
+        commands: effect.commands,
         outcome,
-        report,
+        heartbeat: report,
       });
     };
     const arrive = (): boolean => {
       // Also a machine that stood still finds its lease over before it takes anything in.
       this.endLease(worker);
-      const ok = token >= worker.token && effect.session === worker.session;
-      if (ok) this.take(worker, token, effect.orders);
+      const ok = token >= worker.token && effect.agentEpoch === worker.session;
+      if (ok) this.take(worker, token, effect.commands);
       return ok;
     };
     // What is sent to a machine that stands still is carried out when it goes on.
@@ -163,78 +165,83 @@
   }
 
   private endLease(worker: Worker): void {
-    if (this.at - worker.renewed <= toSeconds(FACTS.lease)) return;
+    if (this.at - worker.renewed <= toSeconds(FACTS.workerLease)) return;
     worker.held.clear();
     worker.session += 1;
     worker.seq = 0;
     worker.renewed = this.at;
   }
 
-  private take(worker: Worker, token: number, orders: readonly Order[]): void {
+  private take(worker: Worker, token: number, orders: readonly WorkerCommand[]): void {
     if (token < worker.token) return;
     worker.token = token;
     for (const order of orders) {
-      const key = `${order.job}/${order.task}#${order.attempt}`;
+      const key = `${order.jobId}/${order.taskIndex}#${order.attempt}`;
       const held = worker.held.get(key);
       if (order.op === 'start' && held === undefined) this.start(worker, order, key);
       if (order.op === 'stop' && held !== undefined && held.state !== 'exited')
-        worker.held.set(key, { ...held, state: 'exited', why: 'stopped' });
+        worker.held.set(key, { ...held, state: 'exited', exitReason: 'stopped' });
       if (order.op === 'forget' && held?.state === 'exited') worker.held.delete(key);
     }
   }
 
-  private start(worker: Worker, order: Order, key: string): void {
+  private start(worker: Worker, order: WorkerCommand, key: string): void {
     this.starts += 1;
-    for (const id of this.jobs.get(order.job)?.record.spec.dependencies ?? []) {
+    for (const id of this.jobs.get(order.jobId)?.record.spec.dependencies ?? []) {
       this.dependentStarts += 1;
-      assert.equal(this.jobs.get(id)?.record.standing, 'done', `${key} starts too early: ${id} is not done`);
+      assert.equal(this.jobs.get(id)?.record.status, 'done', `${key} starts too early: ${id} is not done`);
     }
-    const recorded = this.entries(order.job).flatMap((entry) => entry.record.intents);
+    const recorded = this.entries(order.jobId).flatMap((entry) => entry.record.assignments);
     assert.ok(
-      recorded.some((i) => i.task === order.task && i.attempt === order.attempt && i.machine === worker.name),
+      recorded.some(
+        (i) =>
+          i.taskIndex === order.taskIndex && i.attempt === order.attempt && i.machineName === worker.name,
+      ),
       `${key} starts on ${worker.name} without a recorded place`,
     );
     for (const other of this.workers)
       for (const t of other.held.values())
         assert.ok(
-          t.state === 'exited' || t.job !== order.job || t.task !== order.task,
-          `${order.job}/${order.task} starts on ${worker.name} while on ${other.name}`,
+          t.state === 'exited' || t.jobId !== order.jobId || t.taskIndex !== order.taskIndex,
+          `${order.jobId}/${order.taskIndex} starts on ${worker.name} while on ${other.name}`,
         );
     const task = {
-      job: order.job,
-      task: order.task,
+      jobId: order.jobId,
+      taskIndex: order.taskIndex,
       attempt: order.attempt,
       state: 'running' as const,
-      why: null,
-      saved: false,
+      exitReason: null,
+      checkpointed: false,
     };
     worker.held.set(key, { ...task, ends: this.at + 2 + this.pick(15) });
   }
 
   private entries(job: string): PageEntry[] {
-    return [...this.pages.values()].flatMap((p) => p.entries.filter((entry) => entry.job === job));
+    return [...this.pages.values()].flatMap((p) => p.entries.filter((entry) => entry.jobId === job));
   }
 
-  private report(worker: Worker): Report {
+  private report(worker: Worker): Heartbeat {
     worker.seq += 1;
-    const tasks = [...worker.held.values()].map(({ job, task, attempt, state, why, saved }) => ({
-      job,
-      task,
-      attempt,
-      state,
-      why,
-      saved,
-    }));
+    const tasks = [...worker.held.values()].map(
+      ({ jobId: job, taskIndex: task, attempt, state, exitReason: why, checkpointed: saved }) => ({
+        jobId: job,
+        taskIndex: task,
+        attempt,
+        state,
+        exitReason: why,
+        checkpointed: saved,
+      }),
+    );
     return {
-      machine: worker.name,
+      machineName: worker.name,
       endpoint: `${worker.name}:1`,
       type: 'big',
       zone: worker.name < 'm3' ? 'east' : 'west',
       spot: false,
-      session: worker.session,
-      seq: worker.seq,
-      token: worker.token,
-      notice: null,
+      agentEpoch: worker.session,
+      sequence: worker.seq,
+      fencingToken: worker.token,
+      preemptionNotice: null,
       tasks,
     };
   }
@@ -245,38 +252,38 @@
     if (worker.mute) return;
     // A report that is held back arrives late and its answer is dropped; it may also come twice.
     if (worker.cut || this.pick(12) === 0)
-      return this.later(40, () => this.event({ kind: 'report', report: report }));
-    if (this.pick(8) === 0) this.later(40, () => this.event({ kind: 'report', report: report }));
+      return this.later(40, () => this.event({ kind: 'heartbeat', heartbeat: report }));
+    if (this.pick(8) === 0) this.later(40, () => this.event({ kind: 'heartbeat', heartbeat: report }));
     // Workers stay with the owner they have for as long as it answers.
     const answer = this.byFormer(report) ?? this.byOwner(report);
     if (
       worker.deaf ||
       this.pick(12) === 0 ||
       answer.token < worker.token ||
-      report.session !== worker.session
+      report.agentEpoch !== worker.session
     )
       return;
     worker.renewed = sent;
     this.take(worker, answer.token, answer.orders);
   }
 
-  private byOwner(report: Report): { token: number; orders: Order[] } {
-    this.event({ kind: 'report', report: report });
-    return { token: this.owner.state.token, orders: this.owner.answer(report, this.now()) };
+  private byOwner(report: Heartbeat): { token: number; orders: WorkerCommand[] } {
+    this.event({ kind: 'heartbeat', heartbeat: report });
+    return { token: this.owner.state.token, orders: this.owner.answerHeartbeat(report, this.now()) };
   }
 
-  private byFormer(report: Report): { token: number; orders: Order[] } | null {
+  private byFormer(report: Heartbeat): { token: number; orders: WorkerCommand[] } | null {
     const former = this.former;
     if (former === null) return null;
-    if (!mayAnswer(FACTS, former.state.contact, this.now().steady)) {
+    if (!mayAcknowledgeHeartbeats(FACTS, former.state.contact, this.now().monotonic)) {
       this.former = null;
       return null;
     }
-    for (const effect of former.handle({ kind: 'report', report: report }, this.now()))
+    for (const effect of former.handle({ kind: 'heartbeat', heartbeat: report }, this.now()))
       this.effect(effect, former);
     if (this.former === null) return null;
     this.answeredByFormer += 1;
-    return { token: former.state.token, orders: former.answer(report, this.now()) };
+    return { token: former.state.token, orders: former.answerHeartbeat(report, this.now()) };
   }
 
   private commit(): void {
@@ -288,7 +295,7 @@
   }
 
   /** One in six has no answer: it was carried out, or comes seconds later, after newer ones; it is sent again. */
-  private send(transaction: Transaction, owner: Owner, doubtful: boolean): void {
+  private send(transaction: Transaction, owner: ClusterScheduler, doubtful: boolean): void {
     const fate = this.pick(6) === 0 ? this.pick(2) : 2;
     if (fate === 0)
       this.later(12, () => {
@@ -301,16 +308,19 @@
       if (fate < 2) return this.later(1.5, () => this.send(transaction, owner, true));
       this.busy = false;
       // A page has one writer: one that moved on was moved by an earlier copy of the same transaction.
-      const moved = transaction.pages.find((page) => (this.pages.get(page.id)?.stamp ?? 0) !== page.stamp);
-      if (stamp !== null) this.event({ kind: 'settled', transaction: transaction, stamp });
+      const moved = transaction.pages.find(
+        (page) => (this.pages.get(page.id)?.stamp ?? 0) !== page.modRevision,
+      );
+      if (stamp !== null)
+        this.event({ kind: 'transaction-committed', transaction: transaction, modRevision: stamp });
       else if (doubtful && moved !== undefined)
         this.event({
-          kind: 'settled',
+          kind: 'transaction-committed',
           transaction: transaction,
-          stamp: this.pages.get(moved.id)?.stamp ?? 0,
+          modRevision: this.pages.get(moved.id)?.stamp ?? 0,
         });
       else if (doubtful && transaction.pages.length === 0 && this.isCarriedOut(transaction))
-        this.event({ kind: 'settled', transaction: transaction, stamp: this.rev });
+        this.event({ kind: 'transaction-committed', transaction: transaction, modRevision: this.rev });
       else {
         assert.equal(moved, undefined, 'one writer per page');
         this.commit();
@@ -318,8 +328,8 @@
     });
   }
 
-  private isCarriedOut({ done, cancelled }: Transaction): boolean {
-    const standing = (id: string): string | undefined => this.jobs.get(id)?.record.standing;
+  private isCarriedOut({ completedJobs: done, cancelledJobs: cancelled }: Transaction): boolean {
+    const standing = (id: string): string | undefined => this.jobs.get(id)?.record.status;
     return (
       done.every((id) => standing(id) === 'done') && cancelled.every((id) => standing(id) === 'cancelled')
     );
@@ -327,31 +337,31 @@
 
   private needsCancelled(id: string): boolean {
     return (this.jobs.get(id)?.record.spec.dependencies ?? []).some(
-      (each) => this.jobs.get(each)?.record.standing === 'cancelled' || this.needsCancelled(each),
+      (each) => this.jobs.get(each)?.record.status === 'cancelled' || this.needsCancelled(each),
     );
   }
 
   /** What the state service does with a transaction: null if one of its guards fails. */
   private carryOut(transaction: Transaction): number | null {
-    if (transaction.token !== this.part) return null;
-    for (const [id, stamp] of transaction.jobs) if (this.jobs.get(id)?.stamp !== stamp) return null;
+    if (transaction.fencingToken !== this.part) return null;
+    for (const [id, stamp] of transaction.guardedJobs) if (this.jobs.get(id)?.stamp !== stamp) return null;
     for (const page of transaction.pages)
-      if ((this.pages.get(page.id)?.stamp ?? 0) !== page.stamp) return null;
+      if ((this.pages.get(page.id)?.stamp ?? 0) !== page.modRevision) return null;
     const stamp = ++this.rev;
     for (const page of transaction.pages) this.pages.set(page.id, { entries: page.entries, stamp });
-    for (const id of transaction.done) {
+    for (const id of transaction.completedJobs) {
       const j = this.jobs.get(id);
-      assert.ok(j !== undefined && j.record.standing === 'open');
-      const all = this.entries(id).reduce((n, entry) => n + entry.record.done.length, 0);
-      assert.equal(all, j.record.spec.tasks, 'done is committed only with all results');
-      this.jobs.set(id, { ...j, record: { ...j.record, standing: 'done' }, stamp });
+      assert.ok(j !== undefined && j.record.status === 'open');
+      const all = this.entries(id).reduce((n, entry) => n + entry.record.completedTasks.length, 0);
+      assert.equal(all, j.record.spec.taskCount, 'done is committed only with all results');
+      this.jobs.set(id, { ...j, record: { ...j.record, status: 'done' }, stamp });
       this.done += 1;
     }
-    for (const id of transaction.cancelled) {
+    for (const id of transaction.cancelledJobs) {
       const j = this.jobs.get(id);
-      assert.ok(j !== undefined && j.record.standing === 'open');
+      assert.ok(j !== undefined && j.record.status === 'open');
       assert.ok(this.needsCancelled(id), 'only jobs that need a cancelled one');
-      this.jobs.set(id, { ...j, record: { ...j.record, standing: 'cancelled' }, stamp });
+      this.jobs.set(id, { ...j, record: { ...j.record, status: 'cancelled' }, stamp });
     }
     return stamp;
   }
@@ -372,17 +382,17 @@
       }
       for (const [k, t] of worker.held)
         if (t.state === 'running' && t.ends <= this.at)
-          worker.held.set(k, { ...t, state: 'exited', why: this.pick(8) === 0 ? 'error' : 'done' });
+          worker.held.set(k, { ...t, state: 'exited', exitReason: this.pick(8) === 0 ? 'error' : 'done' });
       this.endLease(worker);
       if (this.pick(400) === 0) worker.cut = !worker.cut;
       if (this.pick(600) === 0) worker.deaf = !worker.deaf;
       if (this.pick(600) === 0) worker.mute = !worker.mute;
       if ((n + Number(worker.name.slice(1)) * 2) % 10 === 0) this.hello(worker);
     }
-    if (n % 10 === 0) this.event({ kind: 'contact', at: this.now().steady });
+    if (n % 10 === 0) this.event({ kind: 'leadership-confirmed', confirmedAt: this.now().monotonic });
     if (n % 3 === 0) {
       // In such a run the process is behind two fifths of the time, and leaves all orders to the answers to reports.
-      if (this.late) this.owner.ranLate(n % 1000 >= 600 ? seconds(0.5) : 0n);
+      if (this.late) this.owner.recordEventLoopLag(n % 1000 >= 600 ? seconds(0.5) : 0n);
       this.event({ kind: 'tick' });
       const former = this.former;
       if (former !== null)
@@ -400,15 +410,15 @@
     const id = `j${n}`;
     const s = spec(id, {
       kind: gang ? 'gang' : 'array',
-      tasks: 1 + this.pick(3),
+      taskCount: 1 + this.pick(3),
       team,
       priority: this.pick(3) === 0 ? 'high' : 'normal',
       dependencies: this.dependent ? this.someJobs() : [],
     });
-    const record: JobRecord = { spec: s, submitted: this.now().wall, standing: 'open' };
+    const record: JobRecord = { spec: s, submittedAt: this.now().wall, status: 'open' };
     const stamp = ++this.rev;
     this.jobs.set(id, { record, stamp, cancelled: null });
-    this.event({ kind: 'job', id, record, stamp });
+    this.event({ kind: 'job-changed', id, record, modRevision: stamp });
   }
 
   /** Jobs for a new one to wait for: lately submitted ones, in any state, or none. */
@@ -421,12 +431,12 @@
 
   private cancel(): void {
     // Users call off, as often as others, jobs that are cancelled through another: that changes nothing any more.
-    const open = [...this.jobs].filter(([, j]) => j.record.standing !== 'done' && j.cancelled === null);
+    const open = [...this.jobs].filter(([, j]) => j.record.status !== 'done' && j.cancelled === null);
     // Half of them fall on the very end of a task.
     const ending = open.filter(([id]) =>
       this.workers.some((worker) =>
         [...worker.held.values()].some(
-          (t) => t.job === id && t.state === 'running' && t.ends - this.at < 0.5,
+          (t) => t.jobId === id && t.state === 'running' && t.ends - this.at < 0.5,
         ),
       ),
     );
@@ -434,32 +444,34 @@
     const one = from[this.pick(Math.max(1, from.length))];
     if (one === undefined) return;
     const [id, j] = one;
-    if (j.record.standing === 'cancelled') return;
+    if (j.record.status === 'cancelled') return;
     const next = {
-      record: { ...j.record, standing: 'cancelled' as const },
+      record: { ...j.record, status: 'cancelled' as const },
       stamp: ++this.rev,
       cancelled: this.at,
     };
     this.jobs.set(id, next);
-    this.later(0.4, () => this.event({ kind: 'job', id, record: next.record, stamp: next.stamp }));
+    this.later(0.4, () =>
+      this.event({ kind: 'job-changed', id, record: next.record, modRevision: next.stamp }),
+    );
   }
 
   private check(): void {
     const used = new Map<string, number>();
     for (const worker of this.workers)
       for (const t of worker.held.values()) {
-        const j = this.jobs.get(t.job);
+        const j = this.jobs.get(t.jobId);
         if (t.state === 'exited' || j === undefined) continue;
         used.set(j.record.spec.team, (used.get(j.record.spec.team) ?? 0) + j.record.spec.gpus);
         if (j.cancelled !== null)
           assert.ok(
-            this.at - j.cancelled <= toSeconds(FACTS.cancel),
-            `${t.job} runs on ${worker.name} long after its cancellation`,
+            this.at - j.cancelled <= toSeconds(FACTS.cancellationDeadline),
+            `${t.jobId} runs on ${worker.name} long after its cancellation`,
           );
       }
     for (const team of FACTS.teams)
-      if (team.gpusMax > 0)
-        assert.ok((used.get(team.name) ?? 0) <= team.gpusMax, `${team.name} is over its limit`);
+      if (team.gpuQuota > 0)
+        assert.ok((used.get(team.name) ?? 0) <= team.gpuQuota, `${team.name} is over its limit`);
   }
 }
 
--- a/test/records.test.ts
+++ b/test/records.test.ts
@@ -35,27 +35,38 @@
       team: 'vision',
       kind: 'gang',
       priority: 'high',
-      tasks: 16,
+      taskCount: 16,
       cpus: 8,
       gpus: 1,
       memory: 64.5,
     },
-    ...{ types: ['g8'], oneZone: true, spot: true, image: 'img-07', imageGb: 6.2, estimate: seconds(240) },
-    ...{ checkpoint: seconds(30), save: seconds(4), due: seconds(900) },
+    ...{
+      machineTypes: ['g8'],
+      singleZone: true,
+      allowSpot: true,
+      image: 'img-07',
+      imageGb: 6.2,
+      estimatedDuration: seconds(240),
+    },
+    ...{ checkpointInterval: seconds(30), checkpointDuration: seconds(4), deadline: seconds(900) },
   }),
-  submitted: new Date(Date.UTC(2030, 0, 1, 12, 0, 0, 250)),
-  standing: 'cancelled' as const,
+  submittedAt: new Date(Date.UTC(2030, 0, 1, 12, 0, 0, 250)),
+  status: 'cancelled' as const,
 };
 
 test('records and keys are written and read in the bytes of earlier versions', () => {
   assert.equal(encode(writeJob(record)).toString('base64'), JOB);
   assert.deepEqual(readJob(decode(Buffer.from(JOB, 'base64'))), record);
   const places = [
-    { task: 4, attempt: 3, machine: 'n-000231', session: 2, zone: 'east' },
-    { task: 5, attempt: 2, machine: 'a.b/c', session: 1, zone: 'other' },
+    { taskIndex: 4, attempt: 3, machineName: 'n-000231', agentEpoch: 2, zone: 'east' },
+    { taskIndex: 5, attempt: 2, machineName: 'a.b/c', agentEpoch: 1, zone: 'other' },
   ];
   const entries = [
-    { job: 'req-000412', index: 1, record: { attempt: 3, done: [0, 1, 2, 7], intents: places } },
+    {
+      jobId: 'req-000412',
+      chunkIndex: 1,
+      record: { highestAttempt: 3, completedTasks: [0, 1, 2, 7], assignments: places },
+    },
   ];
   assert.equal(writePage(entries, ['east', 'west']), PAGE);
   assert.deepEqual(readPage(PAGE), entries);
--- a/test/standins/core-fleet.ts
+++ b/test/standins/core-fleet.ts
@@ -1,10 +1,10 @@
 import type { Effect } from '../../src/core/cluster-state.js';
-import type { JobRecord, MachineType, Report, SeenTask, Spec } from '../../src/core/model.js';
-import { changesIn } from '../../src/core/outbox.js';
-import { Owner, type Event } from '../../src/core/owner.js';
-import { othersQuietFrom } from '../../src/core/ownership-timing.js';
+import type { JobRecord, MachineType, Heartbeat, ReportedTask, JobSpec } from '../../src/core/model.js';
+import { operationCount } from '../../src/core/outbox.js';
+import { ClusterScheduler, type Event } from '../../src/core/owner.js';
+import { previousLeadersDeadlineFrom } from '../../src/core/ownership-timing.js';
 import type { PageEntry } from '../../src/core/record-pages.js';
-import { seconds, type Now } from '../../src/core/time.js';
+import { seconds, type Timestamp } from '../../src/core/time.js';
 import { DEFAULT_SETTINGS } from '../../src/edge/operator-settings.js';
 import { FACTS, spec } from '../player.js';
 
@@ -20,7 +20,7 @@
   fetchGbPerS: 1,
   price: 10,
   spotPrice: 4,
-  boot: seconds(30),
+  bootTime: seconds(30),
   zones: ['east', 'west'],
 };
 
@@ -50,8 +50,8 @@
 export class CoreFleet {
   private at = 0;
   private stamp = 100;
-  owner: Owner;
-  readonly held = new Map<string, SeenTask[]>();
+  owner: ClusterScheduler;
+  readonly held = new Map<string, ReportedTask[]>();
   private readonly seqs = new Map<string, number>();
   readonly jobs = new Map<string, Stored>();
   readonly pages = new Map<number, Stored>();
@@ -66,28 +66,33 @@
     this.owner = this.newOwner();
   }
 
-  now(): Now {
-    return { steady: seconds(1000 + this.at), wall: new Date(Date.UTC(2030, 0, 1) + this.at * 1000) };
+  now(): Timestamp {
+    return { monotonic: seconds(1000 + this.at), wall: new Date(Date.UTC(2030, 0, 1) + this.at * 1000) };
   }
 
-  newOwner(): Owner {
-    const began = this.now().steady;
-    this.owner = new Owner(
-      { ...FACTS, report: seconds(REPORT_S), lease: seconds(24), cancel: seconds(49) },
+  newOwner(): ClusterScheduler {
+    const began = this.now().monotonic;
+    this.owner = new ClusterScheduler(
+      {
+        ...FACTS,
+        heartbeatInterval: seconds(REPORT_S),
+        workerLease: seconds(24),
+        cancellationDeadline: seconds(49),
+      },
       DEFAULT_SETTINGS,
       {
-        token: ++this.stamp,
-        began,
-        contact: began,
-        othersQuiet: othersQuietFrom(FACTS, began),
+        fencingToken: ++this.stamp,
+        startedAt: began,
+        confirmedAt: began,
+        previousLeadersDeadline: previousLeadersDeadlineFrom(FACTS, began),
       },
     );
-    this.event({ kind: 'types', types: [TYPE] });
+    this.event({ kind: 'machine-types', types: [TYPE] });
     for (const [id, { value, stamp }] of this.jobs)
-      this.event({ kind: 'job', id, record: this.codec.readJob(value), stamp });
+      this.event({ kind: 'job-changed', id, record: this.codec.readJob(value), modRevision: stamp });
     for (const [id, { value, stamp }] of this.pages)
-      this.event({ kind: 'page', id, entries: this.codec.readPage(value), stamp });
-    this.event({ kind: 'loaded' });
+      this.event({ kind: 'page-loaded', id, entries: this.codec.readPage(value), modRevision: stamp });
+    this.event({ kind: 'load-completed' });
     return this.owner;
   }
 
@@ -100,27 +105,27 @@
     const before = Math.floor(this.at / REPORT_S);
     this.at += s;
     if (Math.floor(this.at / REPORT_S) > before) this.helloAll();
-    this.event({ kind: 'contact', at: this.now().steady });
+    this.event({ kind: 'leadership-confirmed', confirmedAt: this.now().monotonic });
   }
 
   name(n: number): string {
     return `n-${String(n).padStart(6, '0')}`;
   }
 
-  report(n: number): Report {
+  report(n: number): Heartbeat {
     const name = this.name(n);
     const seq = (this.seqs.get(name) ?? 0) + 1;
     this.seqs.set(name, seq);
     return {
-      machine: name,
+      machineName: name,
       endpoint: '127.0.0.1:1',
       type: 'big',
       zone: n % 2 === 0 ? 'east' : 'west',
       spot: false,
-      session: 1,
-      seq,
-      token: this.owner.state.token,
-      notice: null,
+      agentEpoch: 1,
+      sequence: seq,
+      fencingToken: this.owner.state.token,
+      preemptionNotice: null,
       tasks: this.held.get(name) ?? [],
     };
   }
@@ -128,24 +133,25 @@
   hello(n: number): void {
     const name = this.name(n);
     const report = this.report(n);
-    this.event({ kind: 'report', report: report });
+    this.event({ kind: 'heartbeat', heartbeat: report });
     const held = (this.held.get(name) ?? []).slice();
-    for (const order of this.owner.answer(report, this.now())) {
+    for (const order of this.owner.answerHeartbeat(report, this.now())) {
       const at = held.findIndex(
-        (task) => task.job === order.job && task.task === order.task && task.attempt === order.attempt,
+        (task) =>
+          task.jobId === order.jobId && task.taskIndex === order.taskIndex && task.attempt === order.attempt,
       );
       if (order.op === 'start' && at < 0)
         held.push({
-          job: order.job,
-          task: order.task,
+          jobId: order.jobId,
+          taskIndex: order.taskIndex,
           attempt: order.attempt,
           state: 'running',
-          why: null,
-          saved: false,
+          exitReason: null,
+          checkpointed: false,
         });
       const task = held[at];
       if (order.op === 'stop' && task !== undefined)
-        held[at] = { ...task, state: 'exited', why: task.why ?? 'stopped' };
+        held[at] = { ...task, state: 'exited', exitReason: task.exitReason ?? 'stopped' };
       if (order.op === 'forget' && at >= 0) held.splice(at, 1);
     }
     this.held.set(name, held);
@@ -155,8 +161,8 @@
     for (let n = 0; n < this.machines; n++) this.hello(n);
   }
 
-  submit(id: string, over: Partial<Spec>): void {
-    const record: JobRecord = { spec: spec(id, over), submitted: this.now().wall, standing: 'open' };
+  submit(id: string, over: Partial<JobSpec>): void {
+    const record: JobRecord = { spec: spec(id, over), submittedAt: this.now().wall, status: 'open' };
     this.store(id, this.codec.writeJob(record));
   }
 
@@ -164,7 +170,7 @@
   store(id: string, value: unknown): void {
     const stamp = ++this.stamp;
     this.jobs.set(id, { value, stamp });
-    this.event({ kind: 'job', id, record: this.codec.readJob(value), stamp });
+    this.event({ kind: 'job-changed', id, record: this.codec.readJob(value), modRevision: stamp });
   }
 
   /** Carries out transactions until nothing is due. */
@@ -174,12 +180,12 @@
       if (transaction === null) return;
       const stamp = ++this.stamp;
       this.commits += 1;
-      this.changes += changesIn(transaction);
+      this.changes += operationCount(transaction);
       for (const page of transaction.pages)
         this.pages.set(page.id, { value: this.codec.writePage(page.entries, FACTS.zones), stamp });
-      for (const id of transaction.done) this.end(id, 'done', stamp);
-      for (const id of transaction.cancelled) this.end(id, 'cancelled', stamp);
-      this.event({ kind: 'settled', transaction: transaction, stamp });
+      for (const id of transaction.completedJobs) this.end(id, 'done', stamp);
+      for (const id of transaction.cancelledJobs) this.end(id, 'cancelled', stamp);
+      this.event({ kind: 'transaction-committed', transaction: transaction, modRevision: stamp });
     }
   }
 
@@ -187,8 +193,11 @@
   private end(id: string, standing: 'done' | 'cancelled', stamp: number): void {
     const job = this.owner.state.jobs.get(id);
     if (job === undefined) return;
-    const { spec, submitted } = job;
-    this.jobs.set(id, { value: this.codec.writeJob({ spec, submitted, standing }), stamp });
+    const { spec, submittedAt: submitted } = job;
+    this.jobs.set(id, {
+      value: this.codec.writeJob({ spec, submittedAt: submitted, status: standing }),
+      stamp,
+    });
   }
 
   /** Has one running task of a machine end well; false: it has none. */
@@ -203,14 +212,14 @@
   /** Has all running tasks of a job on a machine end well. */
   finishOf(n: number, job: string): void {
     for (const task of this.held.get(this.name(n)) ?? [])
-      if (task.job === job && task.state === 'running') this.exitWell(n, task);
+      if (task.jobId === job && task.state === 'running') this.exitWell(n, task);
   }
 
-  private exitWell(n: number, task: SeenTask): void {
+  private exitWell(n: number, task: ReportedTask): void {
     const held = this.held.get(this.name(n)) ?? [];
     this.held.set(
       this.name(n),
-      held.map((each) => (each === task ? { ...each, state: 'exited', why: 'done' } : each)),
+      held.map((each) => (each === task ? { ...each, state: 'exited', exitReason: 'done' } : each)),
     );
   }
 }
--- a/test/standins/production-version.ts
+++ b/test/standins/production-version.ts
@@ -39,32 +39,62 @@
 const ROW = /^([^/ ]+)\/(\d+) a(\d+) c(\d+),(\d+) ([\d,-]*) (.*)$/;
 
 function writeJob(record: JobRecord): unknown {
-  // What it has no field for it never held in memory.
-  const spec = Object.fromEntries(Object.entries(record.spec).filter(([field]) => field !== 'dependencies'));
+  const { spec } = record;
   return {
-    st: record.standing,
-    at: record.submitted.toISOString(),
+    st: record.status,
+    at: record.submittedAt.toISOString(),
     s: {
-      ...spec,
-      estimate: toSeconds(record.spec.estimate),
-      checkpoint: toSeconds(record.spec.checkpoint),
-      save: toSeconds(record.spec.save),
-      due: record.spec.due === null ? null : toSeconds(record.spec.due),
+      id: spec.id,
+      class: spec.class,
+      team: spec.team,
+      kind: spec.kind,
+      priority: spec.priority,
+      tasks: spec.taskCount,
+      cpus: spec.cpus,
+      gpus: spec.gpus,
+      memory: spec.memory,
+      types: spec.machineTypes,
+      zone: spec.zone,
+      oneZone: spec.singleZone,
+      spread: spec.spreadAcrossZones,
+      spot: spec.allowSpot,
+      image: spec.image,
+      imageGb: spec.imageGb,
+      estimate: toSeconds(spec.estimatedDuration),
+      checkpoint: toSeconds(spec.checkpointInterval),
+      save: toSeconds(spec.checkpointDuration),
+      due: spec.deadline === null ? null : toSeconds(spec.deadline),
     },
   };
 }
 
 function readJob(value: unknown): JobRecord {
   const r = jobRecord.parse(value);
+  const { s: stored } = r;
   const spec = {
-    ...r.s,
-    estimate: seconds(r.s.estimate),
-    checkpoint: seconds(r.s.checkpoint),
-    save: seconds(r.s.save),
-    due: r.s.due === null ? null : seconds(r.s.due),
+    id: stored.id,
+    class: stored.class,
+    team: stored.team,
+    kind: stored.kind,
+    priority: stored.priority,
+    taskCount: stored.tasks,
+    cpus: stored.cpus,
+    gpus: stored.gpus,
+    memory: stored.memory,
+    machineTypes: stored.types,
+    zone: stored.zone,
+    singleZone: stored.oneZone,
+    spreadAcrossZones: stored.spread,
+    allowSpot: stored.spot,
+    image: stored.image,
+    imageGb: stored.imageGb,
+    estimatedDuration: seconds(stored.estimate),
+    checkpointInterval: seconds(stored.checkpoint),
+    checkpointDuration: seconds(stored.save),
+    deadline: stored.due === null ? null : seconds(stored.due),
     dependencies: [],
   };
-  return { spec, submitted: new Date(r.at), standing: r.st };
+  return { spec, submittedAt: new Date(r.at), status: r.st };
 }
 
 function runs(done: readonly number[]): [number, number][] {
@@ -86,14 +116,14 @@
     const at = names.indexOf(name);
     return at >= 0 ? at : names.push(name) - 1;
   };
-  const rows = entries.map(({ job, index, record }) => {
-    const done = runs(record.done)
+  const rows = entries.map(({ jobId: job, chunkIndex: index, record }) => {
+    const done = runs(record.completedTasks)
       .map(([a, b]) => (a === b ? String(a) : `${a}-${b}`))
       .join(',');
-    const places = record.intents
-      .map((i) => `${i.task}.${i.attempt}.${escaped(i.machine)}.${i.session}.${zoneOf(i.zone)}`)
+    const places = record.assignments
+      .map((i) => `${i.taskIndex}.${i.attempt}.${escaped(i.machineName)}.${i.agentEpoch}.${zoneOf(i.zone)}`)
       .join(',');
-    return `${job}/${index} a${record.attempt} c${record.done.length},${record.intents.length} ${done} ${places}`;
+    return `${job}/${index} a${record.highestAttempt} c${record.completedTasks.length},${record.assignments.length} ${done} ${places}`;
   });
   return [names.map(escaped).join(','), ...rows].join('|');
 }
@@ -113,14 +143,18 @@
     const intents = (m[7] === '' ? [] : (m[7] ?? '').split(',')).map((place) => {
       const [task, attempt, machine, session, zone] = place.split('.');
       return {
-        task: Number(task),
+        taskIndex: Number(task),
         attempt: Number(attempt),
-        machine: decodeURIComponent(machine ?? ''),
-        session: Number(session),
+        machineName: decodeURIComponent(machine ?? ''),
+        agentEpoch: Number(session),
         zone: zones[Number(zone)] ?? '',
       };
     });
-    return { job: m[1] ?? '', index: Number(m[2]), record: { attempt: Number(m[3]), done, intents } };
+    return {
+      jobId: m[1] ?? '',
+      chunkIndex: Number(m[2]),
+      record: { highestAttempt: Number(m[3]), completedTasks: done, assignments: intents },
+    };
   });
 }
 
--- a/test/versions.test.ts
+++ b/test/versions.test.ts
@@ -47,7 +47,8 @@
   const out: string[] = [];
   for (const [machine, tasks] of fleet.held)
     for (const task of tasks)
-      if (task.job === job && task.state !== 'exited') out.push(`${task.task}#${task.attempt} on ${machine}`);
+      if (task.jobId === job && task.state !== 'exited')
+        out.push(`${task.taskIndex}#${task.attempt} on ${machine}`);
   return out.sort();
 }
 
@@ -56,7 +57,7 @@
   for (const [machine, tasks] of fleet.held)
     for (const task of tasks) {
       if (task.state === 'exited') continue;
-      const key = `${task.job}/${task.task}`;
+      const key = `${task.jobId}/${task.taskIndex}`;
       assert.equal(places.get(key), undefined, `${key} runs on ${machine} and elsewhere`);
       places.set(key, machine);
     }
@@ -73,7 +74,7 @@
 function cancel(fleet: CoreFleet, codec: RecordCodec, id: string): void {
   const stored = fleet.jobs.get(id);
   assert.ok(stored !== undefined);
-  fleet.store(id, codec.writeJob({ ...codec.readJob(stored.value), standing: 'cancelled' }));
+  fleet.store(id, codec.writeJob({ ...codec.readJob(stored.value), status: 'cancelled' }));
 }
 
 test('old, new, old, new lead in turn: nothing is started twice or lost, cancellations and ends hold', () => {
@@ -81,9 +82,9 @@
   fleet.helloAll();
   // Taken as proof they would show, later on, that nothing of the following runs.
   const late = Array.from({ length: MACHINES }, (_, n) => fleet.report(n));
-  fleet.submit('req-1', { kind: 'service', tasks: 2, priority: 'production', spread: true });
-  fleet.submit('req-2', { kind: 'gang', tasks: 3, oneZone: true });
-  fleet.submit('req-3', { tasks: 4 });
+  fleet.submit('req-1', { kind: 'service', taskCount: 2, priority: 'production', spreadAcrossZones: true });
+  fleet.submit('req-2', { kind: 'gang', taskCount: 3, singleZone: true });
+  fleet.submit('req-3', { taskCount: 4 });
   go(fleet, 5);
   const before = ['req-1', 'req-2', 'req-3'].map((id) => tasksOf(fleet, id));
   assert.deepEqual(
@@ -104,7 +105,7 @@
   // Before anything of the cancelled job is stopped, and with reports from before it still under way.
   takeOver(fleet, PRODUCTION_CODEC);
   go(fleet, 1);
-  for (const report of late) fleet.event({ kind: 'report', report });
+  for (const report of late) fleet.event({ kind: 'heartbeat', heartbeat: report });
   checkRecords(fleet);
   go(fleet, 3);
   assert.deepEqual(tasksOf(fleet, 'req-2'), [], 'the cancellation that the new version wrote is carried out');
@@ -113,10 +114,10 @@
 
   takeOver(fleet, THIS_CODEC);
   go(fleet, 1);
-  for (const report of late) fleet.event({ kind: 'report', report });
+  for (const report of late) fleet.event({ kind: 'heartbeat', heartbeat: report });
   go(fleet, 3);
   checkRecords(fleet);
-  const standing = (id: string): string => readJob(fleet.jobs.get(id)?.value).standing;
+  const standing = (id: string): string => readJob(fleet.jobs.get(id)?.value).status;
   assert.deepEqual(['req-1', 'req-2', 'req-3'].map(standing), ['open', 'cancelled', 'done']);
   assert.deepEqual(tasksOf(fleet, 'req-1'), before[0]);
   assert.deepEqual([tasksOf(fleet, 'req-2'), tasksOf(fleet, 'req-3')], [[], []]);
@@ -143,8 +144,8 @@
 
   const fleet = new CoreFleet(MACHINES, THIS_CODEC);
   fleet.helloAll();
-  fleet.submit('req-1', { tasks: 1 });
-  fleet.submit('req-2', { tasks: 2, dependencies: ['req-1'] });
+  fleet.submit('req-1', { taskCount: 1 });
+  fleet.submit('req-2', { taskCount: 2, dependencies: ['req-1'] });
   go(fleet, 3);
   assert.deepEqual(tasksOf(fleet, 'req-2'), [], 'this version waits');
   takeOver(fleet, PRODUCTION_CODEC);
@@ -155,9 +156,9 @@
 test('with all controllers new, what waits and what is cancelled through another stays so from leader to leader', () => {
   const fleet = new CoreFleet(MACHINES, THIS_CODEC);
   fleet.helloAll();
-  fleet.submit('req-1', { tasks: 1 });
+  fleet.submit('req-1', { taskCount: 1 });
   fleet.submit('req-2', { dependencies: ['req-1'] });
-  fleet.submit('req-3', { tasks: 1 });
+  fleet.submit('req-3', { taskCount: 1 });
   fleet.submit('req-4', { dependencies: ['req-3', 'req-1'] });
   go(fleet, 3);
   cancel(fleet, THIS_CODEC, 'req-3');
@@ -165,7 +166,7 @@
   go(fleet, 3);
   assert.deepEqual([tasksOf(fleet, 'req-2'), tasksOf(fleet, 'req-4')], [[], []]);
   assert.equal(
-    PRODUCTION_CODEC.readJob(fleet.jobs.get('req-4')?.value).standing,
+    PRODUCTION_CODEC.readJob(fleet.jobs.get('req-4')?.value).status,
     'cancelled',
     'readable by both',
   );
--- a/test/zones.test.ts
+++ b/test/zones.test.ts
@@ -1,17 +1,17 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Effect } from '../src/core/cluster-state.js';
-import type { Spec } from '../src/core/model.js';
-import { Owner } from '../src/core/owner.js';
-import { seconds, type Now } from '../src/core/time.js';
-import type { FleetObservation, ZonePolicy, ZoneRequest } from '../src/core/zone-policy.js';
+import type { JobSpec } from '../src/core/model.js';
+import { ClusterScheduler } from '../src/core/owner.js';
+import { seconds, type Timestamp } from '../src/core/time.js';
+import type { FleetObservation, ZonePolicy, ZoneAdmissionRequest } from '../src/core/zone-policy.js';
 import { DEFAULT_SETTINGS } from '../src/edge/operator-settings.js';
 import { FACTS, TYPE, spec } from './player.js';
 
 // Where the core asks a policy for lost and returning zones, and what it does with the answers.
 
-const at = (s: number): Now => ({
-  steady: seconds(1000 + s),
+const at = (s: number): Timestamp => ({
+  monotonic: seconds(1000 + s),
   wall: new Date(Date.UTC(2030, 0, 1) + s * 1000),
 });
 
@@ -20,26 +20,26 @@
   seen: FleetObservation | null = null;
   out = new Set<string>();
   evacuated = new Set<string>();
-  admitted: (zone: string, request: ZoneRequest) => boolean = () => true;
+  admitted: (zone: string, request: ZoneAdmissionRequest) => boolean = () => true;
 
   observe(seen: FleetObservation): [] {
     this.seen = seen;
     return [];
   }
 
-  admits(zone: string, _machine: string, request: ZoneRequest): boolean {
+  admits(zone: string, _machine: string, request: ZoneAdmissionRequest): boolean {
     return this.admitted(zone, request);
   }
 
-  isOut(zone: string): boolean {
+  isUnavailable(zone: string): boolean {
     return this.out.has(zone);
   }
 
-  isEvacuated(zone: string): boolean {
+  isEvacuating(zone: string): boolean {
     return this.evacuated.has(zone);
   }
 
-  takeRecord(): null {
+  takeUnsavedRecord(): null {
     return null;
   }
 
@@ -50,43 +50,55 @@
 
 /** An owner with machines that report when they are told to. */
 class Fleet {
-  readonly owner: Owner;
+  readonly owner: ClusterScheduler;
   private seq = 0;
 
   constructor(readonly policy: Policy | null) {
-    const term = { token: 1, began: at(0).steady, contact: at(0).steady, othersQuiet: at(0).steady };
-    this.owner = new Owner(FACTS, DEFAULT_SETTINGS, term, policy);
-    this.owner.handle({ kind: 'types', types: [TYPE] }, at(0));
-    this.owner.handle({ kind: 'list', machines: [], sent: at(0).steady }, at(0));
+    const term = {
+      fencingToken: 1,
+      startedAt: at(0).monotonic,
+      confirmedAt: at(0).monotonic,
+      previousLeadersDeadline: at(0).monotonic,
+    };
+    this.owner = new ClusterScheduler(FACTS, DEFAULT_SETTINGS, term, policy);
+    this.owner.handle({ kind: 'machine-types', types: [TYPE] }, at(0));
+    this.owner.handle({ kind: 'instance-inventory', machines: [], requestedAt: at(0).monotonic }, at(0));
   }
 
   report(s: number, ...machines: readonly string[]): void {
     this.seq += 1;
     for (const machine of machines) {
       const zone = machine.startsWith('e') ? 'east' : 'west';
-      const about = { machine, endpoint: `${machine}:1`, type: 'big', zone, spot: false };
-      const report = { ...about, session: 1, seq: this.seq, token: 1, notice: null, tasks: [] };
-      this.owner.handle({ kind: 'report', report }, at(s));
+      const about = { machineName: machine, endpoint: `${machine}:1`, type: 'big', zone, spot: false };
+      const report = {
+        ...about,
+        agentEpoch: 1,
+        sequence: this.seq,
+        fencingToken: 1,
+        preemptionNotice: null,
+        tasks: [],
+      };
+      this.owner.handle({ kind: 'heartbeat', heartbeat: report }, at(s));
     }
   }
 
-  submit(s: number, id: string, over: Partial<Spec>): void {
-    const record = { spec: spec(id, over), submitted: at(s).wall, standing: 'open' as const };
-    this.owner.handle({ kind: 'job', id, record, stamp: 2 }, at(s));
+  submit(s: number, id: string, over: Partial<JobSpec>): void {
+    const record = { spec: spec(id, over), submittedAt: at(s).wall, status: 'open' as const };
+    this.owner.handle({ kind: 'job-changed', id, record, modRevision: 2 }, at(s));
   }
 
   tick(s: number): readonly Effect[] {
-    this.owner.handle({ kind: 'contact', at: at(s).steady }, at(s));
+    this.owner.handle({ kind: 'leadership-confirmed', confirmedAt: at(s).monotonic }, at(s));
     return this.owner.handle({ kind: 'tick' }, at(s));
   }
 
   on(machine: string): string[] {
-    return [...(this.owner.state.machines.get(machine)?.intents.keys() ?? [])];
+    return [...(this.owner.state.machines.get(machine)?.assignments.keys() ?? [])];
   }
 }
 
-const REPLICA: Partial<Spec> = { kind: 'service', priority: 'production', gpus: 2, cpus: 8, memory: 8 };
-const LOW: Partial<Spec> = { priority: 'low', tasks: 2 };
+const REPLICA: Partial<JobSpec> = { kind: 'service', priority: 'production', gpus: 2, cpus: 8, memory: 8 };
+const LOW: Partial<JobSpec> = { priority: 'low', taskCount: 2 };
 
 /** A replica on e1, which then falls silent; w1 has room for it. */
 function withLostReplica(policy: Policy | null): Fleet {
@@ -116,10 +128,10 @@
 test('a machine for a replica that may be lost is rented before that is certain, but not in a zone that is out', () => {
   const rents = (policy: Policy | null): string[] => {
     const fleet = withLostReplica(policy);
-    fleet.submit(7, 'req-2', { ...LOW, priority: 'production', tasks: 1, gpus: 2 });
+    fleet.submit(7, 'req-2', { ...LOW, priority: 'production', taskCount: 1, gpus: 2 });
     assert.equal(fleet.on('w1').length, 1, 'w1 is taken');
     fleet.report(9, 'w1');
-    return fleet.tick(9).flatMap((effect) => (effect.kind === 'rent' ? [effect.order.zone] : []));
+    return fleet.tick(9).flatMap((effect) => (effect.kind === 'scale-out' ? [effect.request.zone] : []));
   };
   assert.deepEqual(rents(null), []);
   const policy = new Policy();
@@ -133,13 +145,13 @@
   policy.admitted = (zone, request) => zone === 'west' || request.kind === 'service';
   const fleet = new Fleet(policy);
   fleet.report(0, 'e1', 'w1');
-  fleet.submit(1, 'req-1', { ...LOW, tasks: 8 });
+  fleet.submit(1, 'req-1', { ...LOW, taskCount: 8 });
   assert.deepEqual([fleet.on('e1').length, fleet.on('w1').length], [0, 2]);
   fleet.submit(2, 'req-2', REPLICA);
   assert.deepEqual(fleet.on('e1'), ['req-2/0'], 'a replica is admitted');
   const low = fleet.on('w1');
   policy.admitted = () => false;
-  fleet.submit(3, 'req-3', { priority: 'high', kind: 'gang', tasks: 2 });
+  fleet.submit(3, 'req-3', { priority: 'high', kind: 'gang', taskCount: 2 });
   fleet.report(3.5, 'e1', 'w1');
   fleet.tick(4);
   assert.deepEqual(fleet.on('w1'), low, 'nothing is stopped where it could not go');
@@ -152,7 +164,7 @@
     for (let s = 0; s < 100; s++) {
       fleet.report(s, 'e1', 'e2', 'e3');
       for (const effect of fleet.tick(s))
-        if (effect.kind === 'return') names = [...names, ...effect.machines];
+        if (effect.kind === 'scale-in') names = [...names, ...effect.machineNames];
     }
     return new Set(names).size;
   };
@@ -167,14 +179,14 @@
   const fleet = new Fleet(policy);
   fleet.report(1, 'e1', 'e2', 'w1');
   fleet.tick(2);
-  assert.equal(policy.seen?.inContact, false);
+  assert.equal(policy.seen?.leadershipConfirmed, false);
   fleet.report(8, 'e1', 'w1');
   fleet.tick(9);
   const [east, west] = policy.seen.zones;
-  assert.equal(policy.seen.inContact, true);
-  assert.deepEqual([east?.known, east?.heard, east?.gpus, east?.names], [2, 1, 2, ['e1']]);
-  assert.deepEqual([west?.known, west?.heard], [1, 1]);
-  fleet.submit(9, 'req-1', { ...REPLICA, tasks: 3 });
+  assert.equal(policy.seen.leadershipConfirmed, true);
+  assert.deepEqual([east?.known, east?.responsive, east?.gpus, east?.responsiveMachines], [2, 1, 2, ['e1']]);
+  assert.deepEqual([west?.known, west?.responsive], [1, 1]);
+  fleet.submit(9, 'req-1', { ...REPLICA, taskCount: 3 });
   fleet.tick(11);
   assert.equal(policy.seen.replicasMissing, 1, 'three wanted, two machines');
 });
