--- a/measure/peer-link.ts
+++ b/measure/peer-link.ts
@@ -1,7 +1,7 @@
 import { setFlagsFromString } from 'node:v8';
 import { runInNewContext } from 'node:vm';
-import { makeLog } from '../src/edge/log.js';
-import { Peers } from '../src/edge/peers.js';
+import { makeLog } from '../src/edge/runtime/logger.js';
+import { Peers } from '../src/edge/peers/peer-links.js';
 import { ownAddress } from '../test/standins/site.js';
 
 const STATUSES_MS = 3000;
--- a/packages/zone-recovery/src/index.ts
+++ b/packages/zone-recovery/src/index.ts
@@ -5,8 +5,8 @@
   ZoneObservation,
   ZonePolicy,
   ZoneAdmissionRequest,
-} from '../../../src/core/zone-policy.js';
-import { seconds, type Timestamp, type Duration } from '../../../src/core/time.js';
+} from '../../../src/core/model/zone-policy.js';
+import { seconds, type Timestamp, type Duration } from '../../../src/core/model/time.js';
 import { newZone, nextHealth, type ZoneHealth, type ZonePhase, type ZoneTiming } from './zone-health.js';
 import { readZones, writeZones } from './zone-record.js';
 
--- a/packages/zone-recovery/src/zone-health.ts
+++ b/packages/zone-recovery/src/zone-health.ts
@@ -2,8 +2,8 @@
  * The state machine of one zone. It judges by what the owner hears, never by silence alone: a zone is suspected only
  * while other zones are heard, and being lost changes where work is placed, not what counts as proof that a task is gone.
  */
-import type { ZoneObservation } from '../../../src/core/zone-policy.js';
-import type { Duration, MonotonicTime } from '../../../src/core/time.js';
+import type { ZoneObservation } from '../../../src/core/model/zone-policy.js';
+import type { Duration, MonotonicTime } from '../../../src/core/model/time.js';
 
 /** How a zone stands. */
 export type ZonePhase = 'healthy' | 'suspect' | 'lost' | 'held-down' | 'returning';
--- a/packages/zone-recovery/src/zone-record.ts
+++ b/packages/zone-recovery/src/zone-record.ts
@@ -1,6 +1,6 @@
 /** What the next owner must know of zones, as it is kept in the state service. */
 import * as z from 'zod';
-import type { Timestamp, MonotonicTime } from '../../../src/core/time.js';
+import type { Timestamp, MonotonicTime } from '../../../src/core/model/time.js';
 import { LONGEST_HOLD, type ZoneHealth, type ZonePhase } from './zone-health.js';
 
 const PHASES = [
--- a/packages/zone-recovery/test/loopback.test.ts
+++ b/packages/zone-recovery/test/loopback.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { after, before, test } from 'node:test';
 import type { Subscription } from 'rxjs';
-import type { Features } from '../../../src/edge/features.js';
+import type { Features } from '../../../src/edge/config/features.js';
 import { zonesKey } from '../../../src/wire/records.js';
 import { call, listen } from '../../../test/standins/http.js';
 import {
--- a/packages/zone-recovery/test/scenario.ts
+++ b/packages/zone-recovery/test/scenario.ts
@@ -1,6 +1,6 @@
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
-import { seconds } from '../../../src/core/time.js';
+import { seconds } from '../../../src/core/model/time.js';
 import { ZoneWorld } from './zone-world.js';
 
 /** The services of every scenario; the rest of the work is arrays that fill all machines. */
--- a/packages/zone-recovery/test/zone-health.test.ts
+++ b/packages/zone-recovery/test/zone-health.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import * as fc from 'fast-check';
-import type { ZoneObservation, ZoneAdmissionRequest } from '../../../src/core/zone-policy.js';
-import { seconds, type Timestamp } from '../../../src/core/time.js';
+import type { ZoneObservation, ZoneAdmissionRequest } from '../../../src/core/model/zone-policy.js';
+import { seconds, type Timestamp } from '../../../src/core/model/time.js';
 import { decode, encode } from '../../../src/wire/cbor.js';
 import {
   holdDown,
--- a/packages/zone-recovery/test/zone-world.ts
+++ b/packages/zone-recovery/test/zone-world.ts
@@ -1,17 +1,14 @@
-import type { Effect, WorkerCommand } from '../../../src/core/cluster-state.js';
-import type {
-  ClusterConfig,
-  JobRecord,
-  MachineType,
-  Heartbeat,
-  ReportedTask,
-  JobSpec,
-} from '../../../src/core/model.js';
-import { ClusterScheduler, type Event } from '../../../src/core/owner.js';
-import { previousLeadersDeadlineFrom } from '../../../src/core/ownership-timing.js';
-import type { PageEntry } from '../../../src/core/record-pages.js';
-import { seconds, toSeconds, type Timestamp } from '../../../src/core/time.js';
-import { DEFAULT_SETTINGS } from '../../../src/edge/operator-settings.js';
+import type { Effect } from '../../../src/core/model/effects.js';
+import type { WorkerCommand } from '../../../src/core/model/worker-command.js';
+import type { ClusterConfig } from '../../../src/core/model/cluster-config.js';
+import type { JobRecord, JobSpec } from '../../../src/core/model/job.js';
+import type { MachineType } from '../../../src/core/model/machine.js';
+import type { Heartbeat, ReportedTask } from '../../../src/core/model/heartbeat.js';
+import { ClusterScheduler, type Event } from '../../../src/core/cluster-scheduler.js';
+import { previousLeadersDeadlineFrom } from '../../../src/core/state/leadership-timing.js';
+import type { PageEntry } from '../../../src/core/records/record-pages.js';
+import { seconds, toSeconds, type Timestamp } from '../../../src/core/model/time.js';
+import { DEFAULT_SETTINGS } from '../../../src/edge/config/operator-settings.js';
 import { FACTS, TYPE, spec } from '../../../test/player.js';
 import { ZoneRecovery } from '../src/index.js';
 
--- a/src/core/intents.ts
+++ b/src/core/assignments/assignments.ts
@@ -1,14 +1,14 @@
 /** @file The life of an intent, one possible place of a task: placed, stopped, ended on proof. */
-import { CHUNK_TASKS, chunkOf, releaseFinishedChunks, markChunkChanged } from './chunks.js';
-import {
-  type ClusterState,
-  emitLog,
-  getOrCreateMap,
-  isOverloaded,
-  startMayStillArrive,
-} from './cluster-state.js';
-import { type Assignment, type Job, type Machine, taskKey } from './model.js';
-import { type MonotonicTime, toSeconds } from './time.js';
+import { CHUNK_TASKS, chunkOf, releaseFinishedChunks, markChunkChanged } from '../records/chunks.js';
+import type { ClusterState } from '../state/cluster-state.js';
+import { emitLog } from '../state/log-effects.js';
+import { getOrCreateMap } from '../state/maps.js';
+import { isOverloaded } from '../state/overload.js';
+import { startMayStillArrive } from '../state/command-state.js';
+import { type Assignment, taskKey } from '../model/assignment.js';
+import type { Job } from '../model/job.js';
+import type { Machine } from '../model/machine.js';
+import { type MonotonicTime, toSeconds } from '../model/time.js';
 
 /** Records a possible place of a task; nothing is sent before it is committed. */
 export function assignTask(
--- a/src/core/demand-forecast.ts
+++ b/src/core/capacity/demand-forecast.ts
@@ -1,7 +1,8 @@
-import type { Job, MachineType } from './model.js';
-import { estimatedSeconds } from './urgency.js';
-import { toSeconds, wallSecondsBetween, type Timestamp } from './time.js';
-import type { ClusterState } from './cluster-state.js';
+import type { Job } from '../model/job.js';
+import type { MachineType } from '../model/machine.js';
+import { estimatedSeconds } from '../jobs/deadline-slack.js';
+import { toSeconds, wallSecondsBetween, type Timestamp } from '../model/time.js';
+import type { ClusterState } from '../state/cluster-state.js';
 
 /**
  * What work will come and end while a machine boots. Renting only for what waits already makes all that comes in the
--- a/src/core/fleet-size.ts
+++ b/src/core/capacity/scale-in.ts
@@ -1,14 +1,16 @@
 /** @file Which machines to keep, and which to close and return. */
-import { freeOn, isUsable } from './capacity.js';
-import { type ClusterState, NO_GANG_CAPACITY } from './cluster-state.js';
-import { manySuspected } from './failure-detector.js';
-import { leaseExpiry } from './leases.js';
-import type { Job, Machine, MachineType } from './model.js';
-import { NO_CAPACITY, PREEMPTION_IN_PROGRESS } from './placement-pass.js';
-import { estimatedSeconds } from './urgency.js';
-import type { Resources } from './placement.js';
-import { type Timestamp, seconds, toSeconds } from './time.js';
-import { isZoneUnavailable } from './zones.js';
+import { freeOn, isUsable } from '../machines/free-resources.js';
+import type { ClusterState } from '../state/cluster-state.js';
+import { NO_GANG_CAPACITY } from '../model/pending-reasons.js';
+import { manySuspected } from '../reconciliation/failure-detector.js';
+import { leaseExpiry } from '../reconciliation/worker-leases.js';
+import type { Job } from '../model/job.js';
+import type { Machine, MachineType } from '../model/machine.js';
+import { NO_CAPACITY, PREEMPTION_IN_PROGRESS } from '../scheduling/scheduling-cycle.js';
+import { estimatedSeconds } from '../jobs/deadline-slack.js';
+import type { Resources } from '../scheduling/scoring.js';
+import { type Timestamp, seconds, toSeconds } from '../model/time.js';
+import { isZoneUnavailable } from '../scheduling/zone-availability.js';
 
 const LEAST_CHARGE = seconds(60);
 
@@ -151,13 +153,13 @@
   // It can do no work and is paid for; twice a lease is enough for a cut that passes.
   if (
     machine.unreachableSince !== null &&
-    now.monotonic - machine.unreachableSince > state.facts.workerLease * 2n &&
+    now.monotonic - machine.unreachableSince > state.config.workerLease * 2n &&
     !many
   )
     return 'cannot be reached';
   const gone =
     machine.agentEpoch > 0 &&
-    now.monotonic - machine.lastHeartbeatAt > state.facts.workerLease * 2n &&
+    now.monotonic - machine.lastHeartbeatAt > state.config.workerLease * 2n &&
     now.monotonic > leaseExpiry(state, machine);
   if (gone && !many) return 'silent';
   const booting = state.booting.get(machine.name);
--- a/src/core/rentals.ts
+++ b/src/core/capacity/scale-out.ts
@@ -1,14 +1,17 @@
 /** @file Machines to rent for work that neither free room nor machines on their way will hold. */
-import { isUsable, resourcesOf } from './capacity.js';
-import { type ClusterState, type ScaleOutRequest, emitLog } from './cluster-state.js';
+import { isUsable, resourcesOf } from '../machines/free-resources.js';
+import type { ClusterState } from '../state/cluster-state.js';
+import type { ScaleOutRequest } from '../model/scale-out.js';
+import { emitLog } from '../state/log-effects.js';
 import { type DemandForecast, forecastDemand } from './demand-forecast.js';
-import { usedShare } from './fleet-size.js';
-import { assignmentsByZone } from './intents.js';
-import type { Job, MachineType } from './model.js';
-import { estimatedSeconds, startDeadline } from './urgency.js';
-import { type Resources, fits, isZoneAllowed } from './placement.js';
-import { type Timestamp, seconds, toSeconds } from './time.js';
-import { isZoneUnavailable } from './zones.js';
+import { usedShare } from './scale-in.js';
+import { assignmentsByZone } from '../assignments/assignments.js';
+import type { Job } from '../model/job.js';
+import type { MachineType } from '../model/machine.js';
+import { estimatedSeconds, startDeadline } from '../jobs/deadline-slack.js';
+import { type Resources, fits, isZoneAllowed } from '../scheduling/scoring.js';
+import { type Timestamp, seconds, toSeconds } from '../model/time.js';
+import { isZoneUnavailable } from '../scheduling/zone-availability.js';
 
 /** Share of the time left that an array task may spend waiting for another's place: fetches and late ends need the rest. */
 const PATIENCE = 0.3;
--- a/src/core/owner.ts
+++ b/src/core/cluster-scheduler.ts
@@ -1,51 +1,49 @@
-import { forecastDemand } from './demand-forecast.js';
-import { onJobFinished, logMissedDeadlines } from './dependencies.js';
-import { evictFinishedJobs } from './closed-jobs.js';
-import { chooseDrainingMachines, machinesToRelease } from './fleet-size.js';
-import { logScaleOut, onScaleOutRefused, planScaleOut } from './rentals.js';
-import { assignmentsOf } from './intents.js';
-import { getOrAddMachine } from './machine-registry.js';
-import { onJobChanged, onPageLoaded } from './loading.js';
-import { sendStarts, onCommandsAnswered, commandsFor, dropCompletedForgets } from './orders.js';
-import { fenceMachines, tokenAdvanceReason } from './fencing.js';
-import { onFirstHeartbeat, onHeartbeat } from './reports.js';
-import { reconcileInventory, onMachinesReleased } from './machine-list.js';
-import { expireLeases } from './leases.js';
-import { recordImageUse } from './image-cache.js';
-import { freeOn, isUsable } from './capacity.js';
-import type {
-  ClusterConfig,
-  Assignment,
-  Job,
-  JobRecord,
-  OperatorSettings,
-  CloudInstance,
-  MachineType,
-  Heartbeat,
-} from './model.js';
-import { nextTransaction, onCommitted, type Transaction } from './outbox.js';
-import { splitOversizedPages, type PageEntry } from './record-pages.js';
-import { mayStartTasks } from './ownership-timing.js';
-import { runSchedulingCycle, minCycleInterval } from './placement-pass.js';
+import { forecastDemand } from './capacity/demand-forecast.js';
+import { onJobFinished, logMissedDeadlines } from './jobs/dependencies.js';
+import { evictFinishedJobs } from './persistence/finished-jobs.js';
+import { chooseDrainingMachines, machinesToRelease } from './capacity/scale-in.js';
+import { logScaleOut, onScaleOutRefused, planScaleOut } from './capacity/scale-out.js';
+import { assignmentsOf } from './assignments/assignments.js';
+import { getOrAddMachine } from './machines/machine-registry.js';
+import { onJobChanged, onPageLoaded } from './persistence/recovery.js';
+import {
+  sendStarts,
+  onCommandsAnswered,
+  commandsFor,
+  dropCompletedForgets,
+} from './commands/worker-commands.js';
+import { fenceMachines, tokenAdvanceReason } from './reconciliation/fencing.js';
+import { onFirstHeartbeat, onHeartbeat } from './reconciliation/heartbeats.js';
+import { reconcileInventory, onMachinesReleased } from './reconciliation/instance-inventory.js';
+import { expireLeases } from './reconciliation/worker-leases.js';
+import { recordImageUse } from './machines/image-cache.js';
+import { freeOn, isUsable } from './machines/free-resources.js';
+import type { ClusterConfig } from './model/cluster-config.js';
+import type { Assignment } from './model/assignment.js';
+import type { Job, JobRecord } from './model/job.js';
+import type { OperatorSettings } from './model/operator-settings.js';
+import type { CloudInstance, MachineType } from './model/machine.js';
+import type { Heartbeat } from './model/heartbeat.js';
+import { nextTransaction, onCommitted, type Transaction } from './persistence/transactions.js';
+import { splitOversizedPages, type PageEntry } from './records/record-pages.js';
+import { mayStartTasks } from './state/leadership-timing.js';
+import { runSchedulingCycle, minCycleInterval } from './scheduling/scheduling-cycle.js';
 import {
   handlePreemptionNotices,
   isCutOffFromWorkers,
   probeUnreachableMachines,
   findUnresponsiveMachines,
-} from './failure-detector.js';
-import { seconds, type Timestamp, type Duration, type MonotonicTime } from './time.js';
-import type { ZonePolicy } from './zone-policy.js';
-import { displacedReplicas, observeZones } from './zones.js';
-import {
-  newClusterState,
-  emitLog,
-  type Effect,
-  type WorkerCommand,
-  type ScaleOutRequest,
-  type LeadershipTerm,
-  type ClusterState,
-  isOverloaded,
-} from './cluster-state.js';
+} from './reconciliation/failure-detector.js';
+import { seconds, type Timestamp, type Duration, type MonotonicTime } from './model/time.js';
+import type { ZonePolicy } from './model/zone-policy.js';
+import { displacedReplicas, observeZones } from './scheduling/zone-availability.js';
+import { newClusterState, type ClusterState } from './state/cluster-state.js';
+import { emitLog } from './state/log-effects.js';
+import type { Effect } from './model/effects.js';
+import type { WorkerCommand } from './model/worker-command.js';
+import type { ScaleOutRequest } from './model/scale-out.js';
+import type { LeadershipTerm } from './state/term-state.js';
+import { isOverloaded } from './state/overload.js';
 
 /** What can happen to an owner. Each event is handled alone and yields what is to be done outside. */
 export type Event =
--- a/src/core/orders.ts
+++ b/src/core/commands/worker-commands.ts
@@ -1,19 +1,19 @@
 /** @file The orders that workers get: in the answers to their reports, and by direct calls. */
-import {
-  type ClusterState,
-  type PendingForget,
-  type WorkerCommand,
-  emitLog,
-  getOrCreateMap,
-  isOverloaded,
-  startMayStillArrive,
-  attemptKey,
-} from './cluster-state.js';
-import { isAssignmentCommitted } from './chunks.js';
-import { type Assignment, type Job, type Machine, type Heartbeat, taskKey } from './model.js';
-import { mayStartTasks } from './ownership-timing.js';
-import { markReachable } from './reports.js';
-import { type Timestamp, type MonotonicTime, seconds, toSeconds } from './time.js';
+import type { ClusterState } from '../state/cluster-state.js';
+import type { PendingForget, WorkerCommand } from '../model/worker-command.js';
+import { emitLog } from '../state/log-effects.js';
+import { getOrCreateMap } from '../state/maps.js';
+import { isOverloaded } from '../state/overload.js';
+import { startMayStillArrive } from '../state/command-state.js';
+import { attemptKey } from '../model/assignment.js';
+import { isAssignmentCommitted } from '../records/chunks.js';
+import { type Assignment, taskKey } from '../model/assignment.js';
+import type { Job } from '../model/job.js';
+import type { Machine } from '../model/machine.js';
+import type { Heartbeat } from '../model/heartbeat.js';
+import { mayStartTasks } from '../state/leadership-timing.js';
+import { markReachable } from '../reconciliation/heartbeats.js';
+import { type Timestamp, type MonotonicTime, seconds, toSeconds } from '../model/time.js';
 
 /** What became of a direct command. Unknown: a copy may still arrive and be carried out. */
 export function onCommandsAnswered(
@@ -102,7 +102,7 @@
 function graceNow(state: ClusterState, intent: Assignment, now: MonotonicTime): number {
   const grace = intent.stopRequest?.grace ?? 0;
   if (intent.stopRequest === null || grace === 0) return 0;
-  const allowed = seconds(grace * 2) + state.facts.gangPeerTimeout + state.facts.heartbeatInterval * 2n;
+  const allowed = seconds(grace * 2) + state.config.gangPeerTimeout + state.config.heartbeatInterval * 2n;
   return now - intent.stopRequest.requestedAt > allowed ? 0 : grace;
 }
 
@@ -202,7 +202,7 @@
       const passed = other.startSentAt === null ? 0 : toSeconds(now - other.startSentAt);
       last = Math.max(last, fetch(state.machines.get(other.machineName)) - passed);
     }
-  return own >= last - toSeconds(state.facts.gangStartTimeout) * STEP;
+  return own >= last - toSeconds(state.config.gangStartTimeout) * STEP;
 }
 
 /**
--- a/src/core/urgency.ts
+++ b/src/core/jobs/deadline-slack.ts
@@ -1,7 +1,7 @@
 /** @file By when a job should have started, and how hurried or patient it is. */
-import type { ClusterState } from './cluster-state.js';
-import type { Job } from './model.js';
-import { type Timestamp, seconds, toSeconds, wallSecondsBetween } from './time.js';
+import type { ClusterState } from '../state/cluster-state.js';
+import type { Job } from '../model/job.js';
+import { type Timestamp, seconds, toSeconds, wallSecondsBetween } from '../model/time.js';
 
 /** How long a job may wait for which nothing is said. */
 const DEFAULT_WAIT_S = 120;
@@ -16,7 +16,7 @@
  */
 export function startDeadline(state: ClusterState, job: Job): number {
   let within = Infinity;
-  for (const objective of state.facts.objectives) {
+  for (const objective of state.config.objectives) {
     if (objective.class !== job.spec.class || objective.threshold === null) continue;
     const span = toSeconds(objective.threshold);
     if (objective.kind === 'wait') within = Math.min(within, span);
@@ -40,7 +40,7 @@
   let boot = 0;
   for (const type of state.types.values()) boot = Math.max(boot, toSeconds(type.bootTime));
   // Only where some class is promised a start within that time is there anything to leave room for.
-  const hasty = state.facts.objectives.some(
+  const hasty = state.config.objectives.some(
     (objective) =>
       objective.kind === 'wait' && objective.threshold !== null && toSeconds(objective.threshold) < 2 * boot,
   );
--- a/src/core/dependencies.ts
+++ b/src/core/jobs/dependencies.ts
@@ -1,10 +1,11 @@
 /** @file Jobs that wait for jobs, as the owner sees them: when they become ready, and what they pass on. */
-import { releaseFinishedChunks } from './chunks.js';
-import { emitLog, type ClusterState } from './cluster-state.js';
-import type { GraphChange } from './dependency-graph.js';
-import { priorityRank, type Job, type Priority } from './model.js';
-import { toSeconds, type Timestamp } from './time.js';
-import { estimatedSeconds } from './urgency.js';
+import { releaseFinishedChunks } from '../records/chunks.js';
+import { emitLog } from '../state/log-effects.js';
+import type { ClusterState } from '../state/cluster-state.js';
+import type { GraphChange } from '../state/dependency-graph.js';
+import { priorityRank, type Job, type Priority } from '../model/job.js';
+import { toSeconds, type Timestamp } from '../model/time.js';
+import { estimatedSeconds } from './deadline-slack.js';
 
 /** Takes in an unfinished job: it may be placed at once, or once the last job that it needs is committed as done. */
 export function registerJob(state: ClusterState, job: Job, now: Timestamp): void {
--- a/src/core/capacity.ts
+++ b/src/core/machines/free-resources.ts
@@ -1,9 +1,10 @@
 /** @file Which machines take tasks now, and what is free on them. */
-import type { ClusterState } from './cluster-state.js';
-import { leaseExpiry } from './leases.js';
-import type { Machine, JobSpec } from './model.js';
-import type { Resources } from './placement.js';
-import { type MonotonicTime, seconds } from './time.js';
+import type { ClusterState } from '../state/cluster-state.js';
+import { leaseExpiry } from '../reconciliation/worker-leases.js';
+import type { Machine } from '../model/machine.js';
+import type { JobSpec } from '../model/job.js';
+import type { Resources } from '../scheduling/scoring.js';
+import { type MonotonicTime, seconds } from '../model/time.js';
 
 /** Whether a task may be placed here now. */
 export function isUsable(state: ClusterState, machine: Machine, now: MonotonicTime): boolean {
@@ -20,7 +21,7 @@
   // Without an answer to it the worker goes on to its next session soon, and what it holds is gone.
   if (now >= leaseExpiry(state, machine)) return false;
   return (
-    now - machine.lastHeartbeatAt <= (state.facts.heartbeatInterval * 5n) / 2n + seconds(1) &&
+    now - machine.lastHeartbeatAt <= (state.config.heartbeatInterval * 5n) / 2n + seconds(1) &&
     state.types.has(machine.type)
   );
 }
--- a/src/core/image-cache.ts
+++ b/src/core/machines/image-cache.ts
@@ -1,7 +1,8 @@
 /** @file Which images a machine has cached. */
-import type { ClusterState } from './cluster-state.js';
-import type { Machine, JobSpec } from './model.js';
-import type { MonotonicTime } from './time.js';
+import type { ClusterState } from '../state/cluster-state.js';
+import type { Machine } from '../model/machine.js';
+import type { JobSpec } from '../model/job.js';
+import type { MonotonicTime } from '../model/time.js';
 
 /** Notes that a machine has an image. What it caches is bounded: images that were used longest ago make way. */
 export function recordImageUse(
--- a/src/core/machine-registry.ts
+++ b/src/core/machines/machine-registry.ts
@@ -1,7 +1,7 @@
 /** @file The machines that the owner of a part knows. */
-import type { ClusterState } from './cluster-state.js';
-import type { Machine } from './model.js';
-import type { MonotonicTime } from './time.js';
+import type { ClusterState } from '../state/cluster-state.js';
+import type { Machine } from '../model/machine.js';
+import type { MonotonicTime } from '../model/time.js';
 
 /** The machine of that name, made known when it is not. */
 export function getOrAddMachine(state: ClusterState, name: string, now: MonotonicTime): Machine {
--- a/src/core/zone-policy.ts
+++ b/src/core/model/zone-policy.ts
@@ -1,5 +1,5 @@
 /** @file What a policy for lost and returning zones is told, and what it decides. Without one, zones are all alike. */
-import type { JobKind, Priority } from './model.js';
+import type { JobKind, Priority } from './job.js';
 import type { Timestamp, Duration } from './time.js';
 
 /** What the owner sees of the machines of one zone at a moment. */
--- a/src/core/closed-jobs.ts
+++ b/src/core/persistence/finished-jobs.ts
@@ -1,6 +1,6 @@
-import { releaseFinishedChunks } from './chunks.js';
-import type { ClusterState } from './cluster-state.js';
-import { seconds, type MonotonicTime } from './time.js';
+import { releaseFinishedChunks } from '../records/chunks.js';
+import type { ClusterState } from '../state/cluster-state.js';
+import { seconds, type MonotonicTime } from '../model/time.js';
 
 /** The demand forecast looks at what was submitted lately, finished or not. */
 const KEPT = seconds(120);
--- a/src/core/loading.ts
+++ b/src/core/persistence/recovery.ts
@@ -1,12 +1,15 @@
 /** @file Jobs and records as they are read from the state service. */
-import { releaseFinishedChunks, newChunk } from './chunks.js';
-import { type ClusterState, emitLog } from './cluster-state.js';
-import { registerJob, onJobFinished } from './dependencies.js';
-import { stopAllAssignments, requestCompletion } from './intents.js';
-import { getOrAddMachine } from './machine-registry.js';
-import { type Assignment, type Job, type JobRecord, type RecordPage, taskKey } from './model.js';
-import type { PageEntry } from './record-pages.js';
-import type { Timestamp } from './time.js';
+import { releaseFinishedChunks, newChunk } from '../records/chunks.js';
+import type { ClusterState } from '../state/cluster-state.js';
+import { emitLog } from '../state/log-effects.js';
+import { registerJob, onJobFinished } from '../jobs/dependencies.js';
+import { stopAllAssignments, requestCompletion } from '../assignments/assignments.js';
+import { getOrAddMachine } from '../machines/machine-registry.js';
+import { type Assignment, taskKey } from '../model/assignment.js';
+import type { Job, JobRecord } from '../model/job.js';
+import type { RecordPage } from '../model/records.js';
+import type { PageEntry } from '../records/record-pages.js';
+import type { Timestamp } from '../model/time.js';
 
 /** A job's record as read or followed. New jobs come in; a cancellation stops what may run. */
 export function onJobChanged(
--- a/src/core/outbox.ts
+++ b/src/core/persistence/transactions.ts
@@ -1,9 +1,10 @@
-import { releaseFinishedChunks, chunkRecordOf } from './chunks.js';
-import { onJobFinished } from './dependencies.js';
-import type { TaskChunk, Job } from './model.js';
-import { pageEntriesOf, type PageEntry } from './record-pages.js';
-import { seconds, type Timestamp, type MonotonicTime } from './time.js';
-import type { ClusterState } from './cluster-state.js';
+import { releaseFinishedChunks, chunkRecordOf } from '../records/chunks.js';
+import { onJobFinished } from '../jobs/dependencies.js';
+import type { TaskChunk } from '../model/records.js';
+import type { Job } from '../model/job.js';
+import { pageEntriesOf, type PageEntry } from '../records/record-pages.js';
+import { seconds, type Timestamp, type MonotonicTime } from '../model/time.js';
+import type { ClusterState } from '../state/cluster-state.js';
 
 /**
  * The owner's writes to the state service. Changes pile up per page and go out together, one transaction at a time;
@@ -38,7 +39,7 @@
  * pages change than fit one transaction they wait longer, so that what is waited for is not behind them.
  */
 const batchingDelay = (state: ClusterState): MonotonicTime =>
-  seconds(1) * BigInt(Math.max(1, Math.ceil(state.dirty.size / state.facts.maxTransactionOperations)));
+  seconds(1) * BigInt(Math.max(1, Math.ceil(state.dirty.size / state.config.maxTransactionOperations)));
 
 const unrecorded = (job: Job, but: ReadonlySet<number>): boolean => {
   for (const chunk of job.chunks.values())
@@ -75,7 +76,7 @@
   for (const id of state.dirtyJobs.keys()) {
     if (
       ids.length + done.length >= most ||
-      ids.length + jobs.size + 1 >= 4 * state.facts.maxTransactionOperations
+      ids.length + jobs.size + 1 >= 4 * state.config.maxTransactionOperations
     )
       return;
     const job = state.jobs.get(id);
@@ -119,7 +120,7 @@
   if (state.unrecordedCancellations.size === 0) return null;
   const jobs = new Map<string, number>();
   for (const id of state.unrecordedCancellations) {
-    if (jobs.size >= state.facts.maxTransactionOperations) break;
+    if (jobs.size >= state.config.maxTransactionOperations) break;
     const job = state.jobs.get(id);
     if (job === undefined) state.unrecordedCancellations.delete(id);
     else jobs.set(id, job.modRevision);
@@ -149,7 +150,7 @@
     const overdue = cancellations(state, now);
     if (overdue !== null) return overdue;
   }
-  const ops = state.facts.maxTransactionOperations;
+  const ops = state.config.maxTransactionOperations;
   const guards = 4 * ops - 1;
   const ids: number[] = [];
   const taken = new Set<number>();
--- a/src/core/failure-detector.ts
+++ b/src/core/reconciliation/failure-detector.ts
@@ -1,13 +1,15 @@
-import { gracePeriod } from './preemption.js';
-import { assignmentsOf, stopAssignment } from './intents.js';
-import type { Machine } from './model.js';
-import { estimatedSeconds } from './urgency.js';
-import { seconds, toSeconds, type Timestamp, type Duration } from './time.js';
-import { isOverloaded, emitLog, type ClusterState } from './cluster-state.js';
+import { gracePeriod } from '../scheduling/preemption.js';
+import { assignmentsOf, stopAssignment } from '../assignments/assignments.js';
+import type { Machine } from '../model/machine.js';
+import { estimatedSeconds } from '../jobs/deadline-slack.js';
+import { seconds, toSeconds, type Timestamp, type Duration } from '../model/time.js';
+import { isOverloaded } from '../state/overload.js';
+import { emitLog } from '../state/log-effects.js';
+import type { ClusterState } from '../state/cluster-state.js';
 
 /** How long a worker may be silent before it is suspected: reports come up to a quarter late, and packets get lost. */
 const suspectAfter = (state: ClusterState): Duration =>
-  (state.facts.heartbeatInterval * 5n) / 2n + seconds(1);
+  (state.config.heartbeatInterval * 5n) / 2n + seconds(1);
 /** How long after that it has to answer a direct call. */
 const LAST_WORD = seconds(2.5);
 
@@ -35,7 +37,7 @@
  * before the leases end.
  */
 export function isCutOffFromWorkers(state: ClusterState, now: Timestamp): boolean {
-  if (now.monotonic - state.began < state.facts.workerLease / 2n) return false;
+  if (now.monotonic - state.began < state.config.workerLease / 2n) return false;
   const all = known(state);
   const silent = all.filter(
     (machine) => now.monotonic - machine.lastHeartbeatAt > suspectAfter(state),
@@ -53,7 +55,7 @@
   if (isOverloaded(state)) return [];
   const after = suspectAfter(state);
   const out = neverHeard(state, now);
-  if (now.monotonic - state.began < after + state.facts.heartbeatInterval * 2n || manySuspected(state, now))
+  if (now.monotonic - state.began < after + state.config.heartbeatInterval * 2n || manySuspected(state, now))
     return out;
   const silent = known(state).filter(
     (machine) =>
@@ -79,7 +81,7 @@
  * a minute; a machine that is cut off around a takeover would leave its users without replicas for all that time.
  */
 function neverHeard(state: ClusterState, now: Timestamp): string[] {
-  if (now.monotonic - state.began < suspectAfter(state) + state.facts.heartbeatInterval * 2n) return [];
+  if (now.monotonic - state.began < suspectAfter(state) + state.config.heartbeatInterval * 2n) return [];
   let working = 0;
   const never: Machine[] = [];
   for (const machine of state.machines.values()) {
--- a/src/core/fencing.ts
+++ b/src/core/reconciliation/fencing.ts
@@ -1,9 +1,12 @@
 /** @file Making sure that machines obey this term alone. */
-import { type ClusterState, isOverloaded, attemptKey } from './cluster-state.js';
-import { startNeverSent } from './intents.js';
-import { type Machine, taskKey } from './model.js';
-import { mayStartTasks } from './ownership-timing.js';
-import { type Timestamp, seconds } from './time.js';
+import type { ClusterState } from '../state/cluster-state.js';
+import { isOverloaded } from '../state/overload.js';
+import { attemptKey } from '../model/assignment.js';
+import { startNeverSent } from '../assignments/assignments.js';
+import type { Machine } from '../model/machine.js';
+import { taskKey } from '../model/assignment.js';
+import { mayStartTasks } from '../state/leadership-timing.js';
+import { type Timestamp, seconds } from '../model/time.js';
 
 /** Machines asked in one go: after a takeover of a large fleet all of them would otherwise be called at once. */
 const FENCE_AT_ONCE = 50;
@@ -56,7 +59,7 @@
 /** Whether some copy of a `run` blocks progress and only a higher token can settle that it never comes. */
 export function tokenAdvanceReason(state: ClusterState, now: Timestamp): string | null {
   if (
-    now.monotonic - state.raisedAt < state.facts.workerLease / 2n ||
+    now.monotonic - state.raisedAt < state.config.workerLease / 2n ||
     !mayStartTasks(state.contact, now.monotonic)
   )
     return null;
@@ -65,7 +68,7 @@
     if (
       machine === undefined ||
       loose.size === 0 ||
-      now.monotonic - machine.lastHeartbeatAt > state.facts.heartbeatInterval * 3n
+      now.monotonic - machine.lastHeartbeatAt > state.config.heartbeatInterval * 3n
     )
       continue;
     for (const forget of state.forgets.get(name)?.values() ?? [])
--- a/src/core/reports.ts
+++ b/src/core/reconciliation/heartbeats.ts
@@ -1,25 +1,19 @@
 /** @file What a worker's report proves about the tasks and the machine that it tells of. */
-import { isUsable } from './capacity.js';
-import {
-  type ClusterState,
-  emitLog,
-  isOverloaded,
-  startMayStillArrive,
-  attemptKey,
-} from './cluster-state.js';
-import { recordImageUse } from './image-cache.js';
-import { endAssignment, stopAssignment, requestForget } from './intents.js';
-import { getOrAddMachine } from './machine-registry.js';
-import { leaseExpiry } from './leases.js';
-import {
-  type Assignment,
-  type Job,
-  type Machine,
-  type Heartbeat,
-  type ReportedTask,
-  taskKey,
-} from './model.js';
-import { type Timestamp, type MonotonicTime, laterOf, seconds, toSeconds } from './time.js';
+import { isUsable } from '../machines/free-resources.js';
+import type { ClusterState } from '../state/cluster-state.js';
+import { emitLog } from '../state/log-effects.js';
+import { isOverloaded } from '../state/overload.js';
+import { startMayStillArrive } from '../state/command-state.js';
+import { attemptKey } from '../model/assignment.js';
+import { recordImageUse } from '../machines/image-cache.js';
+import { endAssignment, stopAssignment, requestForget } from '../assignments/assignments.js';
+import { getOrAddMachine } from '../machines/machine-registry.js';
+import { leaseExpiry } from './worker-leases.js';
+import { type Assignment, taskKey } from '../model/assignment.js';
+import type { Job } from '../model/job.js';
+import type { Machine } from '../model/machine.js';
+import type { Heartbeat, ReportedTask } from '../model/heartbeat.js';
+import { type Timestamp, type MonotonicTime, laterOf, seconds, toSeconds } from '../model/time.js';
 
 /** A report is newer than what is known if its (session, sequence) is larger; late ones say nothing about now. */
 const isNewer = (machine: Machine, report: Heartbeat): boolean =>
@@ -114,7 +108,7 @@
 function newSession(state: ClusterState, machine: Machine, session: number, now: MonotonicTime): void {
   // Its lease was over although we answered within it: nothing of what we send reaches it.
   // (The last answers before a machine hangs are lost too: those alone say nothing.)
-  const sure = leaseExpiry(state, machine) - state.facts.heartbeatInterval * 4n;
+  const sure = leaseExpiry(state, machine) - state.config.heartbeatInterval * 4n;
   if (machine.agentEpoch > 0 && machine.lastExpiredEpoch < machine.agentEpoch && machine.fenced && now < sure)
     markDeaf(state, machine, now);
   machine.agentEpoch = session;
--- a/src/core/machine-list.ts
+++ b/src/core/reconciliation/instance-inventory.ts
@@ -1,10 +1,11 @@
 /** @file The cloud's word on machines: the list, and what was returned. */
-import { type ClusterState, emitLog } from './cluster-state.js';
-import { endAssignment } from './intents.js';
-import { getOrAddMachine } from './machine-registry.js';
-import { leaseExpiry } from './leases.js';
-import type { CloudInstance, Machine } from './model.js';
-import { type Timestamp, type MonotonicTime, seconds } from './time.js';
+import type { ClusterState } from '../state/cluster-state.js';
+import { emitLog } from '../state/log-effects.js';
+import { endAssignment } from '../assignments/assignments.js';
+import { getOrAddMachine } from '../machines/machine-registry.js';
+import { leaseExpiry } from './worker-leases.js';
+import type { CloudInstance, Machine } from '../model/machine.js';
+import { type Timestamp, type MonotonicTime, seconds } from '../model/time.js';
 
 /** Takes in a whole list of the cloud's. */
 export function reconcileInventory(
@@ -39,7 +40,7 @@
     machine.lastListedAt = now.monotonic;
   }
   // The list lags and may go back in time: only what has long been missing and silent is dropped.
-  const long = state.facts.inventoryLag * 6n;
+  const long = state.config.inventoryLag * 6n;
   for (const machine of [...state.machines.values()]) {
     if (names.has(machine.name)) continue;
     if (machine.assignments.size > 0) {
@@ -67,7 +68,7 @@
  */
 function onUnlisted(state: ClusterState, machine: Machine, sent: MonotonicTime, now: Timestamp): void {
   const existed = machine.lastHeartbeatAt > 0n ? machine.lastHeartbeatAt : state.began;
-  if (sent < existed + (state.facts.inventoryLag * 5n) / 2n + seconds(2)) return;
+  if (sent < existed + (state.config.inventoryLag * 5n) / 2n + seconds(2)) return;
   emitLog(
     state,
     'not listed any more: gone',
--- a/src/core/leases.ts
+++ b/src/core/reconciliation/worker-leases.ts
@@ -1,8 +1,10 @@
 /** @file When a silent worker's lease, and with it every task it held, is surely over. */
-import { type ClusterState, emitLog, withClockDrift } from './cluster-state.js';
-import { endAssignment } from './intents.js';
-import type { Machine } from './model.js';
-import { type Timestamp, type MonotonicTime, seconds } from './time.js';
+import type { ClusterState } from '../state/cluster-state.js';
+import { emitLog } from '../state/log-effects.js';
+import { withClockDrift } from '../model/clock-drift.js';
+import { endAssignment } from '../assignments/assignments.js';
+import type { Machine } from '../model/machine.js';
+import { type Timestamp, type MonotonicTime, seconds } from '../model/time.js';
 
 /** From when on the lease of a silent worker is surely over, and with it every task it held. */
 export function leaseExpiry(state: ClusterState, machine: Machine): MonotonicTime {
@@ -11,7 +13,7 @@
     machine.fenced || machine.lastAcknowledgedAt > state.othersQuiet
       ? machine.lastAcknowledgedAt
       : state.othersQuiet;
-  return answered + withClockDrift(state.facts.workerLease) + seconds(0.5);
+  return answered + withClockDrift(state.config.workerLease) + seconds(0.5);
 }
 
 /** Ends the places on machines whose lease is surely over. */
--- a/src/core/chunks.ts
+++ b/src/core/records/chunks.ts
@@ -1,8 +1,10 @@
 /** @file Runs of a job's tasks that are recorded together. */
-import type { ClusterState } from './cluster-state.js';
-import type { TaskChunk, Assignment, Job } from './model.js';
+import type { ClusterState } from '../state/cluster-state.js';
+import type { TaskChunk } from '../model/records.js';
+import type { Assignment } from '../model/assignment.js';
+import type { Job } from '../model/job.js';
 import { removeFromPage, pageFor } from './record-pages.js';
-import type { MonotonicTime } from './time.js';
+import type { MonotonicTime } from '../model/time.js';
 
 /** Tasks per chunk: a whole chunk of places, with the longest names, fits a page of the state service. */
 export const CHUNK_TASKS = 40;
--- a/src/core/record-pages.ts
+++ b/src/core/records/record-pages.ts
@@ -1,8 +1,9 @@
 import type { ChunkRecord } from './chunks.js';
 import { CHUNK_TASKS } from './chunks.js';
-import type { TaskChunk, Job, RecordPage } from './model.js';
-import type { MonotonicTime } from './time.js';
-import type { ClusterState } from './cluster-state.js';
+import type { TaskChunk, RecordPage } from '../model/records.js';
+import type { Job } from '../model/job.js';
+import type { MonotonicTime } from '../model/time.js';
+import type { ClusterState } from '../state/cluster-state.js';
 
 /**
  * What the owner records goes into pages: each holds the chunks of many jobs, so that the many small changes of many
@@ -52,7 +53,7 @@
 const PAGE_HEAD = 240;
 
 const room = (state: ClusterState): number =>
-  state.facts.maxValueBytes - PAGE_HEAD - state.facts.zones.join(',').length;
+  state.config.maxValueBytes - PAGE_HEAD - state.config.zones.join(',').length;
 
 /**
  * Each job that starts has its key guarded when its place is committed. All jobs of a page may start at once, after an
@@ -60,7 +61,7 @@
  * conditions, beside the page's own, the owner's and those of a few jobs that are done, it could never be written again.
  */
 const mostChunks = (state: ClusterState): number =>
-  Math.floor(3.5 * state.facts.maxTransactionOperations) - 2;
+  Math.floor(3.5 * state.config.maxTransactionOperations) - 2;
 
 /** Services stay for hours and hardly change: beside arrays they would be written again and again. */
 const poolOf = (job: Job): RecordPage['pool'] => (job.spec.kind === 'service' ? 'lasting' : 'passing');
--- a/src/core/gangs.ts
+++ b/src/core/scheduling/gang-scheduling.ts
@@ -1,6 +1,8 @@
-import { chunkOf } from './chunks.js';
-import { assignTask } from './intents.js';
-import type { Assignment, Job, Machine, JobSpec } from './model.js';
+import { chunkOf } from '../records/chunks.js';
+import { assignTask } from '../assignments/assignments.js';
+import type { Assignment } from '../model/assignment.js';
+import type { Job, JobSpec } from '../model/job.js';
+import type { Machine } from '../model/machine.js';
 import {
   fits,
   imageFetchDelay,
@@ -9,10 +11,10 @@
   scoreCandidate,
   type Candidate,
   type ScoredCandidate,
-} from './placement.js';
+} from './scoring.js';
 import { addResources } from './preemption.js';
-import { toSeconds, type MonotonicTime } from './time.js';
-import type { ClusterState } from './cluster-state.js';
+import { toSeconds, type MonotonicTime } from '../model/time.js';
+import type { ClusterState } from '../state/cluster-state.js';
 
 /** Ranks machines that are equally good for a job; the smallest value wins. */
 export type TieBreaker = (state: ClusterState, job: Job, candidate: Candidate) => number;
@@ -76,7 +78,7 @@
   const plan = planIn(state, job, open, steer);
   if (plan === null) return null;
   const last = lastOf(plan);
-  const apart = toSeconds(state.facts.gangStartTimeout) * APART;
+  const apart = toSeconds(state.config.gangStartTimeout) * APART;
   if (plan.every((machine) => last - (delays.get(machine) ?? 0) <= apart)) return { plan, last };
   const late = planIn(
     state,
--- a/src/core/preemption.ts
+++ b/src/core/scheduling/preemption.ts
@@ -1,8 +1,11 @@
 /** @file Room for blocked jobs of a higher level, made by stopping lower ones. */
-import { type ClusterState, emitLog } from './cluster-state.js';
-import { assignmentsOf, stopAssignment, assignmentsByZone } from './intents.js';
-import { schedulingPriority, mayPreempt } from './levels.js';
-import type { Assignment, Job, Machine } from './model.js';
+import type { ClusterState } from '../state/cluster-state.js';
+import { emitLog } from '../state/log-effects.js';
+import { assignmentsOf, stopAssignment, assignmentsByZone } from '../assignments/assignments.js';
+import { schedulingPriority, mayPreempt } from './priority.js';
+import type { Assignment } from '../model/assignment.js';
+import type { Job } from '../model/job.js';
+import type { Machine } from '../model/machine.js';
 import {
   type Candidate,
   type Resources,
@@ -11,11 +14,11 @@
   imageFetchDelay,
   isMachineAllowed,
   isZoneAllowed,
-} from './placement.js';
+} from './scoring.js';
 import { reserveForGang } from './starved-gangs.js';
-import { pendingSeconds } from './urgency.js';
-import { type Timestamp, seconds, toSeconds } from './time.js';
-import { zoneAdmits } from './zones.js';
+import { pendingSeconds } from '../jobs/deadline-slack.js';
+import { type Timestamp, seconds, toSeconds } from '../model/time.js';
+import { zoneAdmits } from './zone-availability.js';
 
 /** What one pass knows of the machines. */
 export interface SchedulingSnapshot {
@@ -236,7 +239,7 @@
 /** Seconds in which the job's class should have started, by its objective. */
 function hasteOf(state: ClusterState, job: Job, now: Timestamp): number {
   let within = Infinity;
-  for (const objective of state.facts.objectives)
+  for (const objective of state.config.objectives)
     if (objective.kind === 'wait' && objective.class === job.spec.class && objective.threshold !== null)
       within = Math.min(within, toSeconds(objective.threshold));
   if (within === Infinity) return Infinity;
--- a/src/core/levels.ts
+++ b/src/core/scheduling/priority.ts
@@ -1,6 +1,6 @@
 /** @file The strict order among jobs: priorities and guarantees. */
-import type { ClusterState } from './cluster-state.js';
-import { type Job, priorityRank } from './model.js';
+import type { ClusterState } from '../state/cluster-state.js';
+import { type Job, priorityRank } from '../model/job.js';
 
 /**
  * Levels give waiting and running work one strict order, so that two jobs can never take each other's place in turn:
@@ -22,7 +22,7 @@
     byTeam.set(job.spec.team, list);
   }
   for (const [name, jobs] of byTeam) {
-    const team = state.facts.teams.find((team) => team.name === name);
+    const team = state.config.teams.find((team) => team.name === name);
     jobs.sort(
       (a, b) => a.submittedAt.getTime() - b.submittedAt.getTime() || (a.spec.id < b.spec.id ? -1 : 1),
     );
--- a/src/core/placement-pass.ts
+++ b/src/core/scheduling/scheduling-cycle.ts
@@ -1,12 +1,16 @@
 /** @file One round of placement over the waiting jobs. */
-import { hasPageInAtomicGroup } from './record-pages.js';
-import { isUsable, resourcesOf } from './capacity.js';
-import { chunkOf } from './chunks.js';
-import { type ClusterState, NO_GANG_CAPACITY, emitLog, isOverloaded } from './cluster-state.js';
-import { assignGang } from './gangs.js';
-import { completeGang, assignTask, assignmentsByZone } from './intents.js';
-import { schedulingPriority, updateFairShares } from './levels.js';
-import type { Job, Machine, MachineType } from './model.js';
+import { hasPageInAtomicGroup } from '../records/record-pages.js';
+import { isUsable, resourcesOf } from '../machines/free-resources.js';
+import { chunkOf } from '../records/chunks.js';
+import type { ClusterState } from '../state/cluster-state.js';
+import { NO_GANG_CAPACITY } from '../model/pending-reasons.js';
+import { emitLog } from '../state/log-effects.js';
+import { isOverloaded } from '../state/overload.js';
+import { assignGang } from './gang-scheduling.js';
+import { completeGang, assignTask, assignmentsByZone } from '../assignments/assignments.js';
+import { schedulingPriority, updateFairShares } from './priority.js';
+import type { Job } from '../model/job.js';
+import type { Machine, MachineType } from '../model/machine.js';
 import {
   type Candidate,
   needsAtLeast,
@@ -15,7 +19,7 @@
   pickBest,
   scoreCandidate,
   isZoneAllowed,
-} from './placement.js';
+} from './scoring.js';
 import { type SchedulingSnapshot, addResources, preemptFor, newSnapshot } from './preemption.js';
 import { chooseStarvedGang } from './starved-gangs.js';
 import {
@@ -26,10 +30,10 @@
   anyJobNeedsWholeMachine,
   spreadReplicas,
   tieBreakScore,
-} from './steering.js';
-import { type Timestamp, type Duration, seconds, toSeconds } from './time.js';
-import { displacedReplicas, reserveForDisplaced, zoneAdmits } from './zones.js';
-import { isUrgent, hasDeadlineSlack, pendingSeconds, startDeadline } from './urgency.js';
+} from './tie-breaking.js';
+import { type Timestamp, type Duration, seconds, toSeconds } from '../model/time.js';
+import { displacedReplicas, reserveForDisplaced, zoneAdmits } from './zone-availability.js';
+import { isUrgent, hasDeadlineSlack, pendingSeconds, startDeadline } from '../jobs/deadline-slack.js';
 
 /** Why a job waits: no machine has room for a task. */
 export const NO_CAPACITY = 'no room';
@@ -51,7 +55,7 @@
     }
     if (job.status !== 'open' || job.retryNotBefore > now.monotonic || hasPageInAtomicGroup(state, job))
       continue;
-    const starved = state.emptying?.job === id && state.emptying.first;
+    const starved = state.emptying?.job === id && state.emptying.prioritized;
     rows.push({
       job,
       level: starved ? Math.max(schedulingPriority(job), STARVED) : schedulingPriority(job),
--- a/src/core/placement.ts
+++ b/src/core/scheduling/scoring.ts
@@ -1,5 +1,7 @@
-import type { Job, OperatorSettings, Machine, MachineType, JobSpec } from './model.js';
-import { toSeconds } from './time.js';
+import type { Job, JobSpec } from '../model/job.js';
+import type { OperatorSettings } from '../model/operator-settings.js';
+import type { Machine, MachineType } from '../model/machine.js';
+import { toSeconds } from '../model/time.js';
 
 /**
  * The design's core: filter by request, score by weighted delays plus contention, pick the largest smaller free
--- a/src/core/starved-gangs.ts
+++ b/src/core/scheduling/starved-gangs.ts
@@ -1,11 +1,13 @@
 /** @file Room kept together, and machines emptied, for gangs that have waited long. */
-import { pendingSeconds } from './urgency.js';
-import { type ClusterState, NO_GANG_CAPACITY } from './cluster-state.js';
-import type { Job, Machine } from './model.js';
-import { type Candidate, isMachineAllowed } from './placement.js';
+import { pendingSeconds } from '../jobs/deadline-slack.js';
+import type { ClusterState } from '../state/cluster-state.js';
+import { NO_GANG_CAPACITY } from '../model/pending-reasons.js';
+import type { Job } from '../model/job.js';
+import type { Machine } from '../model/machine.js';
+import { type Candidate, isMachineAllowed } from './scoring.js';
 import { type SchedulingSnapshot, type PreemptionPlan, reserve, zoneOptions } from './preemption.js';
-import { type Timestamp, toSeconds } from './time.js';
-import { zoneAdmits } from './zones.js';
+import { type Timestamp, toSeconds } from '../model/time.js';
+import { zoneAdmits } from './zone-availability.js';
 
 /**
  * Seconds after which free room is kept together for a gang, after which machines are emptied for it, and after which
@@ -32,7 +34,7 @@
   }
   const id = longest.spec.id;
   const machines = state.emptying?.job === id ? state.emptying.machines : new Set<string>();
-  state.emptying = { job: id, machines, first: waited >= FIRST_AFTER_S };
+  state.emptying = { job: id, machines, prioritized: waited >= FIRST_AFTER_S };
 }
 
 /**
--- a/src/core/steering.ts
+++ b/src/core/scheduling/tie-breaking.ts
@@ -1,7 +1,8 @@
 /** @file What narrows the choice among equally good machines. */
-import type { ClusterState } from './cluster-state.js';
-import type { Job, MachineType } from './model.js';
-import type { Candidate, ScoredCandidate } from './placement.js';
+import type { ClusterState } from '../state/cluster-state.js';
+import type { Job } from '../model/job.js';
+import type { MachineType } from '../model/machine.js';
+import type { Candidate, ScoredCandidate } from './scoring.js';
 
 /** Machines that patient work leaves whole, for work that comes with less time; never an eighth of what there is. */
 export const WHOLE_MACHINES_KEPT = 2;
--- a/src/core/zones.ts
+++ b/src/core/scheduling/zone-availability.ts
@@ -1,12 +1,15 @@
 /** @file Zones as a policy for lost and returning ones sees them. Without such a policy nothing here is done. */
-import { type ClusterState, emitLog } from './cluster-state.js';
-import { assignmentsByZone } from './intents.js';
-import type { Assignment, Job, Machine } from './model.js';
-import { mayStartTasks } from './ownership-timing.js';
-import { type Candidate, fits, isMachineAllowed, isZoneAllowed } from './placement.js';
-import { type Timestamp, type Duration, seconds } from './time.js';
-import { pendingSeconds } from './urgency.js';
-import type { FleetObservation, ZoneObservation, ZoneAdmissionRequest } from './zone-policy.js';
+import type { ClusterState } from '../state/cluster-state.js';
+import { emitLog } from '../state/log-effects.js';
+import { assignmentsByZone } from '../assignments/assignments.js';
+import type { Assignment } from '../model/assignment.js';
+import type { Job } from '../model/job.js';
+import type { Machine } from '../model/machine.js';
+import { mayStartTasks } from '../state/leadership-timing.js';
+import { type Candidate, fits, isMachineAllowed, isZoneAllowed } from './scoring.js';
+import { type Timestamp, type Duration, seconds } from '../model/time.js';
+import { pendingSeconds } from '../jobs/deadline-slack.js';
+import type { FleetObservation, ZoneObservation, ZoneAdmissionRequest } from '../model/zone-policy.js';
 
 /** A replica whose machine is in a zone that may be lost, and that may have to start elsewhere. */
 export interface DisplacedReplicas {
@@ -15,7 +18,7 @@
 }
 
 /** How long a machine may be silent before it counts as not heard. */
-const quietAfter = (state: ClusterState): Duration => (state.facts.heartbeatInterval * 5n) / 2n + seconds(1);
+const quietAfter = (state: ClusterState): Duration => (state.config.heartbeatInterval * 5n) / 2n + seconds(1);
 
 const isHeard = (state: ClusterState, machine: Machine, now: Timestamp): boolean =>
   machine.agentEpoch > 0 &&
@@ -30,7 +33,7 @@
 
 function tallyZones(state: ClusterState, now: Timestamp): ZoneObservation[] {
   const tallies = new Map<string, ZoneTally>();
-  for (const zone of state.facts.zones) tallies.set(zone, { known: 0, gpus: 0, names: [] });
+  for (const zone of state.config.zones) tallies.set(zone, { known: 0, gpus: 0, names: [] });
   for (const machine of state.machines.values()) {
     if (machine.releasing || machine.instanceState === 'failed') continue;
     if (machine.agentEpoch === 0 && machine.assignments.size === 0) continue;
@@ -85,7 +88,7 @@
 }
 
 /** From a term's beginning, workers need this long to find their new owner. */
-const settling = (state: ClusterState): Duration => quietAfter(state) + state.facts.heartbeatInterval * 2n;
+const settling = (state: ClusterState): Duration => quietAfter(state) + state.config.heartbeatInterval * 2n;
 
 function observeFleet(state: ClusterState, now: Timestamp): FleetObservation {
   return {
--- a/src/core/cluster-state.ts
+++ b/src/core/state/cluster-state.ts
@@ -1,65 +1,20 @@
 import { DependencyGraph } from './dependency-graph.js';
-import type {
-  ClusterConfig,
-  Assignment,
-  Job,
-  OperatorSettings,
-  Machine,
-  MachineType,
-  RecordPage,
-} from './model.js';
-import { TeamQuotas } from './quota.js';
-import type { ZonePolicy } from './zone-policy.js';
-import { seconds, type Duration, type MonotonicTime } from './time.js';
-
-/** What a worker is told to do with one attempt of a task. */
-export interface WorkerCommand {
-  readonly op: 'start' | 'stop' | 'forget';
-  readonly jobId: string;
-  readonly taskIndex: number;
-  readonly attempt: number;
-  readonly gracePeriodS?: number;
-}
-
-/** Machines of one kind to rent together. */
-export interface ScaleOutRequest {
-  readonly type: string;
-  readonly zone: string;
-  readonly spot: boolean;
-  readonly count: number;
-}
-
-/** What the core wants done outside. */
-export type Effect =
-  | {
-      readonly kind: 'send-commands';
-      readonly machineName: string;
-      readonly agentEpoch: number;
-      readonly commands: readonly WorkerCommand[];
-    }
-  | { readonly kind: 'scale-out'; readonly request: ScaleOutRequest }
-  | { readonly kind: 'scale-in'; readonly machineNames: readonly string[]; readonly reason: string }
-  | { readonly kind: 'advance-token'; readonly reason: string }
-  | { readonly kind: 'superseded'; readonly fencingToken: number }
-  | { readonly kind: 'step-down'; readonly reason: string }
-  /** What the next owner must know of zones. */
-  | { readonly kind: 'persist-zones'; readonly record: unknown }
-  | {
-      readonly kind: 'log';
-      readonly level: 'info' | 'debug';
-      readonly message: string;
-      readonly fields: Record<string, unknown>;
-    };
-
-/** A rental under way or recently refused. */
-export interface PendingScaleOut {
-  readonly request: ScaleOutRequest;
-  readonly requestedAt: MonotonicTime;
-}
+import type { ClusterConfig } from '../model/cluster-config.js';
+import type { Job } from '../model/job.js';
+import type { OperatorSettings } from '../model/operator-settings.js';
+import type { Machine, MachineType } from '../model/machine.js';
+import type { RecordPage } from '../model/records.js';
+import { TeamQuotas } from './team-quotas.js';
+import type { ZonePolicy } from '../model/zone-policy.js';
+import type { Duration, MonotonicTime } from '../model/time.js';
+import type { Effect } from '../model/effects.js';
+import type { PendingScaleOut } from '../model/scale-out.js';
+import type { PendingForget } from '../model/worker-command.js';
+import type { LeadershipTerm } from './term-state.js';
 
 /** Everything the owner of a part knows. One object, changed only by the core's own functions. */
 export interface ClusterState {
-  readonly facts: ClusterConfig;
+  readonly config: ClusterConfig;
   readonly settings: OperatorSettings;
   readonly jobs: Map<string, Job>;
   readonly machines: Map<string, Machine>;
@@ -116,7 +71,7 @@
   /** The gang for which this pass keeps free room together. */
   holding: string | null;
   /** The gang that has waited longest for room, once that is so long that machines are emptied for it; and which. */
-  emptying: { readonly job: string; machines: ReadonlySet<string>; readonly first: boolean } | null;
+  emptying: { readonly job: string; machines: ReadonlySet<string>; readonly prioritized: boolean } | null;
   /** Some unfinished job's task takes most of a machine. */
   wholeNeeded: boolean;
   /** Jobs for which this pass has booked room already. */
@@ -139,28 +94,6 @@
   listSeen: boolean;
 }
 
-/** An exited task whose result must be committed before the worker may forget it. */
-export interface PendingForget {
-  readonly jobId: string;
-  readonly taskIndex: number;
-  readonly attempt: number;
-  readonly chunkIndex: number | null;
-  readonly recordVersion: number;
-  readonly requestedAt: MonotonicTime;
-}
-
-/** What a term as owner begins with. */
-export interface LeadershipTerm {
-  readonly fencingToken: number;
-  readonly startedAt: MonotonicTime;
-  /**
-   * When the claim was sent. A cancellation confirmed between that moment and the beginning of the term may not be in
-   * the copy yet, so the answering span counts from here.
-   */
-  readonly confirmedAt: MonotonicTime;
-  readonly previousLeadersDeadline: MonotonicTime;
-}
-
 /** The state at the beginning of a term, before anything is read. */
 export function newClusterState(
   facts: ClusterConfig,
@@ -169,7 +102,7 @@
   zonePolicy: ZonePolicy | null = null,
 ): ClusterState {
   return {
-    facts,
+    config: facts,
     settings,
     jobs: new Map(),
     machines: new Map(),
@@ -220,52 +153,3 @@
     listSeen: false,
   };
 }
-
-/** Why a gang waits. */
-export const NO_GANG_CAPACITY = 'no room for all tasks at once';
-
-/** Names one attempt of a task. */
-export const attemptKey = (job: string, task: number, attempt: number): string => `${job}/${task}#${attempt}`;
-
-/** The inner map under a key, made when it is missing. */
-export function getOrCreateMap<K, V>(outer: Map<string, Map<K, V>>, key: string): Map<K, V> {
-  let m = outer.get(key);
-  if (m === undefined) {
-    m = new Map();
-    outer.set(key, m);
-  }
-  return m;
-}
-
-/** Has a line written to the log. */
-export function emitLog(
-  state: ClusterState,
-  text: string,
-  about: Record<string, unknown>,
-  level: 'info' | 'debug' = 'debug',
-): void {
-  state.effects.push({ kind: 'log', level, message: text, fields: about });
-}
-
-/** Whether some copy of the intent's `run` may still reach its machine. */
-export function startMayStillArrive(state: ClusterState, intent: Assignment): boolean {
-  const key = attemptKey(intent.jobId, intent.taskIndex, intent.attempt);
-  return (
-    state.loose.get(intent.machineName)?.has(key) === true ||
-    (state.flying.get(intent.machineName)?.get(key) ?? 0) > 0
-  );
-}
-
-const BEHIND = seconds(0.1);
-
-/**
- * Whether the process is so late that what it does of its own accord must give way to what workers ask. On a small
- * share of a core a takeover brings more at once than can be done at once; direct calls, each of which costs several
- * times as much as a report, then took the time in which the reports should have been answered, and leases ran out.
- */
-export const isOverloaded = (state: ClusterState): boolean => state.lateness > BEHIND;
-
-/** Clocks differ by 0.05%: twice that, as a share of a span. */
-export const CLOCK_DRIFT_DIVISOR = 1000n; // clocks differ by 0.05%; twice that, as a share of the span
-/** A span as long as it can be by another clock. */
-export const withClockDrift = (s: Duration): Duration => s + s / CLOCK_DRIFT_DIVISOR;
--- a/src/core/ownership-timing.ts
+++ b/src/core/state/leadership-timing.ts
@@ -1,6 +1,6 @@
-import type { ClusterConfig } from './model.js';
-import { seconds, type Duration, type MonotonicTime } from './time.js';
-import { withClockDrift } from './cluster-state.js';
+import type { ClusterConfig } from '../model/cluster-config.js';
+import { seconds, type Duration, type MonotonicTime } from '../model/time.js';
+import { withClockDrift } from '../model/clock-drift.js';
 
 /**
  * How long an owner that has lost the state service may go on answering reports. A user can be told "cancelled" by
--- a/src/core/quota.ts
+++ b/src/core/state/team-quotas.ts
@@ -1,4 +1,5 @@
-import type { JobSpec, Team } from './model.js';
+import type { JobSpec } from '../model/job.js';
+import type { Team } from '../model/cluster-config.js';
 
 /** What a team's tasks may hold anywhere, by its recorded intents. */
 export interface ResourceUsage {
--- a/src/edge/cloud.ts
+++ b/src/edge/cloud/cloud-client.ts
@@ -1,12 +1,12 @@
-import type { CloudInstance, MachineType } from '../core/model.js';
-import type { ScaleOutRequest } from '../core/cluster-state.js';
-import { CLOUD_PATHS, listQuery, parseList, parseTypes, rentBody, returnBody } from '../wire/dialect.js';
-import * as schemas from '../wire/schemas.js';
-import { RateLimiter } from './rate-limiter.js';
-import { pause } from './supervised-task.js';
-import { HttpClient, type Outcome } from './http-client.js';
-import { jittered } from './jitter.js';
-import { warnSparsely, type Log } from './log.js';
+import type { CloudInstance, MachineType } from '../../core/model/machine.js';
+import type { ScaleOutRequest } from '../../core/model/scale-out.js';
+import { CLOUD_PATHS, listQuery, parseList, parseTypes, rentBody, returnBody } from '../../wire/protocol.js';
+import * as schemas from '../../wire/schemas.js';
+import { RateLimiter } from '../runtime/rate-limiter.js';
+import { pause } from '../runtime/supervised-task.js';
+import { HttpClient, type Outcome } from '../net/http-client.js';
+import { jittered } from '../runtime/jitter.js';
+import { warnSparsely, type Log } from '../runtime/logger.js';
 
 const CALL_MS = 4000;
 
--- a/src/edge/cloud-polling.ts
+++ b/src/edge/cloud/cloud-poller.ts
@@ -1,9 +1,9 @@
 import type { Subscription } from 'rxjs';
-import type { MachineType } from '../core/model.js';
-import { monotonicNow } from './clock.js';
-import { jittered } from './jitter.js';
-import { isAborted, pause, supervise } from './supervised-task.js';
-import type { TermContext } from './term-context.js';
+import type { MachineType } from '../../core/model/machine.js';
+import { monotonicNow } from '../runtime/clock.js';
+import { jittered } from '../runtime/jitter.js';
+import { isAborted, pause, supervise } from '../runtime/supervised-task.js';
+import type { TermContext } from '../leadership/term-context.js';
 
 /** Asks the cloud for its machines and their types for as long as the term lasts. */
 export class CloudPolling {
--- a/src/edge/feature-loader.ts
+++ b/src/edge/config/feature-loader.ts
@@ -2,8 +2,8 @@
 import { createRequire } from 'node:module';
 import { join } from 'node:path';
 import type * as ZoneRecoveryPackage from '@pumiceroad/zone-recovery';
-import type { ClusterConfig } from '../core/model.js';
-import type { ZonePolicy } from '../core/zone-policy.js';
+import type { ClusterConfig } from '../../core/model/cluster-config.js';
+import type { ZonePolicy } from '../../core/model/zone-policy.js';
 import type { Feature, Features } from './features.js';
 
 const load = createRequire(__filename);
--- a/src/edge/features.ts
+++ b/src/edge/config/features.ts
@@ -1,5 +1,5 @@
 import { readFileSync } from 'node:fs';
-import { SettingsError } from './settings.js';
+import { SettingsError } from './platform-settings.js';
 import { atomOf, failAt, listOf, readForms } from './sexpr.js';
 
 /** What may be switched on beyond what every controller does. */
--- a/src/edge/operator-settings.ts
+++ b/src/edge/config/operator-settings.ts
@@ -1,7 +1,7 @@
 import { readFileSync } from 'node:fs';
-import type { OperatorSettings } from '../core/model.js';
-import { seconds, toSeconds } from '../core/time.js';
-import { SettingsError } from './settings.js';
+import type { OperatorSettings } from '../../core/model/operator-settings.js';
+import { seconds, toSeconds } from '../../core/model/time.js';
+import { SettingsError } from './platform-settings.js';
 import { atomOf, failAt, listOf, readForms } from './sexpr.js';
 
 /** The operators' own settings: S-expressions such as `(placement (alpha 0.25) (lambda 0.5))`, with checked ranges. */
--- a/src/edge/settings.ts
+++ b/src/edge/config/platform-settings.ts
@@ -1,10 +1,10 @@
 import { readFileSync } from 'node:fs';
 import * as z from 'zod';
-import type { ClusterConfig } from '../core/model.js';
-import { seconds } from '../core/time.js';
-import { MIN_VALUE_BYTES } from '../core/record-pages.js';
-import { LEAST_MB } from './memory.js';
-import { LEAST_SOCKETS } from './sockets.js';
+import type { ClusterConfig } from '../../core/model/cluster-config.js';
+import { seconds } from '../../core/model/time.js';
+import { MIN_VALUE_BYTES } from '../../core/records/record-pages.js';
+import { LEAST_MB } from '../runtime/memory-monitor.js';
+import { LEAST_SOCKETS } from './connection-limits.js';
 
 /** A mistake in what we were started with: told in one line, exit code 2. */
 export class SettingsError extends Error {}
--- a/src/edge/sexpr.ts
+++ b/src/edge/config/sexpr.ts
@@ -1,6 +1,6 @@
 /** @file Reading S-expressions, with the line of every mistake. */
 import { parse, type Node } from 'sexpr-plus';
-import { SettingsError } from './settings.js';
+import { SettingsError } from './platform-settings.js';
 
 /** The forms of a text. */
 export function readForms(text: string, name: string): Node[] {
--- a/src/edge/reports.ts
+++ b/src/edge/http/heartbeat-reader.ts
@@ -1,6 +1,6 @@
 import type { Socket } from 'node:net';
-import { API_PATHS } from '../wire/dialect.js';
-import { monotonicNow } from './clock.js';
+import { API_PATHS } from '../../wire/protocol.js';
+import { monotonicNow } from '../runtime/clock.js';
 
 /**
  * Workers' reports, read straight from the socket. They come hundreds of times a second over connections that carry
--- a/src/edge/api.ts
+++ b/src/edge/http/http-server.ts
@@ -2,9 +2,9 @@
 import type { Socket } from 'node:net';
 import express, { type NextFunction, type Request, type Response } from 'express';
 import { Observable, Subscription } from 'rxjs';
-import type { Heartbeat } from '../core/model.js';
-import type { WorkerCommand } from '../core/cluster-state.js';
-import { decode, encode } from '../wire/cbor.js';
+import type { Heartbeat } from '../../core/model/heartbeat.js';
+import type { WorkerCommand } from '../../core/model/worker-command.js';
+import { decode, encode } from '../../wire/cbor.js';
 import {
   API_PATHS,
   isJobId,
@@ -14,15 +14,15 @@
   parseReport,
   parseSubmission,
   redirect,
-} from '../wire/dialect.js';
+} from '../../wire/protocol.js';
 import type { Answer, RequestHandler, View } from './request-handler.js';
 import { InboundConnections } from './inbound-connections.js';
 import { Listener } from './listener.js';
-import { messageOf } from './supervised-task.js';
-import { parseTarget } from './http-client.js';
-import { warnSparsely, type Log } from './log.js';
-import { Intake, readReports, type ReportAnswer } from './reports.js';
-import type { SocketShares } from './sockets.js';
+import { messageOf } from '../runtime/supervised-task.js';
+import { parseTarget } from '../net/http-client.js';
+import { warnSparsely, type Log } from '../runtime/logger.js';
+import { Intake, readReports, type ReportAnswer } from './heartbeat-reader.js';
+import type { SocketShares } from '../config/connection-limits.js';
 
 /** What the HTTP interface needs. */
 export interface ApiDependencies {
--- a/src/edge/inbound-connections.ts
+++ b/src/edge/http/inbound-connections.ts
@@ -1,6 +1,6 @@
-import { monotonicNow } from './clock.js';
-import type { Log } from './log.js';
-import type { SocketShares } from './sockets.js';
+import { monotonicNow } from '../runtime/clock.js';
+import type { Log } from '../runtime/logger.js';
+import type { SocketShares } from '../config/connection-limits.js';
 
 /** Nanoseconds for which workers go on taking turns after sockets were short. */
 const TURNS_LAST = 60_000_000_000n;
--- a/src/edge/listener.ts
+++ b/src/edge/http/listener.ts
@@ -1,7 +1,7 @@
 import { createServer, type Server, type Socket } from 'node:net';
 import { Observable } from 'rxjs';
-import { millisecondsSince, monotonicNow } from './clock.js';
-import type { Target } from './http-client.js';
+import { millisecondsSince, monotonicNow } from '../runtime/clock.js';
+import type { Target } from '../net/http-client.js';
 
 /** A worker waits for 4 s: sooner after listening anew nothing can have been given up for its place in the queue. */
 const REOPEN_MS = 4000;
--- a/src/edge/request-handler.ts
+++ b/src/edge/http/request-handler.ts
@@ -1,14 +1,16 @@
-import type { ClusterConfig, JobRecord, MachineType, JobSpec } from '../core/model.js';
-import { fitsQuota } from '../core/quota.js';
-import type { UserStanding } from '../wire/dialect.js';
-import { EndedJob, ROOT, jobKey, parseKey, readJob, summaryOf, writeJob } from '../wire/records.js';
-import { millisecondsSince, monotonicNow } from './clock.js';
-import { jittered } from './jitter.js';
-import type { Log } from './log.js';
-import { Counts } from './counts.js';
-import { DependencyIndex } from './dependency-index.js';
-import type { Read, Store } from './store.js';
-import { DEPENDENCIES, type Versions } from './versions.js';
+import type { ClusterConfig } from '../../core/model/cluster-config.js';
+import type { JobRecord, JobSpec } from '../../core/model/job.js';
+import type { MachineType } from '../../core/model/machine.js';
+import { fitsQuota } from '../../core/state/team-quotas.js';
+import type { UserStanding } from '../../wire/protocol.js';
+import { EndedJob, ROOT, jobKey, parseKey, readJob, summaryOf, writeJob } from '../../wire/records.js';
+import { millisecondsSince, monotonicNow } from '../runtime/clock.js';
+import { jittered } from '../runtime/jitter.js';
+import type { Log } from '../runtime/logger.js';
+import { Counts } from '../state-store/task-counts.js';
+import { DependencyIndex } from '../state-store/dependency-index.js';
+import type { Read, Store } from '../state-store/state-store.js';
+import { DEPENDENCIES, type Versions } from '../state-store/controller-versions.js';
 
 /** A job as its user sees it. */
 export interface View {
--- a/src/edge/commit-loop.ts
+++ b/src/edge/leadership/commit-loop.ts
@@ -1,15 +1,15 @@
 import { interval, type Subscription } from 'rxjs';
-import type { JobStatus } from '../core/model.js';
-import { operationCount, type Transaction } from '../core/outbox.js';
-import { jobKey, pageKey, partKey, summaryOf, writeJob, writePage } from '../wire/records.js';
-import { currentTime } from './clock.js';
-import { jittered } from './jitter.js';
-import type { OwnedKey } from './owned-key.js';
-import { RateLimiter } from './rate-limiter.js';
-import type { Guard, Write } from './store.js';
-import { isAborted, pause, supervise } from './supervised-task.js';
+import type { JobStatus } from '../../core/model/job.js';
+import { operationCount, type Transaction } from '../../core/persistence/transactions.js';
+import { jobKey, pageKey, partKey, summaryOf, writeJob, writePage } from '../../wire/records.js';
+import { currentTime } from '../runtime/clock.js';
+import { jittered } from '../runtime/jitter.js';
+import type { OwnedKey } from './leader-key.js';
+import { RateLimiter } from '../runtime/rate-limiter.js';
+import type { Guard, Write } from '../state-store/state-store.js';
+import { isAborted, pause, supervise } from '../runtime/supervised-task.js';
 import type { TermContext } from './term-context.js';
-import { WakeSignal } from './wake-signal.js';
+import { WakeSignal } from '../runtime/wake-signal.js';
 
 /**
  * The owner's share of the changes that the state service takes. Users' submissions and cancellations go first: what
--- a/src/edge/ownership.ts
+++ b/src/edge/leadership/leader-election.ts
@@ -1,11 +1,11 @@
 import type { Subscription } from 'rxjs';
-import { toSeconds } from '../core/time.js';
-import { partKey, readPart, type PartRecord } from '../wire/records.js';
-import { monotonicNow } from './clock.js';
-import { WakeSignal } from './wake-signal.js';
-import { isAborted, supervise, messageOf } from './supervised-task.js';
-import { jittered } from './jitter.js';
-import { Term } from './term.js';
+import { toSeconds } from '../../core/model/time.js';
+import { partKey, readPart, type PartRecord } from '../../wire/records.js';
+import { monotonicNow } from '../runtime/clock.js';
+import { WakeSignal } from '../runtime/wake-signal.js';
+import { isAborted, supervise, messageOf } from '../runtime/supervised-task.js';
+import { jittered } from '../runtime/jitter.js';
+import { Term } from './leader-term.js';
 import type { TermDependencies } from './term-context.js';
 
 /** What a controller needs to take a part. */
--- a/src/edge/owned-key.ts
+++ b/src/edge/leadership/leader-key.ts
@@ -1,5 +1,5 @@
-import { partKey, type PartRecord } from '../wire/records.js';
-import type { Guard } from './store.js';
+import { partKey, type PartRecord } from '../../wire/records.js';
+import type { Guard } from '../state-store/state-store.js';
 import type { TermContext } from './term-context.js';
 
 /** The key in the state service that makes this process the owner of the part. */
--- a/src/edge/term.ts
+++ b/src/edge/leadership/leader-term.ts
@@ -1,29 +1,27 @@
 import { setMaxListeners } from 'node:events';
 import { Subscription, interval } from 'rxjs';
-import {
-  isOverloaded,
-  type Effect,
-  type WorkerCommand,
-  type ScaleOutRequest,
-} from '../core/cluster-state.js';
-import type { Heartbeat } from '../core/model.js';
-import { ClusterScheduler, type Event } from '../core/owner.js';
+import { isOverloaded } from '../../core/state/overload.js';
+import type { Effect } from '../../core/model/effects.js';
+import type { WorkerCommand } from '../../core/model/worker-command.js';
+import type { ScaleOutRequest } from '../../core/model/scale-out.js';
+import type { Heartbeat } from '../../core/model/heartbeat.js';
+import { ClusterScheduler, type Event } from '../../core/cluster-scheduler.js';
 import {
   mayAcknowledgeHeartbeats,
   mayStartTasks,
   previousLeadersDeadlineFrom,
-} from '../core/ownership-timing.js';
-import { EndedJob, parseKey, readJob, zonesKey, type PartRecord } from '../wire/records.js';
-import { currentTime, monotonicNow } from './clock.js';
-import { CloudPolling } from './cloud-polling.js';
+} from '../../core/state/leadership-timing.js';
+import { EndedJob, parseKey, readJob, zonesKey, type PartRecord } from '../../wire/records.js';
+import { currentTime, monotonicNow } from '../runtime/clock.js';
+import { CloudPolling } from '../cloud/cloud-poller.js';
 import { CommitLoop } from './commit-loop.js';
-import { OwnedKey } from './owned-key.js';
-import { StateContact } from './state-contact.js';
-import type { Change, Entry } from './store.js';
+import { OwnedKey } from './leader-key.js';
+import { StateContact } from './leadership-lease.js';
+import type { Change, Entry } from '../state-store/state-store.js';
 import type { TermContext, TermDependencies } from './term-context.js';
-import { TermProfile, stepOf } from './term-profile.js';
-import { Workers } from './workers.js';
-import { ZoneKeeper } from './zone-keeper.js';
+import { TermProfile, stepOf } from './term-startup-profile.js';
+import { Workers } from '../workers/worker-command-sender.js';
+import { ZoneKeeper } from './zone-record-writer.js';
 
 const TICK_MS = 100;
 
--- a/src/edge/state-contact.ts
+++ b/src/edge/leadership/leadership-lease.ts
@@ -1,7 +1,7 @@
 import type { Subscription } from 'rxjs';
-import { monotonicNow } from './clock.js';
-import type { OwnedKey } from './owned-key.js';
-import { isAborted, pause, supervise } from './supervised-task.js';
+import { monotonicNow } from '../runtime/clock.js';
+import type { OwnedKey } from './leader-key.js';
+import { isAborted, pause, supervise } from '../runtime/supervised-task.js';
 import type { TermContext } from './term-context.js';
 
 const HEARTBEAT_MS = 1000;
--- a/src/edge/term-context.ts
+++ b/src/edge/leadership/term-context.ts
@@ -1,12 +1,13 @@
-import type { ClusterConfig, OperatorSettings } from '../core/model.js';
-import type { ZonePolicy } from '../core/zone-policy.js';
-import type { Event, ClusterScheduler } from '../core/owner.js';
-import type { PartRecord } from '../wire/records.js';
-import type { Cloud } from './cloud.js';
-import type { DecodedPages } from './decoded-pages.js';
-import type { ImagesSeen } from './images.js';
-import type { Log } from './log.js';
-import type { Store } from './store.js';
+import type { ClusterConfig } from '../../core/model/cluster-config.js';
+import type { OperatorSettings } from '../../core/model/operator-settings.js';
+import type { ZonePolicy } from '../../core/model/zone-policy.js';
+import type { Event, ClusterScheduler } from '../../core/cluster-scheduler.js';
+import type { PartRecord } from '../../wire/records.js';
+import type { Cloud } from '../cloud/cloud-client.js';
+import type { DecodedPages } from '../state-store/decoded-page-cache.js';
+import type { ImagesSeen } from '../state-store/image-cache-observer.js';
+import type { Log } from '../runtime/logger.js';
+import type { Store } from '../state-store/state-store.js';
 
 /** What a term needs of the process. */
 export interface TermDependencies {
--- a/src/edge/term-profile.ts
+++ b/src/edge/leadership/term-startup-profile.ts
@@ -1,5 +1,5 @@
-import type { Event } from '../core/owner.js';
-import type { Log } from './log.js';
+import type { Event } from '../../core/cluster-scheduler.js';
+import type { Log } from '../runtime/logger.js';
 
 /** What the beginning of a term is spent on, step by step. */
 export type TermStep =
--- a/src/edge/zone-keeper.ts
+++ b/src/edge/leadership/zone-record-writer.ts
@@ -1,10 +1,10 @@
-import { zonesKey } from '../wire/records.js';
-import { jittered } from './jitter.js';
-import type { OwnedKey } from './owned-key.js';
-import { isAborted, pause, supervise } from './supervised-task.js';
+import { zonesKey } from '../../wire/records.js';
+import { jittered } from '../runtime/jitter.js';
+import type { OwnedKey } from './leader-key.js';
+import { isAborted, pause, supervise } from '../runtime/supervised-task.js';
 import type { Subscription } from 'rxjs';
 import type { TermContext } from './term-context.js';
-import { WakeSignal } from './wake-signal.js';
+import { WakeSignal } from '../runtime/wake-signal.js';
 
 /** Changes of the record come at most this often: each is one of the state service's changes. */
 const EVERY_MS = 1000;
--- a/src/edge/http-client.ts
+++ b/src/edge/net/http-client.ts
@@ -1,5 +1,5 @@
 import { connect, type Socket } from 'node:net';
-import { decode, encode } from '../wire/cbor.js';
+import { decode, encode } from '../../wire/cbor.js';
 import { ResponseReader, type HttpResponse } from './http-response.js';
 
 /** What became of a request. `unsent`: no connection came about, so it can never be carried out. */
--- a/src/edge/peers.ts
+++ b/src/edge/peers/peer-links.ts
@@ -1,11 +1,11 @@
 import { createServer, connect, type Socket } from 'node:net';
 import { Observable, Subscription, fromEvent, interval, takeUntil } from 'rxjs';
-import { FrameReader, statusFrame, type Status } from '../wire/frames.js';
-import { millisecondsSince, monotonicNow } from './clock.js';
-import { supervise, messageOf, pause } from './supervised-task.js';
-import { parseTarget } from './http-client.js';
-import { jittered } from './jitter.js';
-import { warnSparsely, type Log } from './log.js';
+import { FrameReader, statusFrame, type Status } from '../../wire/frames.js';
+import { millisecondsSince, monotonicNow } from '../runtime/clock.js';
+import { supervise, messageOf, pause } from '../runtime/supervised-task.js';
+import { parseTarget } from '../net/http-client.js';
+import { jittered } from '../runtime/jitter.js';
+import { warnSparsely, type Log } from '../runtime/logger.js';
 
 /** Another controller. */
 export interface Peer {
--- a/src/edge/clock.ts
+++ b/src/edge/runtime/clock.ts
@@ -1,4 +1,4 @@
-import type { Timestamp } from '../core/time.js';
+import type { Timestamp } from '../../core/model/time.js';
 
 /** The present moment by both clocks. */
 export const currentTime = (): Timestamp => ({ monotonic: process.hrtime.bigint(), wall: new Date() });
--- a/src/edge/memory.ts
+++ b/src/edge/runtime/memory-monitor.ts
@@ -2,7 +2,7 @@
 import { setFlagsFromString } from 'node:v8';
 import { runInNewContext } from 'node:vm';
 import { Subscription, interval } from 'rxjs';
-import type { Log } from './log.js';
+import type { Log } from './logger.js';
 
 /**
  * The settings say how much memory a controller may hold; going over ends it. One start command serves every
--- a/src/edge/supervised-task.ts
+++ b/src/edge/runtime/supervised-task.ts
@@ -1,5 +1,5 @@
 /** @file Long-lived tasks that end with their owner and begin anew after an error. */
-import { type Log, warnSparsely } from './log.js';
+import { type Log, warnSparsely } from './logger.js';
 import { Observable, Subscription, retry, timer } from 'rxjs';
 
 /** The message of whatever was thrown. */
--- a/src/edge/shared.ts
+++ b/src/edge/state-store/coalesced-read.ts
@@ -1,4 +1,4 @@
-import { monotonicNow } from './clock.js';
+import { monotonicNow } from '../runtime/clock.js';
 
 /**
  * A read shared by those who need it. Whoever comes before the read is sent shares it; whoever comes after waits for the next
--- a/src/edge/versions.ts
+++ b/src/edge/state-store/controller-versions.ts
@@ -1,9 +1,9 @@
 import type { Subscription } from 'rxjs';
-import { featuresIn, versionKey, type VersionRecord } from '../wire/records.js';
-import { jittered } from './jitter.js';
-import type { Log } from './log.js';
-import type { Store } from './store.js';
-import { pause, supervise } from './supervised-task.js';
+import { featuresIn, versionKey, type VersionRecord } from '../../wire/records.js';
+import { jittered } from '../runtime/jitter.js';
+import type { Log } from '../runtime/logger.js';
+import type { Store } from './state-store.js';
+import { pause, supervise } from '../runtime/supervised-task.js';
 
 /** Jobs that wait for jobs. */
 export const DEPENDENCIES = 'dependencies';
--- a/src/edge/decoded-pages.ts
+++ b/src/edge/state-store/decoded-page-cache.ts
@@ -1,6 +1,6 @@
-import type { PageEntry } from '../core/record-pages.js';
-import { readPage } from '../wire/records.js';
-import type { Entry } from './store.js';
+import type { PageEntry } from '../../core/records/record-pages.js';
+import { readPage } from '../../wire/records.js';
+import type { Entry } from './state-store.js';
 
 /** Pages of the followed copy, taken apart once each: a standby that follows them has them ready when it takes over. */
 export class DecodedPages {
--- a/src/edge/dependency-index.ts
+++ b/src/edge/state-store/dependency-index.ts
@@ -1,7 +1,7 @@
-import { DependencyGraph } from '../core/dependency-graph.js';
-import { EndedJob, parseKey, readJob } from '../wire/records.js';
-import type { FollowedCopy } from './ended-jobs.js';
-import type { Entry } from './store.js';
+import { DependencyGraph } from '../../core/state/dependency-graph.js';
+import { EndedJob, parseKey, readJob } from '../../wire/records.js';
+import type { FollowedCopy } from './finished-job-compactor.js';
+import type { Entry } from './state-store.js';
 
 /** Which jobs are cancelled through a job that they need, by the followed copy: as fresh as the copy is. */
 export class DependencyIndex {
--- a/src/edge/ended-jobs.ts
+++ b/src/edge/state-store/finished-job-compactor.ts
@@ -1,7 +1,7 @@
 import { interval, type Subject, type Subscription } from 'rxjs';
-import { EndedJob, jobKey, parseKey, readJob } from '../wire/records.js';
-import type { Counts } from './counts.js';
-import type { Change, Entry } from './store.js';
+import { EndedJob, jobKey, parseKey, readJob } from '../../wire/records.js';
+import type { Counts } from './task-counts.js';
+import type { Change, Entry } from './state-store.js';
 
 /** The part of the followed copy that is needed here. */
 export interface FollowedCopy {
--- a/src/edge/images.ts
+++ b/src/edge/state-store/image-cache-observer.ts
@@ -1,10 +1,10 @@
 import type { Subscription } from 'rxjs';
-import { EndedJob, jobKey, parseKey, readJob } from '../wire/records.js';
-import { monotonicNow } from './clock.js';
-import { messageOf } from './supervised-task.js';
-import { warnSparsely, type Log } from './log.js';
-import type { DecodedPages } from './decoded-pages.js';
-import type { Entry, Store } from './store.js';
+import { EndedJob, jobKey, parseKey, readJob } from '../../wire/records.js';
+import { monotonicNow } from '../runtime/clock.js';
+import { messageOf } from '../runtime/supervised-task.js';
+import { warnSparsely, type Log } from '../runtime/logger.js';
+import type { DecodedPages } from './decoded-page-cache.js';
+import type { Entry, Store } from './state-store.js';
 
 /** An image that a machine is likely to have cached. */
 export interface ImageSeen {
--- a/src/edge/store.ts
+++ b/src/edge/state-store/state-store.ts
@@ -1,13 +1,13 @@
 import { Subject, type Subscription } from 'rxjs';
-import { STORE_PATHS } from '../wire/dialect.js';
-import { ROOT, isReadable, type EndedJob } from '../wire/records.js';
-import * as schemas from '../wire/schemas.js';
-import { monotonicNow } from './clock.js';
-import { supervise, pause } from './supervised-task.js';
-import { HttpClient } from './http-client.js';
-import { jittered } from './jitter.js';
-import { warnSparsely, type Log } from './log.js';
-import { SharedRead } from './shared.js';
+import { STORE_PATHS } from '../../wire/protocol.js';
+import { ROOT, isReadable, type EndedJob } from '../../wire/records.js';
+import * as schemas from '../../wire/schemas.js';
+import { monotonicNow } from '../runtime/clock.js';
+import { supervise, pause } from '../runtime/supervised-task.js';
+import { HttpClient } from '../net/http-client.js';
+import { jittered } from '../runtime/jitter.js';
+import { warnSparsely, type Log } from '../runtime/logger.js';
+import { SharedRead } from './coalesced-read.js';
 
 /** A key that must have a stamp for a transaction to be carried out. */
 export interface Guard {
--- a/src/edge/counts.ts
+++ b/src/edge/state-store/task-counts.ts
@@ -1,5 +1,5 @@
-import { countsIn, parseKey } from '../wire/records.js';
-import type { Store } from './store.js';
+import { countsIn, parseKey } from '../../wire/records.js';
+import type { Store } from './state-store.js';
 
 /** How many tasks of a job are done and placed. */
 export interface Count {
--- a/src/edge/workers.ts
+++ b/src/edge/workers/worker-command-sender.ts
@@ -1,9 +1,9 @@
 import { Subscription } from 'rxjs';
-import type { Heartbeat } from '../core/model.js';
-import type { WorkerCommand } from '../core/cluster-state.js';
-import { WORKER_PATHS, orders, parseReport } from '../wire/dialect.js';
-import { HttpClient } from './http-client.js';
-import { SerialTasks } from './serial-tasks.js';
+import type { Heartbeat } from '../../core/model/heartbeat.js';
+import type { WorkerCommand } from '../../core/model/worker-command.js';
+import { WORKER_PATHS, orders, parseReport } from '../../wire/protocol.js';
+import { HttpClient } from '../net/http-client.js';
+import { SerialTasks } from './keyed-task-queue.js';
 
 /** Orders for one worker, to be sent straight to it. */
 export interface DirectJob {
--- a/src/main.ts
+++ b/src/main.ts
@@ -1,10 +1,10 @@
 import { Command, CommanderError } from 'commander';
 import { version } from '../package.json';
-import { readOperatorSettings } from './edge/operator-settings.js';
-import { readFeatures } from './edge/features.js';
-import { makeLog } from './edge/log.js';
+import { readOperatorSettings } from './edge/config/operator-settings.js';
+import { readFeatures } from './edge/config/features.js';
+import { makeLog } from './edge/runtime/logger.js';
 import { startService } from './edge/service.js';
-import { SettingsError, readPlatform } from './edge/settings.js';
+import { SettingsError, readPlatform } from './edge/config/platform-settings.js';
 
 interface Options {
   config: string;
--- a/src/wire/dialect.ts
+++ b/src/wire/protocol.ts
@@ -1,15 +1,9 @@
 import type * as z from 'zod';
-import type {
-  CloudInstance,
-  MachineType,
-  Priority,
-  JobKind,
-  Heartbeat,
-  ReportedTask,
-  JobSpec,
-} from '../core/model.js';
-import { seconds, toSeconds } from '../core/time.js';
-import type { WorkerCommand } from '../core/cluster-state.js';
+import type { CloudInstance, MachineType } from '../core/model/machine.js';
+import type { Priority, JobKind, JobSpec } from '../core/model/job.js';
+import type { Heartbeat, ReportedTask } from '../core/model/heartbeat.js';
+import { seconds, toSeconds } from '../core/model/time.js';
+import type { WorkerCommand } from '../core/model/worker-command.js';
 import * as schemas from './schemas.js';
 
 /** The one place that knows the interfaces' words (`docket`, `rig`, `baton`, …) for the names used inside. */
--- a/src/wire/records.ts
+++ b/src/wire/records.ts
@@ -1,8 +1,8 @@
 import * as z from 'zod';
-import type { ChunkRecord } from '../core/chunks.js';
-import type { PageEntry } from '../core/record-pages.js';
-import type { JobRecord, JobKind, JobSpec, JobStatus } from '../core/model.js';
-import { seconds, toSeconds } from '../core/time.js';
+import type { ChunkRecord } from '../core/records/chunks.js';
+import type { PageEntry } from '../core/records/record-pages.js';
+import type { JobRecord, JobKind, JobSpec, JobStatus } from '../core/model/job.js';
+import { seconds, toSeconds } from '../core/model/time.js';
 
 /**
  * What is kept in the state service. All keys lie under a tenant, so that one service may hold several later on.
--- a/test/bounded.test.ts
+++ b/test/bounded.test.ts
@@ -1,16 +1,16 @@
 import assert from 'node:assert/strict';
 import { Subject } from 'rxjs';
 import { test } from 'node:test';
-import { ClusterScheduler } from '../src/core/owner.js';
-import { previousLeadersDeadlineFrom } from '../src/core/ownership-timing.js';
-import { seconds, type Timestamp } from '../src/core/time.js';
-import { Counts } from '../src/edge/counts.js';
-import { DecodedPages } from '../src/edge/decoded-pages.js';
-import { EndedJobs } from '../src/edge/ended-jobs.js';
-import { makeLog } from '../src/edge/log.js';
-import { ImagesSeen } from '../src/edge/images.js';
-import { DEFAULT_SETTINGS } from '../src/edge/operator-settings.js';
-import type { Change, Entry, Store } from '../src/edge/store.js';
+import { ClusterScheduler } from '../src/core/cluster-scheduler.js';
+import { previousLeadersDeadlineFrom } from '../src/core/state/leadership-timing.js';
+import { seconds, type Timestamp } from '../src/core/model/time.js';
+import { Counts } from '../src/edge/state-store/task-counts.js';
+import { DecodedPages } from '../src/edge/state-store/decoded-page-cache.js';
+import { EndedJobs } from '../src/edge/state-store/finished-job-compactor.js';
+import { makeLog } from '../src/edge/runtime/logger.js';
+import { ImagesSeen } from '../src/edge/state-store/image-cache-observer.js';
+import { DEFAULT_SETTINGS } from '../src/edge/config/operator-settings.js';
+import type { Change, Entry, Store } from '../src/edge/state-store/state-store.js';
 import { EndedJob, jobKey, pageKey, summaryOf, writeJob, writePage } from '../src/wire/records.js';
 import { FACTS, TYPE, spec } from './player.js';
 
--- a/test/cancelled-dependents.test.ts
+++ b/test/cancelled-dependents.test.ts
@@ -1,14 +1,14 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { JobRecord } from '../src/core/model.js';
-import { chunkOf } from '../src/core/chunks.js';
-import { assignTask } from '../src/core/intents.js';
-import { isStartable } from '../src/core/orders.js';
-import { operationCount, type Transaction } from '../src/core/outbox.js';
-import { ClusterScheduler } from '../src/core/owner.js';
-import { previousLeadersDeadlineFrom } from '../src/core/ownership-timing.js';
-import { seconds, type Timestamp } from '../src/core/time.js';
-import { DEFAULT_SETTINGS } from '../src/edge/operator-settings.js';
+import type { JobRecord } from '../src/core/model/job.js';
+import { chunkOf } from '../src/core/records/chunks.js';
+import { assignTask } from '../src/core/assignments/assignments.js';
+import { isStartable } from '../src/core/commands/worker-commands.js';
+import { operationCount, type Transaction } from '../src/core/persistence/transactions.js';
+import { ClusterScheduler } from '../src/core/cluster-scheduler.js';
+import { previousLeadersDeadlineFrom } from '../src/core/state/leadership-timing.js';
+import { seconds, type Timestamp } from '../src/core/model/time.js';
+import { DEFAULT_SETTINGS } from '../src/edge/config/operator-settings.js';
 import { FACTS, TYPE, spec } from './player.js';
 
 const DEPENDENTS = 3000;
--- a/test/dependencies.test.ts
+++ b/test/dependencies.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { DependencyGraph } from '../src/core/dependency-graph.js';
+import { DependencyGraph } from '../src/core/state/dependency-graph.js';
 
 /** A chain: each job needs the one before it. */
 function chain(length: number): DependencyGraph {
--- a/test/features.test.ts
+++ b/test/features.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { ZoneRecovery } from '../packages/zone-recovery/src/index.js';
-import { zonePolicyFor } from '../src/edge/feature-loader.js';
-import { parseFeatures, readFeatures } from '../src/edge/features.js';
-import { SettingsError } from '../src/edge/settings.js';
+import { zonePolicyFor } from '../src/edge/config/feature-loader.js';
+import { parseFeatures, readFeatures } from '../src/edge/config/features.js';
+import { SettingsError } from '../src/edge/config/platform-settings.js';
 import { FACTS } from './player.js';
 
 test('features are off unless they are named, and a mistake is told with its line', () => {
--- a/test/fleet.test.ts
+++ b/test/fleet.test.ts
@@ -1,11 +1,11 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { forecastDemand } from '../src/core/demand-forecast.js';
-import type { JobSpec } from '../src/core/model.js';
-import { ClusterScheduler } from '../src/core/owner.js';
-import { minCycleInterval } from '../src/core/placement-pass.js';
-import { seconds, toSeconds, type Timestamp } from '../src/core/time.js';
-import { DEFAULT_SETTINGS } from '../src/edge/operator-settings.js';
+import { forecastDemand } from '../src/core/capacity/demand-forecast.js';
+import type { JobSpec } from '../src/core/model/job.js';
+import { ClusterScheduler } from '../src/core/cluster-scheduler.js';
+import { minCycleInterval } from '../src/core/scheduling/scheduling-cycle.js';
+import { seconds, toSeconds, type Timestamp } from '../src/core/model/time.js';
+import { DEFAULT_SETTINGS } from '../src/edge/config/operator-settings.js';
 import { FACTS, TYPE, spec } from './player.js';
 
 // Seen on a large fleet: machines were rented for what waited, and all that came while they booted waited as long again.
--- a/test/golden-records.test.ts
+++ b/test/golden-records.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { readZones, writeZones, type ZoneHealth } from '../packages/zone-recovery/src/index.js';
-import type { JobRecord, JobSpec } from '../src/core/model.js';
-import type { PageEntry } from '../src/core/record-pages.js';
-import { seconds, type Timestamp } from '../src/core/time.js';
+import type { JobRecord, JobSpec } from '../src/core/model/job.js';
+import type { PageEntry } from '../src/core/records/record-pages.js';
+import { seconds, type Timestamp } from '../src/core/model/time.js';
 import { encode } from '../src/wire/cbor.js';
 import { FRAME_LIMIT, FrameReader, statusFrame, type Status } from '../src/wire/frames.js';
 import {
--- a/test/golden-requests.test.ts
+++ b/test/golden-requests.test.ts
@@ -1,12 +1,14 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import pino from 'pino';
-import type { WorkerCommand } from '../src/core/cluster-state.js';
-import type { CloudInstance, MachineType, Heartbeat, JobSpec } from '../src/core/model.js';
-import { seconds } from '../src/core/time.js';
-import { Cloud } from '../src/edge/cloud.js';
-import { Store } from '../src/edge/store.js';
-import { Workers, type DirectResult } from '../src/edge/workers.js';
+import type { WorkerCommand } from '../src/core/model/worker-command.js';
+import type { CloudInstance, MachineType } from '../src/core/model/machine.js';
+import type { Heartbeat } from '../src/core/model/heartbeat.js';
+import type { JobSpec } from '../src/core/model/job.js';
+import { seconds } from '../src/core/model/time.js';
+import { Cloud } from '../src/edge/cloud/cloud-client.js';
+import { Store } from '../src/edge/state-store/state-store.js';
+import { Workers, type DirectResult } from '../src/edge/workers/worker-command-sender.js';
 import { encode } from '../src/wire/cbor.js';
 import {
   jobAnswer,
@@ -20,7 +22,7 @@
   rentBody,
   returnBody,
   type Parsed,
-} from '../src/wire/dialect.js';
+} from '../src/wire/protocol.js';
 import { assertBytes, assertRequest, valueIn, type Golden } from './golden-bytes.js';
 import { call } from './standins/http.js';
 import { record } from './standins/recorder.js';
--- a/test/golden-settings.test.ts
+++ b/test/golden-settings.test.ts
@@ -4,16 +4,17 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { after, test } from 'node:test';
-import type { ClusterConfig, OperatorSettings } from '../src/core/model.js';
-import { seconds } from '../src/core/time.js';
-import { parseFeatures, readFeatures } from '../src/edge/features.js';
+import type { ClusterConfig } from '../src/core/model/cluster-config.js';
+import type { OperatorSettings } from '../src/core/model/operator-settings.js';
+import { seconds } from '../src/core/model/time.js';
+import { parseFeatures, readFeatures } from '../src/edge/config/features.js';
 import {
   DEFAULT_SETTINGS,
   SETTING_RANGES,
   parseOperatorSettings,
   readOperatorSettings,
-} from '../src/edge/operator-settings.js';
-import { SettingsError, factsOf, readPlatform } from '../src/edge/settings.js';
+} from '../src/edge/config/operator-settings.js';
+import { SettingsError, factsOf, readPlatform } from '../src/edge/config/platform-settings.js';
 
 // The settings that platform and operators write, and what they are told of their mistakes. The files are text here, so
 // that a renamed identifier cannot change what is read.
--- a/test/http-client.test.ts
+++ b/test/http-client.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { createServer, type Socket } from 'node:net';
 import { test } from 'node:test';
-import { HttpClient } from '../src/edge/http-client.js';
-import { MalformedResponseError, ResponseReader, type HttpResponse } from '../src/edge/http-response.js';
+import { HttpClient } from '../src/edge/net/http-client.js';
+import { MalformedResponseError, ResponseReader, type HttpResponse } from '../src/edge/net/http-response.js';
 import { encode } from '../src/wire/cbor.js';
 import { ownAddress } from './standins/site.js';
 
--- a/test/outbox.test.ts
+++ b/test/outbox.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { ClusterScheduler } from '../src/core/owner.js';
-import { previousLeadersDeadlineFrom } from '../src/core/ownership-timing.js';
-import { seconds, type Timestamp } from '../src/core/time.js';
-import { DEFAULT_SETTINGS } from '../src/edge/operator-settings.js';
+import { ClusterScheduler } from '../src/core/cluster-scheduler.js';
+import { previousLeadersDeadlineFrom } from '../src/core/state/leadership-timing.js';
+import { seconds, type Timestamp } from '../src/core/model/time.js';
+import { DEFAULT_SETTINGS } from '../src/edge/config/operator-settings.js';
 import { FACTS, TYPE, spec } from './player.js';
 
 const at = (s: number): Timestamp => ({
--- a/test/parts.test.ts
+++ b/test/parts.test.ts
@@ -1,20 +1,20 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { contentionCost, grantedCpu } from '../src/core/placement.js';
-import { acknowledgementWindow, previousLeadersDeadlineFrom } from '../src/core/ownership-timing.js';
-import { seconds, toSeconds } from '../src/core/time.js';
-import { DEFAULT_SETTINGS, parseOperatorSettings } from '../src/edge/operator-settings.js';
+import { contentionCost, grantedCpu } from '../src/core/scheduling/scoring.js';
+import { acknowledgementWindow, previousLeadersDeadlineFrom } from '../src/core/state/leadership-timing.js';
+import { seconds, toSeconds } from '../src/core/model/time.js';
+import { DEFAULT_SETTINGS, parseOperatorSettings } from '../src/edge/config/operator-settings.js';
 import { decode, encode } from '../src/wire/cbor.js';
 import { FrameReader, statusFrame } from '../src/wire/frames.js';
-import { headOf } from '../src/edge/reports.js';
-import { parseReport, parseSubmission } from '../src/wire/dialect.js';
+import { headOf } from '../src/edge/http/heartbeat-reader.js';
+import { parseReport, parseSubmission } from '../src/wire/protocol.js';
 import { countsIn, pageKey, parseKey, readPage, writePage } from '../src/wire/records.js';
-import { CHUNK_TASKS, chunkRecordOf } from '../src/core/chunks.js';
-import { endAssignment, assignTask } from '../src/core/intents.js';
-import { getOrAddMachine } from '../src/core/machine-registry.js';
-import { operationCount, onCommitted } from '../src/core/outbox.js';
-import { ClusterScheduler } from '../src/core/owner.js';
-import { pageEntriesOf } from '../src/core/record-pages.js';
+import { CHUNK_TASKS, chunkRecordOf } from '../src/core/records/chunks.js';
+import { endAssignment, assignTask } from '../src/core/assignments/assignments.js';
+import { getOrAddMachine } from '../src/core/machines/machine-registry.js';
+import { operationCount, onCommitted } from '../src/core/persistence/transactions.js';
+import { ClusterScheduler } from '../src/core/cluster-scheduler.js';
+import { pageEntriesOf } from '../src/core/records/record-pages.js';
 import { FACTS, spec } from './player.js';
 
 test('whole numbers above 32 bits stay integers on the wire, and fields without a value are left out', () => {
--- a/test/player.ts
+++ b/test/player.ts
@@ -1,20 +1,16 @@
 import assert from 'node:assert/strict';
-import { ClusterScheduler, type Event } from '../src/core/owner.js';
-import type {
-  ClusterConfig,
-  JobRecord,
-  CloudInstance,
-  MachineType,
-  Heartbeat,
-  ReportedTask,
-  JobSpec,
-} from '../src/core/model.js';
-import type { Transaction } from '../src/core/outbox.js';
-import { pendingJobsInOrder } from '../src/core/placement-pass.js';
-import { previousLeadersDeadlineFrom } from '../src/core/ownership-timing.js';
-import { seconds, type Timestamp } from '../src/core/time.js';
-import type { Effect, WorkerCommand } from '../src/core/cluster-state.js';
-import { DEFAULT_SETTINGS } from '../src/edge/operator-settings.js';
+import { ClusterScheduler, type Event } from '../src/core/cluster-scheduler.js';
+import type { ClusterConfig } from '../src/core/model/cluster-config.js';
+import type { JobRecord, JobSpec } from '../src/core/model/job.js';
+import type { CloudInstance, MachineType } from '../src/core/model/machine.js';
+import type { Heartbeat, ReportedTask } from '../src/core/model/heartbeat.js';
+import type { Transaction } from '../src/core/persistence/transactions.js';
+import { pendingJobsInOrder } from '../src/core/scheduling/scheduling-cycle.js';
+import { previousLeadersDeadlineFrom } from '../src/core/state/leadership-timing.js';
+import { seconds, type Timestamp } from '../src/core/model/time.js';
+import type { Effect } from '../src/core/model/effects.js';
+import type { WorkerCommand } from '../src/core/model/worker-command.js';
+import { DEFAULT_SETTINGS } from '../src/edge/config/operator-settings.js';
 
 /**
  * Plays a trace: one line per event, `>` lines for what must come out, `=` lines for what must hold. Traces are kept in
--- a/test/random.test.ts
+++ b/test/random.test.ts
@@ -2,14 +2,19 @@
 import { test } from 'node:test';
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
-import { ClusterScheduler, type Event } from '../src/core/owner.js';
-import type { JobRecord, Heartbeat, ReportedTask } from '../src/core/model.js';
-import type { Transaction } from '../src/core/outbox.js';
-import type { PageEntry } from '../src/core/record-pages.js';
-import { mayAcknowledgeHeartbeats, previousLeadersDeadlineFrom } from '../src/core/ownership-timing.js';
-import { seconds, toSeconds, type Timestamp } from '../src/core/time.js';
-import type { Effect, WorkerCommand } from '../src/core/cluster-state.js';
-import { DEFAULT_SETTINGS } from '../src/edge/operator-settings.js';
+import { ClusterScheduler, type Event } from '../src/core/cluster-scheduler.js';
+import type { JobRecord } from '../src/core/model/job.js';
+import type { Heartbeat, ReportedTask } from '../src/core/model/heartbeat.js';
+import type { Transaction } from '../src/core/persistence/transactions.js';
+import type { PageEntry } from '../src/core/records/record-pages.js';
+import {
+  mayAcknowledgeHeartbeats,
+  previousLeadersDeadlineFrom,
+} from '../src/core/state/leadership-timing.js';
+import { seconds, toSeconds, type Timestamp } from '../src/core/model/time.js';
+import type { Effect } from '../src/core/model/effects.js';
+import type { WorkerCommand } from '../src/core/model/worker-command.js';
+import { DEFAULT_SETTINGS } from '../src/edge/config/operator-settings.js';
 import { FACTS, TYPE, spec } from './player.js';
 
 interface Worker {
--- a/test/records.test.ts
+++ b/test/records.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { seconds } from '../src/core/time.js';
+import { seconds } from '../src/core/model/time.js';
 import { decode, encode } from '../src/wire/cbor.js';
 import { FrameReader, statusFrame } from '../src/wire/frames.js';
 import {
--- a/test/shared.test.ts
+++ b/test/shared.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { SharedRead } from '../src/edge/shared.js';
+import { SharedRead } from '../src/edge/state-store/coalesced-read.js';
 
 // Guards against stale answers to polls: the first read once stayed in place for good, and a controller cut from the
 // state service went on answering from it (found as `forgotten` and `went_back` on simulated days).
--- a/test/standins/core-fleet.ts
+++ b/test/standins/core-fleet.ts
@@ -1,11 +1,13 @@
-import type { Effect } from '../../src/core/cluster-state.js';
-import type { JobRecord, MachineType, Heartbeat, ReportedTask, JobSpec } from '../../src/core/model.js';
-import { operationCount } from '../../src/core/outbox.js';
-import { ClusterScheduler, type Event } from '../../src/core/owner.js';
-import { previousLeadersDeadlineFrom } from '../../src/core/ownership-timing.js';
-import type { PageEntry } from '../../src/core/record-pages.js';
-import { seconds, type Timestamp } from '../../src/core/time.js';
-import { DEFAULT_SETTINGS } from '../../src/edge/operator-settings.js';
+import type { Effect } from '../../src/core/model/effects.js';
+import type { JobRecord, JobSpec } from '../../src/core/model/job.js';
+import type { MachineType } from '../../src/core/model/machine.js';
+import type { Heartbeat, ReportedTask } from '../../src/core/model/heartbeat.js';
+import { operationCount } from '../../src/core/persistence/transactions.js';
+import { ClusterScheduler, type Event } from '../../src/core/cluster-scheduler.js';
+import { previousLeadersDeadlineFrom } from '../../src/core/state/leadership-timing.js';
+import type { PageEntry } from '../../src/core/records/record-pages.js';
+import { seconds, type Timestamp } from '../../src/core/model/time.js';
+import { DEFAULT_SETTINGS } from '../../src/edge/config/operator-settings.js';
 import { FACTS, spec } from '../player.js';
 
 /** How often each machine reports. */
--- a/test/standins/production-version.ts
+++ b/test/standins/production-version.ts
@@ -1,7 +1,7 @@
 import * as z from 'zod';
-import type { JobRecord } from '../../src/core/model.js';
-import type { PageEntry } from '../../src/core/record-pages.js';
-import { seconds, toSeconds } from '../../src/core/time.js';
+import type { JobRecord } from '../../src/core/model/job.js';
+import type { PageEntry } from '../../src/core/records/record-pages.js';
+import { seconds, toSeconds } from '../../src/core/model/time.js';
 import type { RecordCodec } from './core-fleet.js';
 
 /**
--- a/test/standins/site.ts
+++ b/test/standins/site.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict';
 import pino from 'pino';
 import type { Subscription } from 'rxjs';
-import { DEFAULT_SETTINGS } from '../../src/edge/operator-settings.js';
-import type { Features } from '../../src/edge/features.js';
+import { DEFAULT_SETTINGS } from '../../src/edge/config/operator-settings.js';
+import type { Features } from '../../src/edge/config/features.js';
 import { startService } from '../../src/edge/service.js';
-import type { Platform } from '../../src/edge/settings.js';
+import type { Platform } from '../../src/edge/config/platform-settings.js';
 import { call, listen } from './http.js';
 import { WorkerStandIn, type Watch } from './worker.js';
 
--- a/test/versions.test.ts
+++ b/test/versions.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { makeLog } from '../src/edge/log.js';
-import type { Entry, Store } from '../src/edge/store.js';
-import { DEPENDENCIES, Versions } from '../src/edge/versions.js';
+import { makeLog } from '../src/edge/runtime/logger.js';
+import type { Entry, Store } from '../src/edge/state-store/state-store.js';
+import { DEPENDENCIES, Versions } from '../src/edge/state-store/controller-versions.js';
 import { readJob, readPage, versionKey, writeJob, writePage } from '../src/wire/records.js';
 import { CoreFleet, type RecordCodec } from './standins/core-fleet.js';
 import { PRODUCTION_CODEC } from './standins/production-version.js';
--- a/test/zones.test.ts
+++ b/test/zones.test.ts
@@ -1,11 +1,11 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { Effect } from '../src/core/cluster-state.js';
-import type { JobSpec } from '../src/core/model.js';
-import { ClusterScheduler } from '../src/core/owner.js';
-import { seconds, type Timestamp } from '../src/core/time.js';
-import type { FleetObservation, ZonePolicy, ZoneAdmissionRequest } from '../src/core/zone-policy.js';
-import { DEFAULT_SETTINGS } from '../src/edge/operator-settings.js';
+import type { Effect } from '../src/core/model/effects.js';
+import type { JobSpec } from '../src/core/model/job.js';
+import { ClusterScheduler } from '../src/core/cluster-scheduler.js';
+import { seconds, type Timestamp } from '../src/core/model/time.js';
+import type { FleetObservation, ZonePolicy, ZoneAdmissionRequest } from '../src/core/model/zone-policy.js';
+import { DEFAULT_SETTINGS } from '../src/edge/config/operator-settings.js';
 import { FACTS, TYPE, spec } from './player.js';
 
 // Where the core asks a policy for lost and returning zones, and what it does with the answers.
