--- a/packages/zone-recovery/test/zone-world.ts
+++ b/packages/zone-recovery/test/zone-world.ts
@@ -209,7 +209,7 @@
     const report = machine.report();
     this.event({ kind: 'heartbeat', heartbeat: report });
     const orders = this.owner.answerHeartbeat(report, this.now());
-    machine.token = Math.max(machine.token, this.owner.state.token);
+    machine.token = Math.max(machine.token, this.owner.state.term.fencingToken);
     machine.renewed = this.at;
     this.carryOut(machine, orders);
   }
@@ -321,7 +321,7 @@
   }
 
   private direct(name: string, session: number, orders: readonly WorkerCommand[]): void {
-    const token = this.owner.state.token;
+    const token = this.owner.state.term.fencingToken;
     const owner = this.owner;
     const answer = (outcome: 'executed' | 'refused' | 'unknown', report: Heartbeat | null): void => {
       if (owner === this.owner)
--- a/src/core/assignments/assignments.ts
+++ b/src/core/assignments/assignments.ts
@@ -29,7 +29,7 @@
     machineName: machine.name,
     agentEpoch: machine.agentEpoch,
     zone: machine.zone,
-    recordVersion: state.version,
+    recordVersion: state.records.version,
     createdAt: now,
     phase: 'placed',
     stopRequest: null,
@@ -39,9 +39,9 @@
   };
   chunk.assignments.set(task, intent);
   job.unassignedTasks.delete(task);
-  if (job.unassignedTasks.size === 0) state.waiting.delete(job.spec.id);
+  if (job.unassignedTasks.size === 0) state.jobs.pending.delete(job.spec.id);
   job.assignedCount += 1;
-  state.quota.acquire(job.spec);
+  state.jobs.quotas.acquire(job.spec);
   machine.assignments.set(taskKey(job.spec.id, task), intent);
   machine.resources = null;
   machine.idleSince = null;
@@ -56,29 +56,29 @@
   why: string,
   now: MonotonicTime,
 ): void {
-  const job = state.jobs.get(intent.jobId);
+  const job = state.jobs.byId.get(intent.jobId);
   if (job === undefined) return;
   const chunk = chunkOf(job, intent.taskIndex);
   if (chunk.assignments.get(intent.taskIndex) !== intent) return;
   chunk.assignments.delete(intent.taskIndex);
-  const machine = state.machines.get(intent.machineName);
+  const machine = state.machines.byName.get(intent.machineName);
   if (machine !== undefined) {
     machine.assignments.delete(taskKey(intent.jobId, intent.taskIndex));
     machine.resources = null;
   }
   job.assignedCount -= 1;
-  state.quota.release(job.spec);
+  state.jobs.quotas.release(job.spec);
   if (completed && !chunk.completedTasks.has(intent.taskIndex)) {
     chunk.completedTasks.add(intent.taskIndex);
     job.completedCount += 1;
   } else if (!completed && job.status === 'open' && !chunk.completedTasks.has(intent.taskIndex)) {
     job.unassignedTasks.add(intent.taskIndex);
-    state.waiting.add(intent.jobId);
+    state.jobs.pending.add(intent.jobId);
     if (job.spec.kind === 'service') job.replicaLostAt = now;
   }
   markChunkChanged(state, job, chunk, false, now);
   releaseFinishedChunks(job);
-  state.needPass = true;
+  state.scheduling.cycleNeeded = true;
   emitLog(state, 'place ended', {
     task: taskKey(intent.jobId, intent.taskIndex),
     attempt: intent.attempt,
@@ -95,10 +95,11 @@
 export function requestCompletion(state: ClusterState, job: Job, now: MonotonicTime): void {
   if (job.status !== 'open' || job.completionRequested || job.spec.kind === 'service') return;
   job.completionRequested = true;
-  state.dirtyJobs.set(job.spec.id, now);
+  state.records.jobsToComplete.set(job.spec.id, now);
   // Its user hears of the end once all results are recorded.
   for (const chunk of job.chunks.values())
-    if (chunk.version > chunk.committedVersion && chunk.page !== null) state.urgent.add(chunk.page.id);
+    if (chunk.version > chunk.committedVersion && chunk.page !== null)
+      state.records.urgentPages.add(chunk.page.id);
 }
 
 /**
@@ -113,13 +114,13 @@
     job.completedCount += 1;
     markChunkChanged(state, job, chunk, true, now);
   }
-  state.waiting.delete(job.spec.id);
+  state.jobs.pending.delete(job.spec.id);
   if (job.completedCount === job.spec.taskCount) requestCompletion(state, job, now);
 }
 
 /** An intent of this term whose `run` never left can be ended at once: nobody else could have sent it. */
 export const startNeverSent = (state: ClusterState, intent: Assignment): boolean =>
-  intent.startSentInSequence === null && !startMayStillArrive(state, intent);
+  intent.startSentInSequence === null && !startMayStillArrive(state.commands, intent);
 
 /** Has a task stopped, or its place ended at once if its start never left. */
 export function stopAssignment(
@@ -135,11 +136,11 @@
   }
   if (intent.stopRequest !== null && intent.stopRequest.grace <= grace) return;
   intent.stopRequest = { grace, reason: why, requestedAt: now };
-  const machine = state.machines.get(intent.machineName);
+  const machine = state.machines.byName.get(intent.machineName);
   if (machine !== undefined) machine.resources = null;
   if (machine === undefined || machine.agentEpoch !== intent.agentEpoch || !machine.fenced) return;
   // The answer to its next report carries it too.
-  if (isOverloaded(state)) return;
+  if (isOverloaded(state.term)) return;
   state.effects.push({
     kind: 'send-commands',
     machineName: machine.name,
@@ -193,10 +194,10 @@
   attempt: number,
   now: MonotonicTime,
 ): void {
-  const known = state.jobs.get(job);
+  const known = state.jobs.byId.get(job);
   const chunk = known === undefined ? undefined : known.chunks.get(Math.floor(task / CHUNK_TASKS));
   const key = taskKey(job, task);
-  const map = getOrCreateMap(state.forgets, machine);
+  const map = getOrCreateMap(state.commands.pendingForgets, machine);
   if (map.get(key)?.attempt === attempt) return;
   map.set(key, {
     jobId: job,
--- a/src/core/capacity/demand-forecast.ts
+++ b/src/core/capacity/demand-forecast.ts
@@ -30,7 +30,7 @@
 }
 
 const typeFor = (state: ClusterState, job: Job): MachineType | undefined => {
-  for (const type of state.types.values())
+  for (const type of state.machines.types.values())
     if (job.spec.machineTypes === null || job.spec.machineTypes.includes(type.name)) return type;
   return undefined;
 };
@@ -41,12 +41,12 @@
  */
 export function forecastDemand(state: ClusterState, now: Timestamp): DemandForecast {
   let boot = 0;
-  for (const type of state.types.values()) boot = Math.max(boot, toSeconds(type.bootTime));
+  for (const type of state.machines.types.values()) boot = Math.max(boot, toSeconds(type.bootTime));
   const bins = new Array<number>(BINS).fill(0);
   let earliest = 0;
   let sample: Job | null = null;
   let ends = 0;
-  for (const job of state.jobs.values()) {
+  for (const job of state.jobs.byId.values()) {
     if (job.spec.kind === 'service') continue;
     // What waits for other jobs asks for nothing yet.
     if (job.readySince === null) continue;
--- a/src/core/capacity/scale-in.ts
+++ b/src/core/capacity/scale-in.ts
@@ -22,8 +22,8 @@
 export function chooseDrainingMachines(state: ClusterState, blocked: readonly Job[], now: Timestamp): void {
   const rows: { machine: Machine; used: number; held: number; price: number }[] = [];
   const inUse = new MachinesInUse();
-  for (const machine of state.machines.values()) {
-    const type = state.types.get(machine.type);
+  for (const machine of state.machines.byName.values()) {
+    const type = state.machines.types.get(machine.type);
     if (type === undefined || !isUsable(state, machine, now.monotonic)) continue;
     const free = freeOn(state, machine);
     inUse.add(type, free);
@@ -94,7 +94,7 @@
 function heldFor(state: ClusterState, machine: Machine, now: Timestamp): number {
   let held = 0;
   for (const intent of machine.assignments.values()) {
-    const job = state.jobs.get(intent.jobId);
+    const job = state.jobs.byId.get(intent.jobId);
     if (job === undefined) continue;
     const left = Math.max(
       estimatedSeconds(state, job) -
@@ -117,7 +117,7 @@
 export function machinesToRelease(state: ClusterState, now: Timestamp): { names: string[]; why: string }[] {
   const by = new Map<string, string[]>();
   const many = manySuspected(state, now);
-  for (const machine of state.machines.values()) {
+  for (const machine of state.machines.byName.values()) {
     if (machine.releasing || machine.assignments.size > 0 || machine.reportedTasks.size > 0) {
       machine.idleSince = null;
       continue;
@@ -162,8 +162,8 @@
     now.monotonic - machine.lastHeartbeatAt > state.config.workerLease * 2n &&
     now.monotonic > leaseExpiry(state, machine);
   if (gone && !many) return 'silent';
-  const booting = state.booting.get(machine.name);
-  const type = state.types.get(machine.type);
+  const booting = state.machines.booting.get(machine.name);
+  const type = state.machines.types.get(machine.type);
   if (
     machine.agentEpoch === 0 &&
     booting !== undefined &&
--- a/src/core/capacity/scale-out.ts
+++ b/src/core/capacity/scale-out.ts
@@ -52,10 +52,10 @@
 /** Places of running array tasks, soonest free first. */
 function turnovers(state: ClusterState, now: Timestamp): Turnover[] {
   const out: Turnover[] = [];
-  for (const machine of state.machines.values()) {
+  for (const machine of state.machines.byName.values()) {
     if (!isUsable(state, machine, now.monotonic)) continue;
     for (const intent of machine.assignments.values()) {
-      const job = state.jobs.get(intent.jobId);
+      const job = state.jobs.byId.get(intent.jobId);
       if (
         job === undefined ||
         job.spec.kind !== 'array' ||
@@ -140,7 +140,7 @@
   blocked: readonly Job[],
   now: Timestamp,
 ): ScaleOutRequest[] {
-  if (state.types.size === 0 || !state.listSeen) return [];
+  if (state.machines.types.size === 0 || !state.machines.inventorySeen) return [];
   const ahead = forecastDemand(state, now);
   const slots = expectedSlots(state, now);
   const orders: Orders = new Map();
@@ -148,7 +148,7 @@
   let fresh = 0;
   for (const job of blocked) {
     const taken = assignmentsByZone(job);
-    const types = [...state.types.values()].filter(
+    const types = [...state.machines.types.values()].filter(
       (type) => job.spec.machineTypes === null || job.spec.machineTypes.includes(type.name),
     );
     const boot = Math.min(...types.map((type) => toSeconds(type.bootTime)));
@@ -156,7 +156,7 @@
     const room = new Fitting(job, slots, taken);
     const after = reusableSlots(state, job, turning, now);
     for (let n = 0; n < need && fresh < RENT_A_ROUND; n++) {
-      if (!state.quota.allows(job.spec, n + 1)) break;
+      if (!state.jobs.quotas.allows(job.spec, n + 1)) break;
       let slot: Slot | null | undefined = room.next();
       if (slot === undefined) {
         const turn = after.next();
@@ -192,10 +192,10 @@
   if (sample === null || comes <= ends) return;
   let free = 0;
   for (const slot of slots) {
-    const type = state.types.get(slot.type);
+    const type = state.machines.types.get(slot.type);
     if (type !== undefined) free += Math.max(0, 1 - usedShare(type, slot.r));
   }
-  const types = [...state.types.values()].filter(
+  const types = [...state.machines.types.values()].filter(
     (type) => sample.spec.machineTypes === null || sample.spec.machineTypes.includes(type.name),
   );
   for (let n = Math.min(most, Math.floor(comes - ends - free)); n > 0; n--)
@@ -213,20 +213,20 @@
 
 function expectedSlots(state: ClusterState, now: Timestamp): Slot[] {
   const slots: Slot[] = [];
-  for (const machine of state.machines.values()) {
+  for (const machine of state.machines.byName.values()) {
     if (!isUsable(state, machine, now.monotonic) || isZoneUnavailable(state, machine.zone)) continue;
     const r = { ...resourcesOf(state, machine).projected };
     slots.push({ type: machine.type, zone: machine.zone, spot: machine.spot, r, fresh: false });
   }
-  const coming = [...state.booting.values()].map((b) => ({
+  const coming = [...state.machines.booting.values()].map((b) => ({
     type: b.type,
     zone: b.zone,
     spot: b.spot,
     count: 1,
   }));
-  for (const pending of state.renting.values()) coming.push(pending.request);
+  for (const pending of state.scaling.pending.values()) coming.push(pending.request);
   for (const c of coming) {
-    const type = state.types.get(c.type);
+    const type = state.machines.types.get(c.type);
     if (type === undefined) continue;
     for (let n = 0; n < c.count; n++)
       slots.push({ type: c.type, zone: c.zone, spot: c.spot, r: whole(type), fresh: false });
@@ -249,7 +249,7 @@
     for (const zone of type.zones) {
       if (!isZoneAllowed(job, zone, taken) || isZoneUnavailable(state, zone)) continue;
       for (const spot of job.spec.allowSpot ? [true, false] : [false]) {
-        const refused = state.refused.get(slotKey({ type: type.name, zone, spot }));
+        const refused = state.scaling.refusedAt.get(slotKey({ type: type.name, zone, spot }));
         if (refused !== undefined && now.monotonic - refused < seconds(20)) continue;
         const have = orders.get(slotKey({ type: type.name, zone, spot }))?.count ?? 0;
         options.push({ type, zone, spot, price: spot ? type.spotPrice : type.price, have });
@@ -269,7 +269,7 @@
 
 /** Remembers that the cloud had no such machine. */
 export function onScaleOutRefused(state: ClusterState, order: ScaleOutRequest, now: Timestamp): void {
-  state.refused.set(slotKey(order), now.monotonic);
+  state.scaling.refusedAt.set(slotKey(order), now.monotonic);
 }
 
 /** Tells of a rental in the log. */
--- a/src/core/cluster-scheduler.ts
+++ b/src/core/cluster-scheduler.ts
@@ -165,22 +165,22 @@
         break;
       }
       case 'leadership-confirmed':
-        if (event.confirmedAt > state.contact) state.contact = event.confirmedAt;
+        if (event.confirmedAt > state.term.confirmedAt) state.term.confirmedAt = event.confirmedAt;
         break;
       case 'token-advanced':
-        state.token = event.fencingToken;
-        state.raisedAt = now.monotonic;
+        state.term.fencingToken = event.fencingToken;
+        state.term.tokenAdvancedAt = now.monotonic;
         break;
       case 'machine-types':
-        for (const type of event.types) state.types.set(type.name, type);
-        for (const machine of state.machines.values()) machine.resources = null;
-        state.needPass = true;
+        for (const type of event.types) state.machines.types.set(type.name, type);
+        for (const machine of state.machines.byName.values()) machine.resources = null;
+        state.scheduling.cycleNeeded = true;
         break;
       case 'instance-inventory':
         reconcileInventory(state, event.machines, event.requestedAt, now);
         break;
       case 'scale-out-started':
-        state.renting.set(event.name, { request: event.request, requestedAt: now.monotonic });
+        state.scaling.pending.set(event.name, { request: event.request, requestedAt: now.monotonic });
         break;
       case 'scale-out-answered':
         this.onRented(event.name, event.machines, now);
@@ -194,7 +194,7 @@
         for (const s of event.sightings) {
           const machine = getOrAddMachine(state, s.machineName, now.monotonic);
           if (!machine.cachedImages.has(s.image))
-            recordImageUse(state, machine, { image: s.image, imageGb: s.sizeGb }, state.began);
+            recordImageUse(state, machine, { image: s.image, imageGb: s.sizeGb }, state.term.startedAt);
         }
         break;
       case 'tick':
@@ -202,10 +202,10 @@
         break;
     }
     if (
-      state.needPass &&
+      state.scheduling.cycleNeeded &&
       event.kind !== 'page-loaded' &&
-      now.monotonic - state.passedAt >= minCycleInterval(state) &&
-      mayStartTasks(state.contact, now.monotonic)
+      now.monotonic - state.scheduling.lastCycleAt >= minCycleInterval(state) &&
+      mayStartTasks(state.term.confirmedAt, now.monotonic)
     )
       runSchedulingCycle(state, now);
     const effects = state.effects;
@@ -216,13 +216,13 @@
   /** Tells how long an event in which a pass was made took: the core itself reads no clock. */
   recordCycleDuration(span: Duration): void {
     const state = this.state;
-    state.passTook = (state.passTook + span) / 2n;
+    state.scheduling.averageCycleDuration = (state.scheduling.averageCycleDuration + span) / 2n;
   }
 
   /** Tells how much too late a moment came for which the process had asked. */
   recordEventLoopLag(span: Duration): void {
     const state = this.state;
-    state.lateness = (state.lateness * 3n + span) / 4n;
+    state.term.eventLoopLag = (state.term.eventLoopLag * 3n + span) / 4n;
   }
 
   /** The answer to a report that was just taken in. */
@@ -239,12 +239,12 @@
     if (now.monotonic - this.sweptAt >= SWEEP) this.sweep(now);
     const why = tokenAdvanceReason(state, now);
     if (why !== null) {
-      state.raisedAt = now.monotonic;
+      state.term.tokenAdvancedAt = now.monotonic;
       state.effects.push({ kind: 'advance-token', reason: why });
     }
     if (
-      now.monotonic - this.fleetAt > (isOverloaded(state) ? FLEET_BEHIND : FLEET_EVERY) &&
-      mayStartTasks(state.contact, now.monotonic)
+      now.monotonic - this.fleetAt > (isOverloaded(state.term) ? FLEET_BEHIND : FLEET_EVERY) &&
+      mayStartTasks(state.term.confirmedAt, now.monotonic)
     ) {
       this.fleetAt = now.monotonic;
       this.runFleet(now);
@@ -256,7 +256,7 @@
     const state = this.state;
     this.sweptAt = now.monotonic;
     // After standing still everything looks silent: nothing is judged before a fresh word from the state service.
-    if (mayStartTasks(state.contact, now.monotonic)) {
+    if (mayStartTasks(state.term.confirmedAt, now.monotonic)) {
       expireLeases(state, now);
       if (isCutOffFromWorkers(state, now))
         state.effects.push({ kind: 'step-down', reason: 'hardly any worker is heard' });
@@ -269,7 +269,7 @@
     if (now.monotonic - this.lookedAt >= seconds(1)) {
       // Pauses end, machines fall silent, waiting work becomes urgent: none of that is an event.
       this.lookedAt = now.monotonic;
-      state.needPass = state.needPass || state.waiting.size > 0;
+      state.scheduling.cycleNeeded = state.scheduling.cycleNeeded || state.jobs.pending.size > 0;
       evictFinishedJobs(state, now.monotonic);
       logMissedDeadlines(state, now);
       observeZones(state, now);
@@ -290,7 +290,7 @@
   private giveBack(names: readonly string[], why: string): void {
     if (names.length === 0) return;
     for (const n of names) {
-      const machine = this.state.machines.get(n);
+      const machine = this.state.machines.byName.get(n);
       if (machine !== undefined) machine.releasing = true;
     }
     this.state.effects.push({ kind: 'scale-in', machineNames: names, reason: why });
@@ -303,7 +303,7 @@
     this.surveyAt = now.monotonic;
     const count = { ordinary: 0, spot: 0, empty: 0, closed: 0, unusable: 0 };
     let free = 0;
-    for (const machine of state.machines.values()) {
+    for (const machine of state.machines.byName.values()) {
       if (machine.agentEpoch === 0) continue;
       if (!isUsable(state, machine, now.monotonic)) count.unusable += 1;
       else {
@@ -316,8 +316,8 @@
     const ahead = forecastDemand(state, now);
     let tasks = 0;
     let longest: Job | null = null;
-    for (const id of state.waiting) {
-      const job = state.jobs.get(id);
+    for (const id of state.jobs.pending) {
+      const job = state.jobs.byId.get(id);
       if (job === undefined) continue;
       tasks += job.unassignedTasks.size;
       if (longest === null || job.submittedAt < longest.submittedAt) longest = job;
@@ -327,9 +327,9 @@
       'survey',
       {
         ...count,
-        booting: state.booting.size,
+        booting: state.machines.booting.size,
         freeGpus: free,
-        waitingJobs: state.waiting.size,
+        waitingJobs: state.jobs.pending.size,
         waitingTasks: tasks,
         comes: Math.round(ahead.arriving),
         ends: Math.round(ahead.finishing),
@@ -341,8 +341,8 @@
 
   private onRented(name: string, machines: readonly string[] | null, now: Timestamp): void {
     const state = this.state;
-    const pending = state.renting.get(name);
-    state.renting.delete(name);
+    const pending = state.scaling.pending.get(name);
+    state.scaling.pending.delete(name);
     if (pending === undefined) return;
     if (machines === null || machines.length < pending.request.count)
       onScaleOutRefused(state, pending.request, now);
@@ -354,18 +354,18 @@
       machine.zone = zone;
       machine.spot = spot;
       machine.resources = null;
-      state.booting.set(name, { type, zone, spot, since: now.monotonic });
+      state.machines.booting.set(name, { type, zone, spot, since: now.monotonic });
     }
   }
 
   private unreturn(name: string): void {
-    const machine = this.state.machines.get(name);
+    const machine = this.state.machines.byName.get(name);
     if (machine !== undefined) machine.releasing = false;
   }
 
   /** A machine that refused the token for its session has told its session: it is asked again at once. */
   private refence(machine: string): void {
-    const m = this.state.machines.get(machine);
+    const m = this.state.machines.byName.get(machine);
     if (m === undefined || m.fenced || m.agentEpoch === 0) return;
     this.state.effects.push({
       kind: 'send-commands',
@@ -378,7 +378,7 @@
   private affected(transaction: Transaction): Assignment[] {
     const out: Assignment[] = [];
     for (const id of transaction.guardedJobs.keys()) {
-      const job = this.state.jobs.get(id);
+      const job = this.state.jobs.byId.get(id);
       if (job !== undefined && job.status === 'open') out.push(...assignmentsOf(job));
     }
     return out;
--- a/src/core/commands/worker-commands.ts
+++ b/src/core/commands/worker-commands.ts
@@ -26,17 +26,17 @@
   /** The worker itself answered. */
   reached: boolean,
 ): void {
-  const m = state.machines.get(machine);
+  const m = state.machines.byName.get(machine);
   if (outcome !== 'unknown' && reached && m !== undefined) markReachable(state, m);
   for (const order of orders) {
     if (order.op !== 'start') continue;
     const key = attemptKey(order.jobId, order.taskIndex, order.attempt);
-    const flying = getOrCreateMap(state.flying, machine);
+    const flying = getOrCreateMap(state.commands.startsInFlight, machine);
     const left = (flying.get(key) ?? 1) - 1;
     if (left > 0) flying.set(key, left);
     else flying.delete(key);
     if (outcome === 'unknown' && m !== undefined && m.agentEpoch === session && m.fencingToken <= token)
-      getOrCreateMap(state.loose, machine).set(key, token);
+      getOrCreateMap(state.commands.unresolvedStarts, machine).set(key, token);
   }
 }
 
@@ -54,7 +54,7 @@
   now: Timestamp,
   report: Heartbeat | null = null,
 ): WorkerCommand[] {
-  const machine = state.machines.get(name);
+  const machine = state.machines.byName.get(name);
   if (machine === undefined) return [];
   if (report !== null && report.agentEpoch === machine.agentEpoch) {
     if (machine.answeredSequences.includes(report.sequence)) return [];
@@ -87,7 +87,7 @@
     }
   }
   orders.push(...stopsForStrays(state, machine));
-  for (const forget of state.forgets.get(name)?.values() ?? [])
+  for (const forget of state.commands.pendingForgets.get(name)?.values() ?? [])
     if (mayForget(state, name, forget))
       orders.push({
         op: 'forget',
@@ -133,10 +133,13 @@
 function mayForget(state: ClusterState, machine: string, forget: PendingForget): boolean {
   const key = attemptKey(forget.jobId, forget.taskIndex, forget.attempt);
   // After a `forget` the attempt is unknown to the worker: a copy of its `run` would start it again.
-  if (state.loose.get(machine)?.has(key) === true || (state.flying.get(machine)?.get(key) ?? 0) > 0)
+  if (
+    state.commands.unresolvedStarts.get(machine)?.has(key) === true ||
+    (state.commands.startsInFlight.get(machine)?.get(key) ?? 0) > 0
+  )
     return false;
-  if (state.machines.get(machine)?.fenced !== true) return false;
-  const job = state.jobs.get(forget.jobId);
+  if (state.machines.byName.get(machine)?.fenced !== true) return false;
+  const job = state.jobs.byId.get(forget.jobId);
   // A job that is over needs no more results.
   if (job === undefined || forget.chunkIndex === null || job.status !== 'open') return true;
   return (job.chunks.get(forget.chunkIndex)?.committedVersion ?? 0) >= forget.recordVersion;
@@ -144,7 +147,7 @@
 
 /** Drops forgets that the newest report shows as carried out. */
 export function dropCompletedForgets(state: ClusterState, report: Heartbeat): void {
-  const map = state.forgets.get(report.machineName);
+  const map = state.commands.pendingForgets.get(report.machineName);
   if (map === undefined) return;
   const exited = new Set(
     report.tasks
@@ -162,11 +165,11 @@
   intent: Assignment,
   now: MonotonicTime,
 ): boolean {
-  const job = state.jobs.get(intent.jobId);
+  const job = state.jobs.byId.get(intent.jobId);
   if (job === undefined || job.status !== 'open' || intent.stopRequest !== null) return false;
-  if (state.dependencies.isWaiting(intent.jobId)) return false;
+  if (state.jobs.dependencies.isWaiting(intent.jobId)) return false;
   if (intent.agentEpoch !== machine.agentEpoch || !machine.fenced || intent.phase !== 'placed') return false;
-  if (!isAssignmentCommitted(job, intent) || !mayStartTasks(state.contact, now)) return false;
+  if (!isAssignmentCommitted(job, intent) || !mayStartTasks(state.term.confirmedAt, now)) return false;
   // A gang starts as one: no member before all are committed.
   if (job.spec.kind === 'gang')
     for (const chunk of job.chunks.values())
@@ -191,7 +194,7 @@
 ): boolean {
   const fetch = (at: Machine | undefined): number => {
     if (at === undefined || at.cachedImages.has(job.spec.image)) return 0;
-    const rate = state.types.get(at.type)?.fetchGbPerS ?? 0;
+    const rate = state.machines.types.get(at.type)?.fetchGbPerS ?? 0;
     return rate > 0 ? job.spec.imageGb / rate : 0;
   };
   const own = fetch(machine);
@@ -200,7 +203,7 @@
     for (const other of chunk.assignments.values()) {
       if (other === intent || (other.phase !== 'placed' && other.phase !== 'fetching')) continue;
       const passed = other.startSentAt === null ? 0 : toSeconds(now - other.startSentAt);
-      last = Math.max(last, fetch(state.machines.get(other.machineName)) - passed);
+      last = Math.max(last, fetch(state.machines.byName.get(other.machineName)) - passed);
     }
   return own >= last - toSeconds(state.config.gangStartTimeout) * STEP;
 }
@@ -210,14 +213,14 @@
  * the answers to the machines' next reports, which carry them anyway.
  */
 export function sendStarts(state: ClusterState, intents: Iterable<Assignment>, now: Timestamp): void {
-  if (isOverloaded(state)) return;
+  if (isOverloaded(state.term)) return;
   const byMachine = new Map<string, Assignment[]>();
   for (const intent of intents) {
-    const machine = state.machines.get(intent.machineName);
+    const machine = state.machines.byName.get(intent.machineName);
     if (
       machine === undefined ||
       intent.startSentInSequence !== null ||
-      startMayStillArrive(state, intent) ||
+      startMayStillArrive(state.commands, intent) ||
       !isStartable(state, machine, intent, now.monotonic)
     )
       continue;
@@ -226,9 +229,9 @@
     byMachine.set(intent.machineName, list);
   }
   for (const [name, list] of byMachine) {
-    const machine = state.machines.get(name);
+    const machine = state.machines.byName.get(name);
     if (machine === undefined) continue;
-    const flying = getOrCreateMap(state.flying, name);
+    const flying = getOrCreateMap(state.commands.startsInFlight, name);
     for (const intent of list) {
       const key = attemptKey(intent.jobId, intent.taskIndex, intent.attempt);
       flying.set(key, (flying.get(key) ?? 0) + 1);
--- a/src/core/jobs/deadline-slack.ts
+++ b/src/core/jobs/deadline-slack.ts
@@ -31,14 +31,14 @@
 
 /** The owner's estimate, corrected by what was seen of the class. */
 export function estimatedSeconds(state: ClusterState, job: Job): number {
-  return toSeconds(job.spec.estimatedDuration) * (state.pace.get(job.spec.class) ?? 1);
+  return toSeconds(job.spec.estimatedDuration) * (state.jobs.durationFactors.get(job.spec.class) ?? 1);
 }
 
 /** Work that is not wanted before new machines could be up twice over. */
 export function hasDeadlineSlack(state: ClusterState, job: Job, now: Timestamp): boolean {
   if (job.spec.kind === 'service' || pendingSeconds(job, now) > PATIENT_S) return false;
   let boot = 0;
-  for (const type of state.types.values()) boot = Math.max(boot, toSeconds(type.bootTime));
+  for (const type of state.machines.types.values()) boot = Math.max(boot, toSeconds(type.bootTime));
   // Only where some class is promised a start within that time is there anything to leave room for.
   const hasty = state.config.objectives.some(
     (objective) =>
@@ -59,7 +59,7 @@
   // A lost replica is wanted at once, whenever its job came.
   if (job.replicaLostAt !== null && now.monotonic - job.replicaLostAt < seconds(LATELY_S)) return true;
   let fastest = 0;
-  for (const type of state.types.values()) fastest = Math.max(fastest, type.fetchGbPerS);
+  for (const type of state.machines.types.values()) fastest = Math.max(fastest, type.fetchGbPerS);
   const left = startDeadline(state, job) - now.wall.getTime() / 1000;
   return fastest > 0 && left > -LATELY_S && left < job.spec.imageGb / fastest;
 }
--- a/src/core/jobs/dependencies.ts
+++ b/src/core/jobs/dependencies.ts
@@ -11,12 +11,12 @@
 export function registerJob(state: ClusterState, job: Job, now: Timestamp): void {
   const { id, dependencies } = job.spec;
   if (job.spec.deadline !== null)
-    state.deadlines.set(id, job.submittedAt.getTime() / 1000 + toSeconds(job.spec.deadline));
+    state.jobs.deadlines.set(id, job.submittedAt.getTime() / 1000 + toSeconds(job.spec.deadline));
   inherit(state, job);
   if (dependencies.length === 0) return makeReady(state, job, job.submittedAt);
   job.readySince = null;
   job.pendingReason = 'waits for other jobs';
-  apply(state, state.dependencies.add(id, dependencies), now);
+  apply(state, state.jobs.dependencies.add(id, dependencies), now);
 }
 
 /** Takes in that a job has ended, as committed. */
@@ -26,15 +26,15 @@
   standing: 'done' | 'cancelled',
   now: Timestamp,
 ): void {
-  state.deadlines.delete(id);
-  const job = state.jobs.get(id);
-  apply(state, state.dependencies.markFinished(id, standing), now);
+  state.jobs.deadlines.delete(id);
+  const job = state.jobs.byId.get(id);
+  apply(state, state.jobs.dependencies.markFinished(id, standing), now);
   if (standing === 'cancelled' && job !== undefined) withdrawUrgency(state, job);
 }
 
 function apply(state: ClusterState, change: GraphChange, now: Timestamp): void {
   for (const id of change.ready) {
-    const job = state.jobs.get(id);
+    const job = state.jobs.byId.get(id);
     if (job !== undefined && job.status === 'open') makeReady(state, job, now.wall);
   }
   for (const id of change.cancelled) cancelThrough(state, id, now);
@@ -44,10 +44,10 @@
   const { id } = job.spec;
   job.readySince = since;
   job.pendingReason = 'new';
-  state.open.add(id);
-  state.rankStale = true;
-  if (job.unassignedTasks.size > 0) state.waiting.add(id);
-  state.needPass = true;
+  state.jobs.active.add(id);
+  state.jobs.fairSharesStale = true;
+  if (job.unassignedTasks.size > 0) state.jobs.pending.add(id);
+  state.scheduling.cycleNeeded = true;
 }
 
 /**
@@ -55,16 +55,16 @@
  * that it need not be kept whole for good.
  */
 function cancelThrough(state: ClusterState, id: string, now: Timestamp): void {
-  const job = state.jobs.get(id);
-  state.deadlines.delete(id);
+  const job = state.jobs.byId.get(id);
+  state.jobs.deadlines.delete(id);
   if (job === undefined || job.status !== 'open') return;
   job.status = 'cancelled';
   job.unassignedTasks.clear();
-  state.open.delete(id);
-  state.waiting.delete(id);
-  state.closed.set(id, now.monotonic);
-  state.unrecordedCancellations.add(id);
-  state.rankStale = true;
+  state.jobs.active.delete(id);
+  state.jobs.pending.delete(id);
+  state.jobs.finished.set(id, now.monotonic);
+  state.records.unrecordedCancellations.add(id);
+  state.jobs.fairSharesStale = true;
   releaseFinishedChunks(job);
   emitLog(state, 'job cancelled: a job that it needs was', { job: id }, 'info');
   withdrawUrgency(state, job);
@@ -86,8 +86,8 @@
 /** What a job takes from its dependents: the highest priority, and the end that leaves each of them its time. */
 function urgencyOf(state: ClusterState, job: Job): Urgency {
   let { priority, latestEnd } = ownUrgency(job);
-  for (const id of state.dependencies.dependentsOf(job.spec.id)) {
-    const dependent = state.jobs.get(id);
+  for (const id of state.jobs.dependencies.dependentsOf(job.spec.id)) {
+    const dependent = state.jobs.byId.get(id);
     if (dependent === undefined || dependent.status !== 'open') continue;
     if (priorityRank(dependent.priority) > priorityRank(priority)) priority = dependent.priority;
     latestEnd = Math.min(latestEnd, dependent.latestCompletion - estimatedSeconds(state, dependent));
@@ -103,7 +103,7 @@
   const stack = [job];
   for (let next = stack.pop(); next !== undefined; next = stack.pop())
     for (const id of next.spec.dependencies) {
-      const needed = state.jobs.get(id);
+      const needed = state.jobs.byId.get(id);
       if (needed === undefined || needed.status !== 'open') continue;
       const end = next.latestCompletion - estimatedSeconds(state, next);
       if (priorityRank(next.priority) <= priorityRank(needed.priority) && end >= needed.latestCompletion)
@@ -119,7 +119,7 @@
   const stack = [job];
   for (let next = stack.pop(); next !== undefined; next = stack.pop())
     for (const id of next.spec.dependencies) {
-      const needed = state.jobs.get(id);
+      const needed = state.jobs.byId.get(id);
       if (needed === undefined || needed.status !== 'open') continue;
       const { priority, latestEnd } = urgencyOf(state, needed);
       if (priority === needed.priority && latestEnd === needed.latestCompletion) continue;
@@ -131,10 +131,10 @@
 
 /** Tells once of each unfinished job whose deadline has passed. */
 export function logMissedDeadlines(state: ClusterState, now: Timestamp): void {
-  for (const [id, by] of state.deadlines) {
+  for (const [id, by] of state.jobs.deadlines) {
     if (now.wall.getTime() / 1000 <= by) continue;
-    state.deadlines.delete(id);
-    const job = state.jobs.get(id);
+    state.jobs.deadlines.delete(id);
+    const job = state.jobs.byId.get(id);
     if (job === undefined) continue;
     const { status: standing, pendingReason: waitReason, completedCount: doneCount } = job;
     const about = { job: id, class: job.spec.class, tasks: job.spec.taskCount, done: doneCount };
--- a/src/core/machines/free-resources.ts
+++ b/src/core/machines/free-resources.ts
@@ -22,7 +22,7 @@
   if (now >= leaseExpiry(state, machine)) return false;
   return (
     now - machine.lastHeartbeatAt <= (state.config.heartbeatInterval * 5n) / 2n + seconds(1) &&
-    state.types.has(machine.type)
+    state.machines.types.has(machine.type)
   );
 }
 
@@ -40,7 +40,7 @@
   resourcesOf(state, machine).free;
 
 function countFree(state: ClusterState, machine: Machine): { free: Resources; projected: Resources } {
-  const type = state.types.get(machine.type);
+  const type = state.machines.types.get(machine.type);
   if (type === undefined)
     return { free: { cpus: 0, gpus: 0, memory: 0 }, projected: { cpus: 0, gpus: 0, memory: 0 } };
   const free: Resources = { cpus: type.cpus, gpus: type.gpus, memory: type.memory };
@@ -51,7 +51,7 @@
     from.memory -= spec.memory;
   };
   for (const intent of machine.assignments.values()) {
-    const job = state.jobs.get(intent.jobId);
+    const job = state.jobs.byId.get(intent.jobId);
     if (job === undefined) continue;
     take(free, job.spec);
     if (intent.stopRequest === null) take(projected, job.spec);
@@ -59,7 +59,7 @@
   if (machine.hasOrphanedTasks)
     for (const [key, task] of machine.reportedTasks) {
       const intent = machine.assignments.get(key);
-      const job = state.jobs.get(task.jobId);
+      const job = state.jobs.byId.get(task.jobId);
       if (job === undefined || (intent !== undefined && intent.attempt === task.attempt)) continue;
       take(free, job.spec);
       take(projected, job.spec);
--- a/src/core/machines/image-cache.ts
+++ b/src/core/machines/image-cache.ts
@@ -17,7 +17,7 @@
     return;
   }
   machine.cachedImages.set(spec.image, { gb: spec.imageGb, lastUsedAt: now });
-  const room = state.types.get(machine.type)?.cacheGb ?? Infinity;
+  const room = state.machines.types.get(machine.type)?.cacheGb ?? Infinity;
   let held = 0;
   for (const i of machine.cachedImages.values()) held += i.gb;
   while (held > room && machine.cachedImages.size > 1) {
--- a/src/core/machines/machine-registry.ts
+++ b/src/core/machines/machine-registry.ts
@@ -5,7 +5,7 @@
 
 /** The machine of that name, made known when it is not. */
 export function getOrAddMachine(state: ClusterState, name: string, now: MonotonicTime): Machine {
-  let machine = state.machines.get(name);
+  let machine = state.machines.byName.get(name);
   if (machine === undefined) {
     machine = {
       name,
@@ -17,7 +17,7 @@
       sequence: 0,
       fencingToken: 0,
       preemptionAt: null,
-      lastAcknowledgedAt: state.othersQuiet,
+      lastAcknowledgedAt: state.term.previousLeadersDeadline,
       lastHeartbeatAt: 0n,
       firstHeartbeatAt: null,
       fenced: false,
@@ -42,8 +42,8 @@
       resources: null,
       hasOrphanedTasks: false,
     };
-    state.machines.set(name, machine);
-    state.longestName = Math.max(state.longestName, encodeURIComponent(name).length);
+    state.machines.byName.set(name, machine);
+    state.machines.longestName = Math.max(state.machines.longestName, encodeURIComponent(name).length);
   }
   return machine;
 }
--- a/src/core/persistence/finished-jobs.ts
+++ b/src/core/persistence/finished-jobs.ts
@@ -10,17 +10,17 @@
  * them is answered as for any job that is not open: its tasks are stopped, its results forgotten.
  */
 export function evictFinishedJobs(state: ClusterState, now: MonotonicTime): void {
-  for (const [id, since] of state.closed) {
+  for (const [id, since] of state.jobs.finished) {
     if (now - since < KEPT) return;
-    state.closed.delete(id);
-    const job = state.jobs.get(id);
+    state.jobs.finished.delete(id);
+    const job = state.jobs.byId.get(id);
     if (job === undefined || job.status === 'open') continue;
-    if (job.assignedCount > 0 || state.unrecordedCancellations.has(id)) {
-      state.closed.set(id, now);
+    if (job.assignedCount > 0 || state.records.unrecordedCancellations.has(id)) {
+      state.jobs.finished.set(id, now);
       continue;
     }
     releaseFinishedChunks(job);
-    state.dirtyJobs.delete(id);
-    state.jobs.delete(id);
+    state.records.jobsToComplete.delete(id);
+    state.jobs.byId.delete(id);
   }
 }
--- a/src/core/persistence/recovery.ts
+++ b/src/core/persistence/recovery.ts
@@ -19,7 +19,7 @@
   stamp: number,
   now: Timestamp,
 ): void {
-  const known = state.jobs.get(id);
+  const known = state.jobs.byId.get(id);
   if (known === undefined) {
     const job: Job = {
       spec: record.spec,
@@ -43,26 +43,26 @@
       priority: record.spec.priority,
       latestCompletion: Infinity,
     };
-    state.jobs.set(id, job);
+    state.jobs.byId.set(id, job);
     if (record.status === 'open') {
       for (let t = 0; t < record.spec.taskCount; t++) job.unassignedTasks.add(t);
       registerJob(state, job, now);
     } else {
-      state.closed.set(id, now.monotonic);
+      state.jobs.finished.set(id, now.monotonic);
       onJobFinished(state, id, record.status, now);
     }
     return;
   }
   if (stamp <= known.modRevision) return;
   known.modRevision = stamp;
-  if (record.status !== 'open') state.unrecordedCancellations.delete(id);
+  if (record.status !== 'open') state.records.unrecordedCancellations.delete(id);
   if (record.status === known.status) return;
   known.status = record.status;
   known.unassignedTasks.clear();
-  state.waiting.delete(id);
-  state.open.delete(id);
-  state.closed.set(id, now.monotonic);
-  state.rankStale = true;
+  state.jobs.pending.delete(id);
+  state.jobs.active.delete(id);
+  state.jobs.finished.set(id, now.monotonic);
+  state.jobs.fairSharesStale = true;
   releaseFinishedChunks(known);
   if (record.status !== 'open') onJobFinished(state, id, record.status, now);
   if (record.status === 'cancelled') {
@@ -88,7 +88,7 @@
     chunks: new Set(),
     reservedBytes: null,
   };
-  state.pages.set(id, page);
+  state.records.pages.set(id, page);
   for (const entry of entries) onChunk(state, page, entry, now);
 }
 
@@ -96,7 +96,7 @@
 function onChunk(state: ClusterState, page: RecordPage, entry: PageEntry, now: Timestamp): void {
   const id = entry.jobId;
   const img = entry.record;
-  const job = state.jobs.get(id);
+  const job = state.jobs.byId.get(id);
   if (job === undefined) return;
   // What a closed job's page still says without places is of no more use.
   if (job.status !== 'open' && img.assignments.length === 0) return;
@@ -123,12 +123,12 @@
     chunk.assignments.set(i.taskIndex, intent);
     job.unassignedTasks.delete(i.taskIndex);
     job.assignedCount += 1;
-    state.quota.acquire(job.spec);
+    state.jobs.quotas.acquire(job.spec);
     const machine = getOrAddMachine(state, i.machineName, now.monotonic);
     machine.assignments.set(taskKey(id, i.taskIndex), intent);
     machine.resources = null;
   }
-  if (job.unassignedTasks.size === 0) state.waiting.delete(id);
+  if (job.unassignedTasks.size === 0) state.jobs.pending.delete(id);
   if (job.status === 'cancelled') stopAllAssignments(state, job, 'cancelled', now.monotonic);
   if (job.completedCount === job.spec.taskCount && job.status === 'open')
     requestCompletion(state, job, now.monotonic);
--- a/src/core/persistence/transactions.ts
+++ b/src/core/persistence/transactions.ts
@@ -39,7 +39,8 @@
  * pages change than fit one transaction they wait longer, so that what is waited for is not behind them.
  */
 const batchingDelay = (state: ClusterState): MonotonicTime =>
-  seconds(1) * BigInt(Math.max(1, Math.ceil(state.dirty.size / state.config.maxTransactionOperations)));
+  seconds(1) *
+  BigInt(Math.max(1, Math.ceil(state.records.dirtyPages.size / state.config.maxTransactionOperations)));
 
 const unrecorded = (job: Job, but: ReadonlySet<number>): boolean => {
   for (const chunk of job.chunks.values())
@@ -51,9 +52,9 @@
 /** Jobs with places in the page that are not recorded yet. */
 function startingIn(state: ClusterState, id: number): Job[] {
   const out: Job[] = [];
-  for (const chunk of state.pages.get(id)?.chunks ?? []) {
+  for (const chunk of state.records.pages.get(id)?.chunks ?? []) {
     if (chunk.version <= chunk.committedVersion) continue;
-    const job = state.jobs.get(chunk.jobId);
+    const job = state.jobs.byId.get(chunk.jobId);
     if (job === undefined || job.status !== 'open') continue;
     for (const intent of chunk.assignments.values())
       if (intent.recordVersion > chunk.committedVersion) {
@@ -73,13 +74,13 @@
   done: string[],
   ids: readonly number[],
 ): void {
-  for (const id of state.dirtyJobs.keys()) {
+  for (const id of state.records.jobsToComplete.keys()) {
     if (
       ids.length + done.length >= most ||
       ids.length + jobs.size + 1 >= 4 * state.config.maxTransactionOperations
     )
       return;
-    const job = state.jobs.get(id);
+    const job = state.jobs.byId.get(id);
     if (job === undefined || job.status !== 'open' || done.includes(id) || unrecorded(job, taken)) continue;
     done.push(id);
     jobs.set(id, job.modRevision);
@@ -89,7 +90,7 @@
 function writesOf(state: ClusterState, ids: readonly number[]): PageWrite[] {
   const pages: PageWrite[] = [];
   for (const id of ids) {
-    const page = state.pages.get(id);
+    const page = state.records.pages.get(id);
     if (page === undefined) continue;
     const entries = pageEntriesOf(page, chunkRecordOf);
     pages.push({
@@ -117,17 +118,17 @@
  * of them at the same time, and the places of other jobs must not be refused together with it.
  */
 function cancellations(state: ClusterState, now: MonotonicTime): Transaction | null {
-  if (state.unrecordedCancellations.size === 0) return null;
+  if (state.records.unrecordedCancellations.size === 0) return null;
   const jobs = new Map<string, number>();
-  for (const id of state.unrecordedCancellations) {
+  for (const id of state.records.unrecordedCancellations) {
     if (jobs.size >= state.config.maxTransactionOperations) break;
-    const job = state.jobs.get(id);
-    if (job === undefined) state.unrecordedCancellations.delete(id);
+    const job = state.jobs.byId.get(id);
+    if (job === undefined) state.records.unrecordedCancellations.delete(id);
     else jobs.set(id, job.modRevision);
   }
-  state.cancellationsWrittenAt = now;
+  state.records.cancellationsWrittenAt = now;
   return {
-    fencingToken: state.token,
+    fencingToken: state.term.fencingToken,
     guardedJobs: jobs,
     pages: [],
     completedJobs: [],
@@ -137,16 +138,16 @@
 
 /** The next transaction, or null when nothing waits. What it holds stays dirty until `settled`. */
 export function nextTransaction(state: ClusterState, now: MonotonicTime): Transaction | null {
-  const tied = state.tiedPages[0];
+  const tied = state.records.atomicPageGroups[0];
   if (tied !== undefined)
     return {
-      fencingToken: state.token,
+      fencingToken: state.term.fencingToken,
       guardedJobs: startingJobs(state, tied),
       pages: writesOf(state, tied),
       completedJobs: [],
       cancelledJobs: [],
     };
-  if (now - state.cancellationsWrittenAt >= CANCELLATIONS_EVERY) {
+  if (now - state.records.cancellationsWrittenAt >= CANCELLATIONS_EVERY) {
     const overdue = cancellations(state, now);
     if (overdue !== null) return overdue;
   }
@@ -159,9 +160,10 @@
   // "Done" is told once committed, and it must not be committed ahead of the results that make it true. Jobs whose
   // results are recorded come first: behind the pages they would wait as long as pages go on changing.
   finishing(state, ops / 2, taken, jobs, done, ids);
-  const order = [...state.urgent];
+  const order = [...state.records.urgentPages];
   const wait = batchingDelay(state);
-  for (const [id, since] of state.dirty) if (now - since >= wait && !state.urgent.has(id)) order.push(id);
+  for (const [id, since] of state.records.dirtyPages)
+    if (now - since >= wait && !state.records.urgentPages.has(id)) order.push(id);
   for (const id of order) {
     if (ids.length + done.length >= ops) break;
     const starting = startingIn(state, id).filter((job) => !jobs.has(job.spec.id));
@@ -173,7 +175,7 @@
   finishing(state, ops, taken, jobs, done, ids);
   if (ids.length === 0 && done.length === 0) return cancellations(state, now);
   return {
-    fencingToken: state.token,
+    fencingToken: state.term.fencingToken,
     guardedJobs: jobs,
     pages: writesOf(state, ids),
     completedJobs: done,
@@ -189,35 +191,36 @@
   now: Timestamp,
 ): void {
   for (const p of transaction.pages) {
-    const page = state.pages.get(p.id);
+    const page = state.records.pages.get(p.id);
     if (page === undefined) continue;
     page.modRevision = stamp;
     page.committedVersion = Math.max(page.committedVersion, p.version);
-    const since = state.dirty.get(p.id);
-    state.dirty.delete(p.id);
-    state.urgent.delete(p.id);
-    if (page.version > page.committedVersion) state.dirty.set(p.id, since ?? 0n);
+    const since = state.records.dirtyPages.get(p.id);
+    state.records.dirtyPages.delete(p.id);
+    state.records.urgentPages.delete(p.id);
+    if (page.version > page.committedVersion) state.records.dirtyPages.set(p.id, since ?? 0n);
     for (const chunk of p.chunks) chunk.committedVersion = Math.max(chunk.committedVersion, p.version);
-    if (page.version > page.committedVersion && stillUrgent(state, p.id)) state.urgent.add(p.id);
+    if (page.version > page.committedVersion && stillUrgent(state, p.id)) state.records.urgentPages.add(p.id);
   }
   const written = new Set(transaction.pages.map((page) => page.id));
-  if (state.tiedPages[0]?.every((id) => written.has(id)) === true) state.tiedPages.shift();
+  if (state.records.atomicPageGroups[0]?.every((id) => written.has(id)) === true)
+    state.records.atomicPageGroups.shift();
   for (const id of transaction.cancelledJobs) {
-    state.unrecordedCancellations.delete(id);
-    const job = state.jobs.get(id);
+    state.records.unrecordedCancellations.delete(id);
+    const job = state.jobs.byId.get(id);
     if (job !== undefined) job.modRevision = Math.max(job.modRevision, stamp);
   }
   for (const id of transaction.completedJobs) {
-    const job = state.jobs.get(id);
+    const job = state.jobs.byId.get(id);
     if (job === undefined) continue;
     job.status = 'done';
     job.modRevision = Math.max(job.modRevision, stamp);
-    state.dirtyJobs.delete(id);
+    state.records.jobsToComplete.delete(id);
     job.unassignedTasks.clear();
-    state.waiting.delete(id);
-    state.open.delete(id);
-    state.closed.set(id, now.monotonic);
-    state.rankStale = true;
+    state.jobs.pending.delete(id);
+    state.jobs.active.delete(id);
+    state.jobs.finished.set(id, now.monotonic);
+    state.jobs.fairSharesStale = true;
     releaseFinishedChunks(job);
     onJobFinished(state, id, 'done', now);
   }
@@ -226,7 +229,7 @@
 /** What changed while the transaction was under way may be something that is waited for. */
 function stillUrgent(state: ClusterState, id: number): boolean {
   if (startingIn(state, id).length > 0) return true;
-  for (const chunk of state.pages.get(id)?.chunks ?? [])
-    if (chunk.version > chunk.committedVersion && state.dirtyJobs.has(chunk.jobId)) return true;
+  for (const chunk of state.records.pages.get(id)?.chunks ?? [])
+    if (chunk.version > chunk.committedVersion && state.records.jobsToComplete.has(chunk.jobId)) return true;
   return false;
 }
--- a/src/core/reconciliation/failure-detector.ts
+++ b/src/core/reconciliation/failure-detector.ts
@@ -14,10 +14,12 @@
 const LAST_WORD = seconds(2.5);
 
 const holdsReplica = (state: ClusterState, machine: Machine): boolean =>
-  [...machine.assignments.values()].some((intent) => state.jobs.get(intent.jobId)?.spec.kind === 'service');
+  [...machine.assignments.values()].some(
+    (intent) => state.jobs.byId.get(intent.jobId)?.spec.kind === 'service',
+  );
 
 const known = (state: ClusterState): Machine[] =>
-  [...state.machines.values()].filter(
+  [...state.machines.byName.values()].filter(
     (machine) =>
       machine.fenced && !machine.releasing && machine.instanceState !== 'failed' && machine.agentEpoch > 0,
   );
@@ -37,7 +39,7 @@
  * before the leases end.
  */
 export function isCutOffFromWorkers(state: ClusterState, now: Timestamp): boolean {
-  if (now.monotonic - state.began < state.config.workerLease / 2n) return false;
+  if (now.monotonic - state.term.startedAt < state.config.workerLease / 2n) return false;
   const all = known(state);
   const silent = all.filter(
     (machine) => now.monotonic - machine.lastHeartbeatAt > suspectAfter(state),
@@ -52,10 +54,13 @@
  */
 export function findUnresponsiveMachines(state: ClusterState, now: Timestamp): string[] {
   // In a process that is behind, what is missing may well be here and not yet looked at.
-  if (isOverloaded(state)) return [];
+  if (isOverloaded(state.term)) return [];
   const after = suspectAfter(state);
   const out = neverHeard(state, now);
-  if (now.monotonic - state.began < after + state.config.heartbeatInterval * 2n || manySuspected(state, now))
+  if (
+    now.monotonic - state.term.startedAt < after + state.config.heartbeatInterval * 2n ||
+    manySuspected(state, now)
+  )
     return out;
   const silent = known(state).filter(
     (machine) =>
@@ -81,10 +86,11 @@
  * a minute; a machine that is cut off around a takeover would leave its users without replicas for all that time.
  */
 function neverHeard(state: ClusterState, now: Timestamp): string[] {
-  if (now.monotonic - state.began < suspectAfter(state) + state.config.heartbeatInterval * 2n) return [];
+  if (now.monotonic - state.term.startedAt < suspectAfter(state) + state.config.heartbeatInterval * 2n)
+    return [];
   let working = 0;
   const never: Machine[] = [];
-  for (const machine of state.machines.values()) {
+  for (const machine of state.machines.byName.values()) {
     if (machine.assignments.size === 0) continue;
     working += 1;
     if (machine.lastHeartbeatAt === 0n && !machine.releasing) never.push(machine);
@@ -97,7 +103,7 @@
 
 /** A machine that nothing reaches is asked directly now and then: an answer shows that it can be reached again. */
 export function probeUnreachableMachines(state: ClusterState, now: Timestamp): void {
-  for (const machine of state.machines.values()) {
+  for (const machine of state.machines.byName.values()) {
     if (
       machine.unreachableSince === null ||
       machine.releasing ||
@@ -118,11 +124,11 @@
 
 /** Tasks on a machine that is about to be taken: what will not be done by then saves in time and goes elsewhere. */
 export function handlePreemptionNotices(state: ClusterState, now: Timestamp): void {
-  for (const machine of state.machines.values()) {
+  for (const machine of state.machines.byName.values()) {
     if (machine.preemptionAt === null || !machine.fenced) continue;
     const left = toSeconds(machine.preemptionAt - now.monotonic);
     for (const intent of [...machine.assignments.values()]) {
-      const job = state.jobs.get(intent.jobId);
+      const job = state.jobs.byId.get(intent.jobId);
       if (job === undefined || intent.stopRequest !== null) continue;
       const ran = intent.runningSince === null ? 0 : toSeconds(now.monotonic - intent.runningSince);
       const ends =
--- a/src/core/reconciliation/fencing.ts
+++ b/src/core/reconciliation/fencing.ts
@@ -30,7 +30,7 @@
  */
 export function fenceMachines(state: ClusterState, now: Timestamp): void {
   const asked: Machine[] = [];
-  for (const machine of state.machines.values()) {
+  for (const machine of state.machines.byName.values()) {
     if (
       machine.fenced ||
       machine.endpoint === '' ||
@@ -42,8 +42,8 @@
     if (machine.firstHeartbeatAt !== null && now.monotonic - machine.firstHeartbeatAt < SHOWS_TOKEN) continue;
     asked.push(machine);
   }
-  const coming = now.monotonic - state.lastArrival < FENCE_QUIET;
-  const most = coming || isOverloaded(state) ? FENCE_BUSY : FENCE_AT_ONCE;
+  const coming = now.monotonic - state.term.lastWorkerJoinedAt < FENCE_QUIET;
+  const most = coming || isOverloaded(state.term) ? FENCE_BUSY : FENCE_AT_ONCE;
   if (asked.length > most) asked.sort((a, b) => b.assignments.size - a.assignments.size);
   for (const machine of asked.slice(0, most)) {
     machine.probedAt = now.monotonic;
@@ -59,19 +59,19 @@
 /** Whether some copy of a `run` blocks progress and only a higher token can settle that it never comes. */
 export function tokenAdvanceReason(state: ClusterState, now: Timestamp): string | null {
   if (
-    now.monotonic - state.raisedAt < state.config.workerLease / 2n ||
-    !mayStartTasks(state.contact, now.monotonic)
+    now.monotonic - state.term.tokenAdvancedAt < state.config.workerLease / 2n ||
+    !mayStartTasks(state.term.confirmedAt, now.monotonic)
   )
     return null;
-  for (const [name, loose] of state.loose) {
-    const machine = state.machines.get(name);
+  for (const [name, loose] of state.commands.unresolvedStarts) {
+    const machine = state.machines.byName.get(name);
     if (
       machine === undefined ||
       loose.size === 0 ||
       now.monotonic - machine.lastHeartbeatAt > state.config.heartbeatInterval * 3n
     )
       continue;
-    for (const forget of state.forgets.get(name)?.values() ?? [])
+    for (const forget of state.commands.pendingForgets.get(name)?.values() ?? [])
       if (loose.has(attemptKey(forget.jobId, forget.taskIndex, forget.attempt)))
         return `a result on ${name} cannot be forgotten`;
     for (const intent of machine.assignments.values())
--- a/src/core/reconciliation/heartbeats.ts
+++ b/src/core/reconciliation/heartbeats.ts
@@ -22,19 +22,19 @@
 
 /** A machine found its way to us by itself: it is not in need of being asked. */
 export function onFirstHeartbeat(state: ClusterState, name: string, now: Timestamp): void {
-  const machine = state.machines.get(name);
+  const machine = state.machines.byName.get(name);
   if (machine === undefined || machine.firstHeartbeatAt !== null) return;
   machine.firstHeartbeatAt = now.monotonic;
-  state.lastArrival = now.monotonic;
+  state.term.lastWorkerJoinedAt = now.monotonic;
 }
 
 /** Takes in a report, whichever way it came. Exits count even in old ones; absence counts only in new ones. */
 export function onHeartbeat(state: ClusterState, report: Heartbeat, now: Timestamp): void {
-  if (report.fencingToken > state.token) {
+  if (report.fencingToken > state.term.fencingToken) {
     state.effects.push({ kind: 'superseded', fencingToken: report.fencingToken });
     return;
   }
-  if (state.gone.has(report.machineName)) {
+  if (state.machines.terminated.has(report.machineName)) {
     emitLog(state, 'a copy from a machine that is gone', {
       machine: report.machineName,
       seq: report.sequence,
@@ -57,14 +57,14 @@
   machine.type = report.type;
   machine.zone = report.zone;
   machine.spot = report.spot;
-  state.booting.delete(machine.name);
+  state.machines.booting.delete(machine.name);
   if (report.agentEpoch > machine.agentEpoch) newSession(state, machine, report.agentEpoch, now.monotonic);
   machine.sequence = report.sequence;
   machine.fencingToken = report.fencingToken;
   machine.lastHeartbeatAt = now.monotonic;
   machine.preemptionAt = report.preemptionNotice === null ? null : now.monotonic + report.preemptionNotice;
-  if (report.fencingToken >= state.firstToken) machine.fenced = true;
-  const loose = state.loose.get(machine.name);
+  if (report.fencingToken >= state.term.firstFencingToken) machine.fenced = true;
+  const loose = state.commands.unresolvedStarts.get(machine.name);
   // A copy carrying a lower token than the worker has seen is refused there.
   if (loose !== undefined) for (const [k, token] of loose) if (report.fencingToken > token) loose.delete(k);
   const listed = new Set<string>();
@@ -81,8 +81,8 @@
   for (const [key, task] of machine.reportedTasks)
     if (machine.assignments.get(key)?.attempt !== task.attempt) machine.hasOrphanedTasks = true;
   if (strayed || machine.hasOrphanedTasks) machine.resources = null;
-  if (strayed && !machine.hasOrphanedTasks) state.needPass = true;
-  if (isUsable(state, machine, now.monotonic) !== wasUsable) state.needPass = true;
+  if (strayed && !machine.hasOrphanedTasks) state.scheduling.cycleNeeded = true;
+  if (isUsable(state, machine, now.monotonic) !== wasUsable) state.scheduling.cycleNeeded = true;
 }
 
 /** So many `run`s that leave no trace in the reports after them are more than lost packets. */
@@ -92,7 +92,7 @@
 function markDeaf(state: ClusterState, machine: Machine, now: MonotonicTime): void {
   if (machine.unreachableSince !== null) return;
   // In a process that is behind, answers come after the worker has given up: that says nothing of the machine.
-  if (isOverloaded(state)) return;
+  if (isOverloaded(state.term)) return;
   machine.unreachableSince = now;
   emitLog(state, 'a machine reports, but what we send does not reach it', { machine: machine.name }, 'info');
 }
@@ -102,7 +102,7 @@
   machine.unacknowledgedStarts = 0;
   if (machine.unreachableSince === null) return;
   machine.unreachableSince = null;
-  state.needPass = true;
+  state.scheduling.cycleNeeded = true;
 }
 
 function newSession(state: ClusterState, machine: Machine, session: number, now: MonotonicTime): void {
@@ -120,11 +120,11 @@
   machine.lastAcknowledgedAt = laterOf(machine.lastAcknowledgedAt, now);
   machine.lastExpiredEpoch = Math.max(machine.lastExpiredEpoch, session - 1);
   // The worker killed and forgot everything with its old session, and refuses commands for it.
-  state.loose.delete(machine.name);
-  state.forgets.delete(machine.name);
+  state.commands.unresolvedStarts.delete(machine.name);
+  state.commands.pendingForgets.delete(machine.name);
   for (const intent of [...machine.assignments.values()])
     if (intent.agentEpoch < session) endAssignment(state, intent, false, 'newer session', now);
-  state.needPass = true;
+  state.scheduling.cycleNeeded = true;
 }
 
 function onListed(
@@ -136,7 +136,7 @@
   now: Timestamp,
 ): void {
   if (intent.agentEpoch !== report.agentEpoch) return;
-  const job = state.jobs.get(intent.jobId);
+  const job = state.jobs.byId.get(intent.jobId);
   const seen = machine.reportedTasks.get(taskKey(intent.jobId, intent.taskIndex));
   if (seen !== undefined && seen.attempt === intent.attempt) {
     if (seen.state !== 'exited') intent.phase = seen.state;
@@ -149,7 +149,7 @@
   }
   if (listed.has(attemptKey(intent.jobId, intent.taskIndex, intent.attempt))) return;
   // Absent. That proves something only if the worker has our token and no copy of the `run` can still come.
-  if (!machine.fenced || startMayStillArrive(state, intent)) return;
+  if (!machine.fenced || startMayStillArrive(state.commands, intent)) return;
   const answeredBefore = intent.startSentInSequence === null || report.sequence > intent.startSentInSequence;
   if (!answeredBefore) return;
   // One report that shows nothing of several `run`s counts once.
@@ -176,7 +176,7 @@
 ): void {
   const intent = machine.assignments.get(taskKey(task.jobId, task.taskIndex));
   if (intent !== undefined && intent.attempt === task.attempt && intent.agentEpoch === report.agentEpoch) {
-    const job = state.jobs.get(task.jobId);
+    const job = state.jobs.byId.get(task.jobId);
     const completed = task.exitReason === 'done';
     if (job !== undefined && !completed) onFailure(state, job, machine, task, now);
     if (intent.runningSince !== null && completed && job !== undefined)
@@ -219,7 +219,7 @@
       seconds(job.failuresByMachine.size > 2 ? Math.min(2 ** Math.min(job.failureCount, 6), 60) : 0.2);
     machine.failuresByJob.set(job.spec.id, now.monotonic);
     const blame = [...machine.failuresByJob.keys()].filter(
-      (id) => (state.jobs.get(id)?.failuresByMachine.size ?? 0) <= 2,
+      (id) => (state.jobs.byId.get(id)?.failuresByMachine.size ?? 0) <= 2,
     );
     if (!machine.quarantined && blame.length >= state.settings.quarantineThreshold) {
       machine.quarantined = true;
@@ -246,5 +246,8 @@
   const expected = toSeconds(job.spec.estimatedDuration);
   if (expected <= 0) return;
   const ratio = Math.min(4, Math.max(0.25, toSeconds(took) / expected));
-  state.pace.set(job.spec.class, (state.pace.get(job.spec.class) ?? 1) * 0.9 + ratio * 0.1);
+  state.jobs.durationFactors.set(
+    job.spec.class,
+    (state.jobs.durationFactors.get(job.spec.class) ?? 1) * 0.9 + ratio * 0.1,
+  );
 }
--- a/src/core/reconciliation/instance-inventory.ts
+++ b/src/core/reconciliation/instance-inventory.ts
@@ -15,11 +15,11 @@
   now: Timestamp,
 ): void {
   const names = new Set<string>();
-  state.listSeen = true;
+  state.machines.inventorySeen = true;
   for (const listed of list) {
     names.add(listed.name);
     // Lists lag: what is proven gone stays on them for a while.
-    if (state.gone.has(listed.name)) continue;
+    if (state.machines.terminated.has(listed.name)) continue;
     const machine = getOrAddMachine(state, listed.name, now.monotonic);
     if (machine.endpoint === '') machine.endpoint = listed.endpoint;
     if (machine.agentEpoch === 0) {
@@ -27,21 +27,21 @@
       machine.type = listed.type;
       machine.zone = listed.zone;
       machine.spot = listed.spot;
-      if (!state.booting.has(listed.name) && listed.state === 'booting')
-        state.booting.set(listed.name, {
+      if (!state.machines.booting.has(listed.name) && listed.state === 'booting')
+        state.machines.booting.set(listed.name, {
           type: listed.type,
           zone: listed.zone,
           spot: listed.spot,
           since: now.monotonic - listed.age,
         });
     }
-    if (machine.instanceState !== listed.state) state.needPass = true;
+    if (machine.instanceState !== listed.state) state.scheduling.cycleNeeded = true;
     machine.instanceState = listed.state;
     machine.lastListedAt = now.monotonic;
   }
   // The list lags and may go back in time: only what has long been missing and silent is dropped.
   const long = state.config.inventoryLag * 6n;
-  for (const machine of [...state.machines.values()]) {
+  for (const machine of [...state.machines.byName.values()]) {
     if (names.has(machine.name)) continue;
     if (machine.assignments.size > 0) {
       onUnlisted(state, machine, sent, now);
@@ -51,11 +51,11 @@
       a > b ? a : b,
     );
     if (now.monotonic - last > long && now.monotonic > leaseExpiry(state, machine)) {
-      state.machines.delete(machine.name);
-      state.booting.delete(machine.name);
-      state.loose.delete(machine.name);
-      state.flying.delete(machine.name);
-      state.forgets.delete(machine.name);
+      state.machines.byName.delete(machine.name);
+      state.machines.booting.delete(machine.name);
+      state.commands.unresolvedStarts.delete(machine.name);
+      state.commands.startsInFlight.delete(machine.name);
+      state.commands.pendingForgets.delete(machine.name);
     }
   }
 }
@@ -67,7 +67,7 @@
  * before a takeover waited for leases that an earlier owner might have renewed, and again after each further one.
  */
 function onUnlisted(state: ClusterState, machine: Machine, sent: MonotonicTime, now: Timestamp): void {
-  const existed = machine.lastHeartbeatAt > 0n ? machine.lastHeartbeatAt : state.began;
+  const existed = machine.lastHeartbeatAt > 0n ? machine.lastHeartbeatAt : state.term.startedAt;
   if (sent < existed + (state.config.inventoryLag * 5n) / 2n + seconds(2)) return;
   emitLog(
     state,
@@ -83,13 +83,13 @@
 /** The cloud has answered: these machines and all they held are gone. */
 export function onMachinesReleased(state: ClusterState, names: readonly string[], now: Timestamp): void {
   for (const name of names) {
-    const machine = state.machines.get(name);
+    const machine = state.machines.byName.get(name);
     if (machine === undefined) continue;
     for (const intent of [...machine.assignments.values()])
       endAssignment(state, intent, false, 'machine returned', now.monotonic);
     dropMachine(state, name, now.monotonic);
   }
-  state.needPass = true;
+  state.scheduling.cycleNeeded = true;
 }
 
 /** Copies of a gone machine's reports come late, but hardly later than this. */
@@ -97,14 +97,14 @@
 
 /** Proven gone. A late copy of its reports would otherwise make it look alive, and work would be sent there. */
 function dropMachine(state: ClusterState, name: string, now: MonotonicTime): void {
-  state.machines.delete(name);
-  state.booting.delete(name);
-  state.loose.delete(name);
-  state.flying.delete(name);
-  state.forgets.delete(name);
-  state.gone.set(name, now);
-  for (const [old, at] of state.gone) {
+  state.machines.byName.delete(name);
+  state.machines.booting.delete(name);
+  state.commands.unresolvedStarts.delete(name);
+  state.commands.startsInFlight.delete(name);
+  state.commands.pendingForgets.delete(name);
+  state.machines.terminated.set(name, now);
+  for (const [old, at] of state.machines.terminated) {
     if (now - at < COPIES_COME) break;
-    state.gone.delete(old);
+    state.machines.terminated.delete(old);
   }
 }
--- a/src/core/reconciliation/worker-leases.ts
+++ b/src/core/reconciliation/worker-leases.ts
@@ -10,15 +10,15 @@
 export function leaseExpiry(state: ClusterState, machine: Machine): MonotonicTime {
   // Until the worker has shown this term's token, an earlier owner may have answered it after we last did.
   const answered =
-    machine.fenced || machine.lastAcknowledgedAt > state.othersQuiet
+    machine.fenced || machine.lastAcknowledgedAt > state.term.previousLeadersDeadline
       ? machine.lastAcknowledgedAt
-      : state.othersQuiet;
+      : state.term.previousLeadersDeadline;
   return answered + withClockDrift(state.config.workerLease) + seconds(0.5);
 }
 
 /** Ends the places on machines whose lease is surely over. */
 export function expireLeases(state: ClusterState, now: Timestamp): void {
-  for (const machine of state.machines.values()) {
+  for (const machine of state.machines.byName.values()) {
     if (machine.assignments.size === 0 || now.monotonic < leaseExpiry(state, machine)) continue;
     let over = machine.agentEpoch;
     for (const intent of machine.assignments.values()) over = Math.max(over, intent.agentEpoch);
--- a/src/core/records/chunks.ts
+++ b/src/core/records/chunks.ts
@@ -81,13 +81,13 @@
   urgent: boolean,
   now: MonotonicTime,
 ): void {
-  state.version += 1;
-  chunk.version = state.version;
+  state.records.version += 1;
+  chunk.version = state.records.version;
   chunk.cachedRecord = null;
   const page = pageFor(state, job, chunk);
-  page.version = state.version;
-  if (!state.dirty.has(page.id)) state.dirty.set(page.id, now);
-  if (urgent) state.urgent.add(page.id);
+  page.version = state.records.version;
+  if (!state.records.dirtyPages.has(page.id)) state.records.dirtyPages.set(page.id, now);
+  if (urgent) state.records.urgentPages.add(page.id);
 }
 
 /** Once a job is over, chunks without places need no record: its own key tells how it ended. */
--- a/src/core/records/record-pages.ts
+++ b/src/core/records/record-pages.ts
@@ -40,7 +40,7 @@
     SESSION_DIGITS +
     ZONE_DIGITS +
     PLACE_SIGNS +
-    Math.max(LEAST_NAME, state.longestName);
+    Math.max(LEAST_NAME, state.machines.longestName);
   // Results stand as runs: at worst every second task, each at most as long as a run of two numbers.
   const runs = Math.min(chunk.completedTasks.size, tasks + 1) * (2 * digits(first + CHUNK_TASKS) + 2);
   return ENTRY_HEAD + job.spec.id.length + tasks * each + runs;
@@ -73,7 +73,7 @@
   const pool = poolOf(job);
   let best: RecordPage | null = null;
   let bestUsed = -1;
-  for (const page of state.pages.values()) {
+  for (const page of state.records.pages.values()) {
     if (page.pool !== pool && page.chunks.size > 0) continue;
     if (page.chunks.size >= mostChunks(state) || isInAtomicGroup(state, page)) continue;
     const used = usedOf(state, page);
@@ -90,11 +90,11 @@
 
 /** Whether the page is to be written together with others. */
 export const isInAtomicGroup = (state: ClusterState, page: RecordPage): boolean =>
-  state.tiedPages.some((group) => group.includes(page.id));
+  state.records.atomicPageGroups.some((group) => group.includes(page.id));
 
 /** Whether part of the job is recorded in such a page: nothing new of it is placed until that is written. */
 export function hasPageInAtomicGroup(state: ClusterState, job: Job): boolean {
-  if (state.tiedPages.length === 0) return false;
+  if (state.records.atomicPageGroups.length === 0) return false;
   for (const chunk of job.chunks.values())
     if (chunk.page !== null && isInAtomicGroup(state, chunk.page)) return true;
   return false;
@@ -105,17 +105,17 @@
  * dealt out to further pages, and all of these are written in one transaction, so that no place is ever unrecorded.
  */
 export function splitOversizedPages(state: ClusterState, now: MonotonicTime): void {
-  for (const page of [...state.pages.values()]) {
+  for (const page of [...state.records.pages.values()]) {
     if (usedOf(state, page) <= room(state) && page.chunks.size <= mostChunks(state)) continue;
     const group = dealOut(state, page);
     for (const { id } of group) {
-      state.version += 1;
-      const each = state.pages.get(id);
-      if (each !== undefined) each.version = state.version;
-      state.dirty.set(id, now);
-      state.urgent.add(id);
+      state.records.version += 1;
+      const each = state.records.pages.get(id);
+      if (each !== undefined) each.version = state.records.version;
+      state.records.dirtyPages.set(id, now);
+      state.records.urgentPages.add(id);
     }
-    state.tiedPages.push(group.map(({ id }) => id));
+    state.records.atomicPageGroups.push(group.map(({ id }) => id));
   }
 }
 
@@ -125,7 +125,7 @@
   let used = 0;
   let count = 0;
   for (const chunk of [...page.chunks]) {
-    const job = state.jobs.get(chunk.jobId);
+    const job = state.jobs.byId.get(chunk.jobId);
     const need = job === undefined ? 0 : maxEntryBytes(state, job, chunk);
     if (count > 0 && (used + need > room(state) || count >= mostChunks(state))) {
       target = newPage(state, page.pool);
@@ -147,7 +147,7 @@
 
 function newPage(state: ClusterState, pool: RecordPage['pool']): RecordPage {
   let id = 0;
-  while (state.pages.has(id)) id += 1;
+  while (state.records.pages.has(id)) id += 1;
   const page: RecordPage = {
     id,
     pool,
@@ -157,7 +157,7 @@
     chunks: new Set(),
     reservedBytes: null,
   };
-  state.pages.set(id, page);
+  state.records.pages.set(id, page);
   return page;
 }
 
@@ -165,7 +165,7 @@
   if (page.reservedBytes === null) {
     page.reservedBytes = 0;
     for (const chunk of page.chunks) {
-      const job = state.jobs.get(chunk.jobId);
+      const job = state.jobs.byId.get(chunk.jobId);
       if (job !== undefined) page.reservedBytes += maxEntryBytes(state, job, chunk);
     }
   }
--- a/src/core/scheduling/preemption.ts
+++ b/src/core/scheduling/preemption.ts
@@ -37,7 +37,7 @@
   for (const candidate of open) {
     let least = Infinity;
     for (const intent of candidate.machine.assignments.values()) {
-      const job = state.jobs.get(intent.jobId);
+      const job = state.jobs.byId.get(intent.jobId);
       if (job !== undefined && intent.stopRequest === null) least = Math.min(least, schedulingPriority(job));
     }
     lowest.set(candidate.machine, least);
@@ -100,7 +100,7 @@
 ): boolean {
   const all = job.spec.kind === 'gang';
   if (all && job.assignedCount > 0) return false;
-  const want = all && !state.quota.allows(job.spec, job.spec.taskCount) ? 0 : job.unassignedTasks.size;
+  const want = all && !state.jobs.quotas.allows(job.spec, job.spec.taskCount) ? 0 : job.unassignedTasks.size;
   if (want === 0) return false;
   const own = schedulingPriority(job);
   const allowed = board.candidates.filter(
@@ -142,7 +142,7 @@
   }
   if (best.length === 0 && all) reserveForGang(state, job, board, free, want, now);
   for (const offer of best) reserve(state, job, offer, 1);
-  if (best.length > 0) state.promised.add(job.spec.id);
+  if (best.length > 0) state.scheduling.jobsWithReservations.add(job.spec.id);
   for (const offer of best) for (const intent of offer.victims) stopVictim(state, intent, job, now);
   return best.length > 0;
 }
@@ -168,7 +168,7 @@
   const victims = new Set<Assignment>();
   // Each machine's offer is worked out once, and again only after one of its own was taken.
   const offers = open.map((candidate) => offerWithFetch(state, job, candidate, victims, now));
-  for (let n = 0; n < want && state.quota.allows(job.spec, n + 1); n++) {
+  for (let n = 0; n < want && state.jobs.quotas.allows(job.spec, n + 1); n++) {
     let best: PreemptionPlan | null = null;
     let at = -1;
     for (let k = 0; k < offers.length; k++) {
@@ -204,13 +204,13 @@
 export function reserve(state: ClusterState, job: Job, offer: PreemptionPlan, sign: 1 | -1): void {
   addResources(offer.candidate.projected, job, sign === 1 ? -1 : 1);
   for (const intent of offer.victims) {
-    const job = state.jobs.get(intent.jobId);
+    const job = state.jobs.byId.get(intent.jobId);
     if (job !== undefined) addResources(offer.candidate.projected, job, sign);
   }
 }
 
 function stopVictim(state: ClusterState, intent: Assignment, by: Job, now: Timestamp): void {
-  const job = state.jobs.get(intent.jobId);
+  const job = state.jobs.byId.get(intent.jobId);
   if (job === undefined || intent.stopRequest !== null) return;
   emitLog(
     state,
@@ -258,7 +258,7 @@
   if (fits(job.spec, at.projected)) return { candidate: at, victims: [], cost: 0 };
   const open: { i: Assignment; job: Job; cost: number }[] = [];
   for (const intent of at.machine.assignments.values()) {
-    const j = state.jobs.get(intent.jobId);
+    const j = state.jobs.byId.get(intent.jobId);
     if (j === undefined || intent.stopRequest !== null || used.has(intent) || !mayPreempt(job, j)) continue;
     open.push({ i: intent, job: j, cost: lossOf(intent, j, now) });
   }
--- a/src/core/scheduling/priority.ts
+++ b/src/core/scheduling/priority.ts
@@ -14,8 +14,8 @@
 /** A job is inside the guarantee if it fits there together with its team's earlier unfinished jobs. */
 export function updateFairShares(state: ClusterState): void {
   const byTeam = new Map<string, Job[]>();
-  for (const id of state.open) {
-    const job = state.jobs.get(id);
+  for (const id of state.jobs.active) {
+    const job = state.jobs.byId.get(id);
     if (job === undefined) continue;
     const list = byTeam.get(job.spec.team) ?? [];
     list.push(job);
--- a/src/core/scheduling/scheduling-cycle.ts
+++ b/src/core/scheduling/scheduling-cycle.ts
@@ -47,15 +47,15 @@
 /** Waiting jobs in the order in which they are placed: priority, then guarantee, then due time. */
 export function pendingJobsInOrder(state: ClusterState, now: Timestamp): Job[] {
   const rows: { job: Job; level: number; by: number }[] = [];
-  for (const id of state.waiting) {
-    const job = state.jobs.get(id);
+  for (const id of state.jobs.pending) {
+    const job = state.jobs.byId.get(id);
     if (job === undefined || job.unassignedTasks.size === 0) {
-      state.waiting.delete(id);
+      state.jobs.pending.delete(id);
       continue;
     }
     if (job.status !== 'open' || job.retryNotBefore > now.monotonic || hasPageInAtomicGroup(state, job))
       continue;
-    const starved = state.emptying?.job === id && state.emptying.prioritized;
+    const starved = state.scheduling.starvedGang?.job === id && state.scheduling.starvedGang.prioritized;
     rows.push({
       job,
       level: starved ? Math.max(schedulingPriority(job), STARVED) : schedulingPriority(job),
@@ -69,9 +69,9 @@
 /** The machines that may take tasks now, with what is free on them. */
 export function schedulableCandidates(state: ClusterState, now: Timestamp): Candidate[] {
   const out: Candidate[] = [];
-  for (const machine of state.machines.values()) {
-    state.machinesScanned += 1;
-    const type = state.types.get(machine.type);
+  for (const machine of state.machines.byName.values()) {
+    state.machines.scanned += 1;
+    const type = state.machines.types.get(machine.type);
     if (type === undefined || !isUsable(state, machine, now.monotonic)) continue;
     const view = resourcesOf(state, machine);
     const r = { ...view.free };
@@ -102,10 +102,13 @@
  * takes a third of a second; made one after the other they left no time for the workers' reports, and leases ran out.
  */
 export function minCycleInterval(state: ClusterState): Duration {
-  const bySize = (seconds(1) / 4000n) * BigInt(Math.max(0, state.machines.size - SMALL));
+  const bySize = (seconds(1) / 4000n) * BigInt(Math.max(0, state.machines.byName.size - SMALL));
   // A process that is behind places nothing that would be heard of in time: its workers' reports come first.
-  if (isOverloaded(state)) return FURTHEST;
-  const byCost = state.passTook * PASS_PART < FURTHEST ? state.passTook * PASS_PART : FURTHEST;
+  if (isOverloaded(state.term)) return FURTHEST;
+  const byCost =
+    state.scheduling.averageCycleDuration * PASS_PART < FURTHEST
+      ? state.scheduling.averageCycleDuration * PASS_PART
+      : FURTHEST;
   return bySize > byCost ? bySize : byCost;
 }
 
@@ -119,7 +122,7 @@
   const pulls = new Map<string, number>();
   for (const intent of machine.assignments.values()) {
     if (intent.phase !== 'placed' && intent.phase !== 'fetching') continue;
-    const job = state.jobs.get(intent.jobId);
+    const job = state.jobs.byId.get(intent.jobId);
     if (job === undefined || machine.cachedImages.has(job.spec.image)) continue;
     const rest = Math.max(
       0,
@@ -132,13 +135,13 @@
 
 /** One round of placement over the waiting jobs. Jobs that do not fit wait a round, as in the paper. */
 export function runSchedulingCycle(state: ClusterState, now: Timestamp): Job[] {
-  state.needPass = false;
-  state.passedAt = now.monotonic;
+  state.scheduling.cycleNeeded = false;
+  state.scheduling.lastCycleAt = now.monotonic;
   rankJobs(state);
-  state.promised.clear();
-  state.holding = null;
-  if (state.waiting.size === 0) {
-    state.emptying = null;
+  state.scheduling.jobsWithReservations.clear();
+  state.scheduling.gangHoldingCapacity = null;
+  if (state.jobs.pending.size === 0) {
+    state.scheduling.starvedGang = null;
     return [];
   }
   chooseStarvedGang(state, now);
@@ -158,7 +161,7 @@
     if (job.unassignedTasks.size > 0) {
       blocked.push(job);
       // Here, in the order of the queue: what is promised to this job is not given to the ones after it.
-      if (!state.promised.has(job.spec.id)) preemptFor(state, job, board, now, false);
+      if (!state.scheduling.jobsWithReservations.has(job.spec.id)) preemptFor(state, job, board, now, false);
     }
     if (job.unassignedTasks.size < before)
       emitLog(state, 'placed', {
@@ -173,10 +176,10 @@
 
 /** What depends on the set of open jobs alone is worked out when that changes. */
 function rankJobs(state: ClusterState): void {
-  if (!state.rankStale) return;
-  state.rankStale = false;
+  if (!state.jobs.fairSharesStale) return;
+  state.jobs.fairSharesStale = false;
   updateFairShares(state);
-  state.wholeNeeded = anyJobNeedsWholeMachine(state);
+  state.scheduling.wholeMachineNeeded = anyJobNeedsWholeMachine(state);
 }
 
 function book(chosen: Candidate, job: Job): void {
@@ -204,7 +207,7 @@
 }
 
 function passSingly(state: ClusterState, job: Job, board: SchedulingSnapshot, now: Timestamp): void {
-  if (!state.quota.allows(job.spec)) {
+  if (!state.jobs.quotas.allows(job.spec)) {
     job.pendingReason = 'team limit';
     return;
   }
@@ -223,7 +226,7 @@
   const one = (candidate: Candidate): number => tieBreakScore(state, job, candidate);
   let rows = fitting.map((candidate) => scoreCandidate(job.spec, candidate, state.settings, one));
   for (const task of [...job.unassignedTasks]) {
-    if (!state.quota.allows(job.spec)) {
+    if (!state.jobs.quotas.allows(job.spec)) {
       job.pendingReason = 'team limit';
       return;
     }
@@ -269,7 +272,7 @@
     job.pendingReason = 'tasks of the last attempt are not all gone';
     return;
   }
-  if (!state.quota.allows(job.spec, job.spec.taskCount)) {
+  if (!state.jobs.quotas.allows(job.spec, job.spec.taskCount)) {
     job.pendingReason = 'team limit';
     return;
   }
--- a/src/core/scheduling/starved-gangs.ts
+++ b/src/core/scheduling/starved-gangs.ts
@@ -22,19 +22,20 @@
 /** Chooses the gang that machines are emptied for: of those that lack room, the one that has waited longest. */
 export function chooseStarvedGang(state: ClusterState, now: Timestamp): void {
   let longest: Job | null = null;
-  for (const id of state.waiting) {
-    const job = state.jobs.get(id);
+  for (const id of state.jobs.pending) {
+    const job = state.jobs.byId.get(id);
     if (job === undefined || job.spec.kind !== 'gang' || job.pendingReason !== NO_GANG_CAPACITY) continue;
     if (longest === null || pendingSeconds(job, now) > pendingSeconds(longest, now)) longest = job;
   }
   const waited = longest === null ? 0 : pendingSeconds(longest, now);
   if (longest === null || waited < EMPTY_AFTER_S) {
-    state.emptying = null;
+    state.scheduling.starvedGang = null;
     return;
   }
   const id = longest.spec.id;
-  const machines = state.emptying?.job === id ? state.emptying.machines : new Set<string>();
-  state.emptying = { job: id, machines, prioritized: waited >= FIRST_AFTER_S };
+  const machines =
+    state.scheduling.starvedGang?.job === id ? state.scheduling.starvedGang.machines : new Set<string>();
+  state.scheduling.starvedGang = { job: id, machines, prioritized: waited >= FIRST_AFTER_S };
 }
 
 /**
@@ -51,9 +52,13 @@
   want: number,
   now: Timestamp,
 ): void {
-  const starved = state.emptying?.job === job.spec.id ? state.emptying : null;
-  if (starved === null && (state.holding !== null || pendingSeconds(job, now) < HOLD_AFTER_S)) return;
-  state.holding ??= job.spec.id;
+  const starved = state.scheduling.starvedGang?.job === job.spec.id ? state.scheduling.starvedGang : null;
+  if (
+    starved === null &&
+    (state.scheduling.gangHoldingCapacity !== null || pendingSeconds(job, now) < HOLD_AFTER_S)
+  )
+    return;
+  state.scheduling.gangHoldingCapacity ??= job.spec.id;
   const open = board.candidates.filter(
     (candidate) =>
       isMachineAllowed(job.spec, candidate.machine) &&
@@ -96,7 +101,8 @@
   now: Timestamp,
 ): Plan {
   const rows: { c: Candidate; left: number; each: number }[] = [];
-  const kept = state.emptying?.job === job.spec.id ? state.emptying.machines : null;
+  const kept =
+    state.scheduling.starvedGang?.job === job.spec.id ? state.scheduling.starvedGang.machines : null;
   const taken = new Set(free.map((offer) => offer.candidate));
   for (const candidate of open) {
     if ((zone !== null && candidate.machine.zone !== zone) || taken.has(candidate)) continue;
@@ -134,7 +140,7 @@
 function emptyIn(state: ClusterState, machine: Machine, now: Timestamp): number | null {
   let left = 0;
   for (const intent of machine.assignments.values()) {
-    const job = state.jobs.get(intent.jobId);
+    const job = state.jobs.byId.get(intent.jobId);
     if (job === undefined) continue;
     if (job.spec.kind === 'service') return null;
     const ran = intent.runningSince === null ? 0 : toSeconds(now.monotonic - intent.runningSince);
--- a/src/core/scheduling/tie-breaking.ts
+++ b/src/core/scheduling/tie-breaking.ts
@@ -21,14 +21,17 @@
  * others and leave whole machines free.
  */
 export function tieBreakScore(state: ClusterState, job: Job, candidate: Candidate): number {
-  const breaks = candidate.taskCount === 0 && state.wholeNeeded && !takesMost(job, candidate.type) ? 1 : 0;
+  const breaks =
+    candidate.taskCount === 0 && state.scheduling.wholeMachineNeeded && !takesMost(job, candidate.type)
+      ? 1
+      : 0;
   if (job.spec.allowSpot) return (candidate.machine.spot ? 0 : 2) + breaks;
   if (job.spec.kind !== 'service') return breaks;
   let mates = 0;
   for (const intent of candidate.machine.assignments.values()) {
     // Two replicas of one service on a machine are lost together.
     if (intent.jobId === job.spec.id) return 2;
-    if (state.jobs.get(intent.jobId)?.spec.kind === 'service') mates += 1;
+    if (state.jobs.byId.get(intent.jobId)?.spec.kind === 'service') mates += 1;
   }
   return 1 / (1 + mates);
 }
@@ -40,9 +43,10 @@
 
 /** Whether some open job needs most of a machine for a task. */
 export function anyJobNeedsWholeMachine(state: ClusterState): boolean {
-  for (const id of state.open) {
-    const job = state.jobs.get(id);
-    if (job !== undefined) for (const type of state.types.values()) if (takesMost(job, type)) return true;
+  for (const id of state.jobs.active) {
+    const job = state.jobs.byId.get(id);
+    if (job !== undefined)
+      for (const type of state.machines.types.values()) if (takesMost(job, type)) return true;
   }
   return false;
 }
--- a/src/core/scheduling/zone-availability.ts
+++ b/src/core/scheduling/zone-availability.ts
@@ -34,7 +34,7 @@
 function tallyZones(state: ClusterState, now: Timestamp): ZoneObservation[] {
   const tallies = new Map<string, ZoneTally>();
   for (const zone of state.config.zones) tallies.set(zone, { known: 0, gpus: 0, names: [] });
-  for (const machine of state.machines.values()) {
+  for (const machine of state.machines.byName.values()) {
     if (machine.releasing || machine.instanceState === 'failed') continue;
     if (machine.agentEpoch === 0 && machine.assignments.size === 0) continue;
     const tally = tallies.get(zoneOf(machine));
@@ -42,7 +42,7 @@
     tally.known += 1;
     if (!isHeard(state, machine, now)) continue;
     tally.names.push(machine.name);
-    tally.gpus += state.types.get(machine.type)?.gpus ?? 0;
+    tally.gpus += state.machines.types.get(machine.type)?.gpus ?? 0;
   }
   return [...tallies].map(([zone, { known, gpus, names }]) => ({
     zone,
@@ -65,12 +65,12 @@
 
 function slowestStart(state: ClusterState): Duration {
   let slowest = 0;
-  for (const machine of state.machines.values()) {
-    const rate = state.types.get(machine.type)?.fetchGbPerS ?? 0;
+  for (const machine of state.machines.byName.values()) {
+    const rate = state.machines.types.get(machine.type)?.fetchGbPerS ?? 0;
     if (rate <= 0) continue;
     for (const intent of machine.assignments.values()) {
       if (intent.phase !== 'placed' && intent.phase !== 'fetching') continue;
-      const job = state.jobs.get(intent.jobId);
+      const job = state.jobs.byId.get(intent.jobId);
       if (job !== undefined && !machine.cachedImages.has(job.spec.image))
         slowest = Math.max(slowest, job.spec.imageGb / rate);
     }
@@ -80,8 +80,8 @@
 
 function replicasMissing(state: ClusterState): number {
   let missing = 0;
-  for (const id of state.waiting) {
-    const job = state.jobs.get(id);
+  for (const id of state.jobs.pending) {
+    const job = state.jobs.byId.get(id);
     if (job?.spec.kind === 'service' && job.status === 'open') missing += job.unassignedTasks.size;
   }
   return missing;
@@ -94,7 +94,8 @@
   return {
     zones: tallyZones(state, now),
     leadershipConfirmed:
-      mayStartTasks(state.contact, now.monotonic) && now.monotonic - state.began > settling(state),
+      mayStartTasks(state.term.confirmedAt, now.monotonic) &&
+      now.monotonic - state.term.startedAt > settling(state),
     replicasMissing: replicasMissing(state),
     slowestStart: slowestStart(state),
   };
@@ -106,7 +107,7 @@
   if (policy === null) return;
   for (const change of policy.observe(observeFleet(state, now), now)) {
     emitLog(state, 'zone', { ...change }, 'info');
-    state.needPass = true;
+    state.scheduling.cycleNeeded = true;
   }
   const record = policy.takeUnsavedRecord();
   if (record !== null) state.effects.push({ kind: 'persist-zones', record });
@@ -137,7 +138,7 @@
   const policy = state.zonePolicy;
   if (policy === null) return [];
   const byJob = new Map<Job, Set<number>>();
-  for (const machine of state.machines.values()) {
+  for (const machine of state.machines.byName.values()) {
     if (!policy.isEvacuating(zoneOf(machine)) || isHeard(state, machine, now)) continue;
     for (const intent of machine.assignments.values()) addDisplaced(state, byJob, intent);
   }
@@ -145,7 +146,7 @@
 }
 
 function addDisplaced(state: ClusterState, byJob: Map<Job, Set<number>>, intent: Assignment): void {
-  const job = state.jobs.get(intent.jobId);
+  const job = state.jobs.byId.get(intent.jobId);
   if (job === undefined || job.spec.kind !== 'service' || job.status !== 'open') return;
   const tasks = byJob.get(job);
   if (tasks === undefined) byJob.set(job, new Set([intent.taskIndex]));
--- a/src/core/state/command-state.ts
+++ b/src/core/state/command-state.ts
@@ -1,11 +1,30 @@
-import { type Assignment, attemptKey } from '../model/assignment.js';
-import type { ClusterState } from './cluster-state.js';
+/** @file Commands whose fate is not known yet, and results that workers may not forget yet. */
+import type { Assignment } from '../model/assignment.js';
+import { attemptKey } from '../model/assignment.js';
+import type { PendingForget } from '../model/worker-command.js';
 
-/** Whether some copy of the intent's `run` may still reach its machine. */
-export function startMayStillArrive(state: ClusterState, intent: Assignment): boolean {
-  const key = attemptKey(intent.jobId, intent.taskIndex, intent.attempt);
+/** Commands to workers. Each map is by machine name, then by task or attempt. */
+export interface CommandState {
+  /** Exited tasks that a worker may forget once their result is committed, by task key. */
+  readonly pendingForgets: Map<string, Map<string, PendingForget>>;
+  /** Start commands of unknown outcome that may still arrive, by attempt key, with the fencing token they carry. */
+  readonly unresolvedStarts: Map<string, Map<string, number>>;
+  /** Start commands sent directly that have no answer yet, by attempt key, with their number. */
+  readonly startsInFlight: Map<string, Map<string, number>>;
+}
+
+/** No commands yet. */
+export const newCommandState = (): CommandState => ({
+  pendingForgets: new Map(),
+  unresolvedStarts: new Map(),
+  startsInFlight: new Map(),
+});
+
+/** Whether some copy of the assignment's start command may still reach its machine. */
+export function startMayStillArrive(commands: CommandState, assignment: Assignment): boolean {
+  const key = attemptKey(assignment.jobId, assignment.taskIndex, assignment.attempt);
   return (
-    state.loose.get(intent.machineName)?.has(key) === true ||
-    (state.flying.get(intent.machineName)?.get(key) ?? 0) > 0
+    commands.unresolvedStarts.get(assignment.machineName)?.has(key) === true ||
+    (commands.startsInFlight.get(assignment.machineName)?.get(key) ?? 0) > 0
   );
 }
--- /dev/null
+++ b/src/core/state/job-table.ts
@@ -0,0 +1,38 @@
+/** @file The jobs that the leader knows: which are active, pending or finished, and what they wait for. */
+import type { ClusterConfig } from '../model/cluster-config.js';
+import type { Job } from '../model/job.js';
+import type { MonotonicTime } from '../model/time.js';
+import { DependencyGraph } from './dependency-graph.js';
+import { TeamQuotas } from './team-quotas.js';
+
+/** All jobs of the partition, by what has to be done for them. */
+export interface JobTable {
+  readonly byId: Map<string, Job>;
+  /** Jobs that are neither done nor cancelled, and whose dependencies are done. */
+  readonly active: Set<string>;
+  /** Active jobs that have tasks without an assignment. */
+  readonly pending: Set<string>;
+  /** Jobs that are done or cancelled, in the order in which that became known, with the time. */
+  readonly finished: Map<string, MonotonicTime>;
+  readonly dependencies: DependencyGraph;
+  /** Deadlines of unfinished jobs that were not yet logged as missed, in seconds of wall time. */
+  readonly deadlines: Map<string, number>;
+  readonly quotas: TeamQuotas;
+  /** Correction of the submitted estimate by class, learned from completed tasks. */
+  readonly durationFactors: Map<string, number>;
+  /** The set of active jobs has changed since fair shares were last updated. */
+  fairSharesStale: boolean;
+}
+
+/** An empty table. */
+export const newJobTable = (config: ClusterConfig): JobTable => ({
+  byId: new Map(),
+  active: new Set(),
+  pending: new Set(),
+  finished: new Map(),
+  dependencies: new DependencyGraph(),
+  deadlines: new Map(),
+  quotas: new TeamQuotas(config.teams),
+  durationFactors: new Map(),
+  fairSharesStale: true,
+});
--- a/src/core/state/overload.ts
+++ b/src/core/state/overload.ts
@@ -1,11 +1,13 @@
+/** @file When the process is too late with its work for anything that is not needed at once. */
 import { seconds } from '../model/time.js';
-import type { ClusterState } from './cluster-state.js';
+import type { TermState } from './term-state.js';
 
-const BEHIND = seconds(0.1);
+const OVERLOAD_LAG = seconds(0.1);
 
 /**
- * Whether the process is so late that what it does of its own accord must give way to what workers ask. On a small
- * share of a core a takeover brings more at once than can be done at once; direct calls, each of which costs several
- * times as much as a report, then took the time in which the reports should have been answered, and leases ran out.
+ * Whether the process is so late that what it does on its own initiative must give way to heartbeats. On a small share
+ * of a core a failover brings more at once than can be done at once; direct calls to workers, each of which costs
+ * several times as much as a heartbeat, then took the time in which heartbeats should have been acknowledged, and
+ * leases expired.
  */
-export const isOverloaded = (state: ClusterState): boolean => state.lateness > BEHIND;
+export const isOverloaded = (term: TermState): boolean => term.eventLoopLag > OVERLOAD_LAG;
--- /dev/null
+++ b/src/core/state/scheduling-state.ts
@@ -0,0 +1,37 @@
+/** @file What scheduling cycles keep from one to the next. */
+import type { Duration, MonotonicTime } from '../model/time.js';
+
+/** The gang that has waited longest for room, and the machines that are drained for it. */
+export interface StarvedGang {
+  readonly job: string;
+  machines: ReadonlySet<string>;
+  /** It has waited so long that it goes before all but production work. */
+  readonly prioritized: boolean;
+}
+
+/** The scheduler's own state. */
+export interface SchedulingState {
+  /** Something has changed that a cycle may act on. */
+  cycleNeeded: boolean;
+  lastCycleAt: MonotonicTime;
+  /** Moving average, measured by the caller: the core reads no clock. */
+  averageCycleDuration: Duration;
+  /** The gang for which the current cycle keeps free capacity together. */
+  gangHoldingCapacity: string | null;
+  starvedGang: StarvedGang | null;
+  /** Some active job has a task that takes most of a machine. */
+  wholeMachineNeeded: boolean;
+  /** Jobs for which the current cycle has reserved capacity already. */
+  readonly jobsWithReservations: Set<string>;
+}
+
+/** No cycle has run yet. */
+export const newSchedulingState = (startedAt: MonotonicTime): SchedulingState => ({
+  cycleNeeded: true,
+  lastCycleAt: startedAt,
+  averageCycleDuration: 0n,
+  gangHoldingCapacity: null,
+  starvedGang: null,
+  wholeMachineNeeded: false,
+  jobsWithReservations: new Set(),
+});
--- a/src/edge/leadership/commit-loop.ts
+++ b/src/edge/leadership/commit-loop.ts
@@ -151,7 +151,7 @@
 
   /** The record of a job that is over; none if the job is not known any more. */
   private endOf(id: string, standing: 'done' | 'cancelled'): Write[] {
-    const job = this.term.owner.state.jobs.get(id);
+    const job = this.term.owner.state.jobs.byId.get(id);
     if (job === undefined) return [];
     const { spec, submittedAt: submitted } = job;
     return [{ write: jobKey(id), value: writeJob({ spec, submittedAt: submitted, status: standing }) }];
--- a/src/edge/leadership/leader-key.ts
+++ b/src/edge/leadership/leader-key.ts
@@ -8,7 +8,7 @@
 
   /** Has a transaction carried out only while we are the owner. */
   guard(): Guard {
-    return { key: partKey(this.term.dependencies.part), stamp: this.term.owner.state.token };
+    return { key: partKey(this.term.dependencies.part), stamp: this.term.owner.state.term.fencingToken };
   }
 
   /** After a conflict on our own key: our own raise may just have been carried out, or the term is over. */
@@ -20,7 +20,7 @@
       (entry.value as PartRecord).incarnation !== this.term.dependencies.record.incarnation
     )
       return false;
-    if (entry.stamp > this.term.owner.state.token)
+    if (entry.stamp > this.term.owner.state.term.fencingToken)
       this.term.event({ kind: 'token-advanced', fencingToken: entry.stamp });
     return true;
   }
--- a/src/edge/leadership/leader-term.ts
+++ b/src/edge/leadership/leader-term.ts
@@ -78,10 +78,10 @@
     this.zones = new ZoneKeeper(context, key);
     this.workers = new Workers(
       dependencies.directs,
-      () => this.owner.state.token,
+      () => this.owner.state.term.fencingToken,
       (order) =>
-        mayStartTasks(this.owner.state.contact, monotonicNow()) &&
-        this.owner.state.jobs.get(order.jobId)?.status === 'open',
+        mayStartTasks(this.owner.state.term.confirmedAt, monotonicNow()) &&
+        this.owner.state.jobs.byId.get(order.jobId)?.status === 'open',
       (result) =>
         this.event({
           kind: 'commands-answered',
@@ -96,12 +96,12 @@
   }
 
   get token(): number {
-    return this.owner.state.token;
+    return this.owner.state.term.fencingToken;
   }
 
   /** It is late with what workers ask. */
   get behind(): boolean {
-    return isOverloaded(this.owner.state);
+    return isOverloaded(this.owner.state.term);
   }
 
   start(): void {
@@ -133,7 +133,7 @@
   report(report: Heartbeat): { token: number; orders: WorkerCommand[] } | null {
     if (
       this.over ||
-      !mayAcknowledgeHeartbeats(this.dependencies.facts, this.owner.state.contact, monotonicNow())
+      !mayAcknowledgeHeartbeats(this.dependencies.facts, this.owner.state.term.confirmedAt, monotonicNow())
     )
       return null;
     this.event({ kind: 'heartbeat', heartbeat: report });
@@ -169,7 +169,7 @@
     const zones = this.dependencies.store.copy.get(zonesKey(this.dependencies.part));
     if (zones !== undefined) this.owner.state.zonePolicy?.restore(zones.value, currentTime());
     this.dependencies.log.info(
-      { token: this.token, jobs: this.owner.state.jobs.size, pages: pages.length },
+      { token: this.token, jobs: this.owner.state.jobs.byId.size, pages: pages.length },
       'term begins',
     );
   }
@@ -185,17 +185,18 @@
 
   private event(event: Event): void {
     if (this.over) return;
-    const passed = this.owner.state.passedAt;
+    const passed = this.owner.state.scheduling.lastCycleAt;
     const began = currentTime();
     const effects = this.owner.handle(event, began);
-    const hasPassed = this.owner.state.passedAt !== passed;
+    const hasPassed = this.owner.state.scheduling.lastCycleAt !== passed;
     if (hasPassed || this.profile.active) {
       const took = monotonicNow() - began.monotonic;
       if (hasPassed) this.owner.recordCycleDuration(took);
       if (this.profile.active) this.profile.add(hasPassed ? 'passes' : stepOf(event), took);
     }
     for (const effect of effects) this.carryOut(effect);
-    if (this.owner.state.dirty.size > 0 || this.owner.state.dirtyJobs.size > 0) this.commits.wake();
+    if (this.owner.state.records.dirtyPages.size > 0 || this.owner.state.records.jobsToComplete.size > 0)
+      this.commits.wake();
   }
 
   private carryOut(effect: Effect): void {
@@ -205,7 +206,7 @@
         log[effect.level](effect.fields, effect.message);
         break;
       case 'send-commands': {
-        const endpoint = this.owner.state.machines.get(effect.machineName)?.endpoint ?? '';
+        const endpoint = this.owner.state.machines.byName.get(effect.machineName)?.endpoint ?? '';
         const job = {
           machine: effect.machineName,
           endpoint,
@@ -241,7 +242,7 @@
 
   private rent(order: ScaleOutRequest): void {
     // The first token of a term is committed and belongs to this process alone: names made of it are never reused.
-    const name = `r-${this.owner.state.firstToken}-${++this.rentals}`;
+    const name = `r-${this.owner.state.term.firstFencingToken}-${++this.rentals}`;
     this.event({ kind: 'scale-out-started', name, request: order });
     void this.dependencies.cloud.rent(name, order, this.stop.signal).then((machines) => {
       this.dependencies.log.info(
@@ -255,7 +256,11 @@
   private giveBack(machines: readonly string[], why: string): void {
     this.dependencies.log.info({ machines, why }, 'returning machines');
     void this.dependencies.cloud
-      .remove(machines, () => mayStartTasks(this.owner.state.contact, monotonicNow()), this.stop.signal)
+      .remove(
+        machines,
+        () => mayStartTasks(this.owner.state.term.confirmedAt, monotonicNow()),
+        this.stop.signal,
+      )
       .then((ok) => this.event({ kind: 'scale-in-answered', machines, succeeded: ok }));
   }
 
@@ -272,7 +277,7 @@
         change.entry !== null &&
         (change.entry.value as PartRecord).incarnation === this.dependencies.record.incarnation;
       // Our own key may be followed late, but a key that is gone or another's is the end of the term.
-      if (!mine && (change.entry === null || change.entry.stamp > this.owner.state.firstToken))
+      if (!mine && (change.entry === null || change.entry.stamp > this.owner.state.term.firstFencingToken))
         this.end('the part has another owner');
     }
   }
--- a/test/behind.test.ts
+++ b/test/behind.test.ts
@@ -354,7 +354,9 @@
     b.report(0);
     b.job(0, 'req-1', { kind: 'service', priority: 'production', cpus: 8 });
     b.commit(0);
-    const [place] = [...b.owner.state.machines.values()].filter((machine) => machine.assignments.size > 0);
+    const [place] = [...b.owner.state.machines.byName.values()].filter(
+      (machine) => machine.assignments.size > 0,
+    );
     assert.ok(place);
     b.late(late);
     assert.equal(minCycleInterval(b.owner.state), late === 0 ? 0n : seconds(2));
@@ -362,7 +364,7 @@
     for (let s = 1; s < 9; s++) {
       // All others go on reporting.
       b.owner.handle({ kind: 'leadership-confirmed', confirmedAt: at(s).monotonic }, at(s));
-      for (const machine of b.owner.state.machines.values())
+      for (const machine of b.owner.state.machines.byName.values())
         if (machine !== place) machine.lastHeartbeatAt = at(s).monotonic;
       returned.push(...b.tick(s).filter((effect) => effect.kind === 'scale-in'));
     }
@@ -378,7 +380,7 @@
     for (const s of [1, 2, 3]) b.report(s);
     b.session = 2;
     b.report(4);
-    const machine = b.owner.state.machines.get('m0');
+    const machine = b.owner.state.machines.byName.get('m0');
     assert.equal(machine?.unreachableSince === null, late === 1);
   }
 });
--- a/test/bounded.test.ts
+++ b/test/bounded.test.ts
@@ -161,8 +161,8 @@
     owner.handle({ kind: 'leadership-confirmed', confirmedAt: at(n).monotonic }, at(n));
     owner.handle({ kind: 'tick' }, at(n));
   }
-  assert.ok(owner.state.jobs.size <= 125, `${owner.state.jobs.size} jobs are held`);
-  assert.equal(owner.state.jobs.size, owner.state.closed.size);
+  assert.ok(owner.state.jobs.byId.size <= 125, `${owner.state.jobs.byId.size} jobs are held`);
+  assert.equal(owner.state.jobs.byId.size, owner.state.jobs.finished.size);
 });
 
 test('while nothing waits, passes look at no machine and no report brings one about', () => {
@@ -185,10 +185,10 @@
     owner.handle({ kind: 'tick' }, at(s));
   };
   for (let s = 0; s < 5; s++) hello(s);
-  const before = owner.state.machinesScanned;
+  const before = owner.state.machines.scanned;
   for (let s = 5; s < 25; s++) hello(s);
-  assert.equal(owner.state.machinesScanned, before);
+  assert.equal(owner.state.machines.scanned, before);
   const record = { spec: spec('req-1'), submittedAt: at(25).wall, status: 'open' as const };
   owner.handle({ kind: 'job-changed', id: 'req-1', record, modRevision: 9 }, at(25));
-  assert.equal(owner.state.machinesScanned, before + 20, 'one pass for the new job');
+  assert.equal(owner.state.machines.scanned, before + 20, 'one pass for the new job');
 });
--- a/test/cancelled-dependents.test.ts
+++ b/test/cancelled-dependents.test.ts
@@ -89,7 +89,7 @@
   assert.equal(records.changes, DEPENDENTS, 'each is written once');
   second.handle({ kind: 'leadership-confirmed', confirmedAt: at(s + 130).monotonic }, at(s + 130));
   second.handle({ kind: 'tick' }, at(s + 130));
-  assert.equal(second.state.jobs.size, 0, 'nothing of them is held');
+  assert.equal(second.state.jobs.byId.size, 0, 'nothing of them is held');
   assert.equal(
     records.takeOver(s + 140).nextTransaction(at(s + 141)),
     null,
@@ -106,7 +106,7 @@
     owner.handle({ kind: 'leadership-confirmed', confirmedAt: at(s).monotonic }, at(s));
     owner.handle({ kind: 'tick' }, at(s));
   }
-  assert.equal(owner.state.jobs.get('req-1')?.status, 'cancelled');
+  assert.equal(owner.state.jobs.byId.get('req-1')?.status, 'cancelled');
   assert.ok(commitNext(records, owner, 261));
   assert.equal(records.open, 0);
 });
@@ -139,7 +139,7 @@
     ...machine,
     agentEpoch: 1,
     sequence: 1,
-    fencingToken: owner.state.token,
+    fencingToken: owner.state.term.fencingToken,
     preemptionNotice: null,
     tasks: [],
   };
@@ -162,19 +162,19 @@
     ...about,
     agentEpoch: 1,
     sequence: 1,
-    fencingToken: state.token,
+    fencingToken: state.term.fencingToken,
     preemptionNotice: null,
     tasks: [],
   };
   owner.handle({ kind: 'leadership-confirmed', confirmedAt: at(1).monotonic }, at(1));
   owner.handle({ kind: 'heartbeat', heartbeat: report }, at(1));
-  const machine = state.machines.get('m1');
+  const machine = state.machines.byName.get('m1');
   const starts = (id: string): boolean => {
-    const job = state.jobs.get(id);
+    const job = state.jobs.byId.get(id);
     assert.ok(job !== undefined && machine !== undefined);
     const intent =
       job.chunks.get(0)?.assignments.get(0) ?? assignTask(state, job, 0, 1, machine, at(1).monotonic);
-    chunkOf(job, 0).committedVersion = state.version;
+    chunkOf(job, 0).committedVersion = state.records.version;
     return isStartable(state, machine, intent, at(1).monotonic);
   };
   assert.equal(starts('req-0'), true);
--- a/test/fleet.test.ts
+++ b/test/fleet.test.ts
@@ -41,7 +41,7 @@
     .handle({ kind: 'leadership-confirmed', confirmedAt: at(59).monotonic }, at(59))
     .concat(owner.handle({ kind: 'tick' }, at(59)))
     .reduce((sum, effect) => sum + (effect.kind === 'scale-out' ? effect.request.count : 0), 0);
-  const waiting = [...owner.state.waiting].length / 2;
+  const waiting = [...owner.state.jobs.pending].length / 2;
   assert.ok(rented > waiting + 10, `${rented} rented for ${waiting} that wait`);
 });
 
@@ -88,8 +88,8 @@
   reports(0, 1);
   submit('req-1', { taskCount: 16, cpus: 5, kind: 'service', priority: 'production' });
   submit('req-2', { cpus: 5, deadline: seconds(2000) });
-  const placed = (): number => owner.state.jobs.get('req-2')?.assignedCount ?? 0;
-  assert.equal(owner.state.jobs.get('req-1')?.assignedCount, 16);
+  const placed = (): number => owner.state.jobs.byId.get('req-2')?.assignedCount ?? 0;
+  assert.equal(owner.state.jobs.byId.get('req-1')?.assignedCount, 16);
   for (let s = 1; s <= 90 && placed() === 0; s++) {
     reports(s, s + 1);
     owner.handle({ kind: 'tick' }, at(s));
@@ -158,7 +158,7 @@
   submit('req-2', { cpus: 0.5, gpus: 2, memory: 1 });
   owner.handle({ kind: 'leadership-confirmed', confirmedAt: at(3).monotonic }, at(3));
   owner.handle({ kind: 'tick' }, at(3));
-  const machines = [...owner.state.machines.values()];
+  const machines = [...owner.state.machines.byName.values()];
   assert.ok(
     machines.every((machine) => machine.assignments.size === 1),
     'each is in use',
--- a/test/limits-next.test.ts
+++ b/test/limits-next.test.ts
@@ -78,7 +78,7 @@
   }
   assert.ok(committed.size > ids.length);
   for (const text of committed.values()) assert.ok(text.length <= 2048, `${text.length} bytes`);
-  assert.deepEqual(owner.state.tiedPages, []);
+  assert.deepEqual(owner.state.records.atomicPageGroups, []);
 });
 
 test('the smaller of both limits holds from the start; what cannot be read of the later ones is passed over', () => {
--- a/test/outbox.test.ts
+++ b/test/outbox.test.ts
@@ -48,13 +48,13 @@
         at(0),
       );
     }
-    owner.state.needPass = false;
+    owner.state.scheduling.cycleNeeded = false;
     for (let n = 0; n < 240; n++) {
       const record = { spec: spec(`req-${n}`), submittedAt: at(0).wall, status: 'open' as const };
-      owner.state.passedAt = at(100).monotonic;
+      owner.state.scheduling.lastCycleAt = at(100).monotonic;
       owner.handle({ kind: 'job-changed', id: `req-${n}`, record, modRevision: n + 2 }, at(0));
     }
-    owner.state.passedAt = began;
+    owner.state.scheduling.lastCycleAt = began;
     owner.handle({ kind: 'leadership-confirmed', confirmedAt: at(1).monotonic }, at(1));
     owner.handle({ kind: 'tick' }, at(3));
     let stamp = 1000;
@@ -64,9 +64,11 @@
       assert.ok(transaction.guardedJobs.size + transaction.pages.length + 1 <= 4 * txnOps);
       owner.handle({ kind: 'transaction-committed', transaction, modRevision: ++stamp }, at(10));
     }
-    const placed = [...owner.state.jobs.values()].filter((job) => job.assignedCount > 0);
+    const placed = [...owner.state.jobs.byId.values()].filter((job) => job.assignedCount > 0);
     assert.equal(placed.length, 240);
-    const open = [...owner.state.pages.values()].filter((page) => page.version > page.committedVersion);
+    const open = [...owner.state.records.pages.values()].filter(
+      (page) => page.version > page.committedVersion,
+    );
     assert.equal(open.length, 0, `${open.length} pages are never committed with ${txnOps} changes`);
   }
 });
--- a/test/parts.test.ts
+++ b/test/parts.test.ts
@@ -68,10 +68,13 @@
   const machine = getOrAddMachine(owner.state, 'n-000000231', 0n);
   machine.agentEpoch = 999;
   machine.zone = zone;
-  for (const job of owner.state.jobs.values())
+  for (const job of owner.state.jobs.byId.values())
     for (let t = 0; t < 3 * CHUNK_TASKS; t++) assignTask(owner.state, job, 99_000 + t, 9999, machine, 0n);
-  assert.ok(owner.state.pages.size > 12 && owner.state.pages.size < 40, `${owner.state.pages.size} pages`);
-  for (const page of owner.state.pages.values()) {
+  assert.ok(
+    owner.state.records.pages.size > 12 && owner.state.records.pages.size < 40,
+    `${owner.state.records.pages.size} pages`,
+  );
+  for (const page of owner.state.records.pages.values()) {
     const entries = pageEntriesOf(page, chunkRecordOf);
     const out = writePage(entries, ['east', 'west']);
     assert.ok(JSON.stringify(out).length <= 4096, `${out.length} characters`);
@@ -141,13 +144,13 @@
     owner.handle({ kind: 'job-changed', id, record, modRevision: 5 }, now);
   };
   add('req-1', 1);
-  const first = state.jobs.get('req-1');
+  const first = state.jobs.byId.get('req-1');
   assert.ok(first !== undefined);
   const intent = assignTask(state, first, 0, 1, machine, now.monotonic);
   onCommitted(state, owner.nextTransaction(now) ?? assert.fail('nothing to commit'), 10, now);
   for (let n = 0; n < 3 * FACTS.maxTransactionOperations; n++) {
     add(`req-2${n}`, 120);
-    const job = state.jobs.get(`req-2${n}`);
+    const job = state.jobs.byId.get(`req-2${n}`);
     if (job !== undefined) for (let t = 0; t < 120; t++) assignTask(state, job, t, 1, machine, now.monotonic);
   }
   endAssignment(state, intent, true, 'done', now.monotonic);
--- a/test/player.ts
+++ b/test/player.ts
@@ -225,7 +225,7 @@
   }
 
   private standing(id: string, standing: 'cancelled'): void {
-    const job = this.owner.state.jobs.get(id);
+    const job = this.owner.state.jobs.byId.get(id);
     assert.ok(job !== undefined, `no job ${id}`);
     const record: JobRecord = { spec: job.spec, submittedAt: job.submittedAt, status: standing };
     this.event({ kind: 'job-changed', id, record, modRevision: ++this.stamp });
@@ -246,7 +246,7 @@
     ];
     this.event({
       kind: 'page-loaded',
-      id: this.owner.state.pages.size,
+      id: this.owner.state.records.pages.size,
       entries: [
         {
           jobId: job,
@@ -269,7 +269,7 @@
       spot: false,
       agentEpoch: num(a['session'], 1),
       sequence: seq,
-      fencingToken: num(a['token'], this.owner.state.token),
+      fencingToken: num(a['token'], this.owner.state.term.fencingToken),
       preemptionNotice: null,
       tasks: tasks.map(seenOf),
     };
@@ -304,8 +304,8 @@
     refs: readonly string[],
   ): void {
     const orders = refs.map((r) => ({ op: 'start' as const, ...refOf(r) }));
-    const m = this.owner.state.machines.get(machine);
-    const token = this.owner.state.token;
+    const m = this.owner.state.machines.byName.get(machine);
+    const token = this.owner.state.term.fencingToken;
     this.event({
       kind: 'commands-answered',
       machineName: machine,
@@ -337,20 +337,22 @@
     if (what === 'places') {
       const [id = '', ...want] = rest;
       const got: string[] = [];
-      for (const chunk of this.owner.state.jobs.get(id)?.chunks.values() ?? [])
+      for (const chunk of this.owner.state.jobs.byId.get(id)?.chunks.values() ?? [])
         for (const intent of chunk.assignments.values())
           got.push(`${intent.taskIndex}#${intent.attempt}@${intent.machineName}`);
       return assert.deepEqual(got.sort(), want.sort());
     }
     if (what === 'used')
-      return assert.equal(this.owner.state.quota.usageOf(rest[0] ?? '').gpus, Number(rest[1]));
-    if (what === 'priority') return assert.equal(this.owner.state.jobs.get(rest[0] ?? '')?.priority, rest[1]);
+      return assert.equal(this.owner.state.jobs.quotas.usageOf(rest[0] ?? '').gpus, Number(rest[1]));
+    if (what === 'priority')
+      return assert.equal(this.owner.state.jobs.byId.get(rest[0] ?? '')?.priority, rest[1]);
     if (what === 'queue')
       return assert.deepEqual(
         pendingJobsInOrder(this.owner.state, this.now()).map((job) => job.spec.id),
         rest,
       );
-    if (what === 'standing') return assert.equal(this.owner.state.jobs.get(rest[0] ?? '')?.status, rest[1]);
+    if (what === 'standing')
+      return assert.equal(this.owner.state.jobs.byId.get(rest[0] ?? '')?.status, rest[1]);
     throw new Error(`unknown check ${what}`);
   }
 }
--- a/test/random.test.ts
+++ b/test/random.test.ts
@@ -133,7 +133,7 @@
       });
     }
     if (effect.kind !== 'send-commands') return;
-    const token = owner.state.token;
+    const token = owner.state.term.fencingToken;
     const worker = this.workers.find((worker) => worker.name === effect.machineName);
     assert.ok(worker !== undefined);
     const tell = (outcome: 'executed' | 'refused' | 'unknown', report: Heartbeat | null): void => {
@@ -274,13 +274,16 @@
 
   private byOwner(report: Heartbeat): { token: number; orders: WorkerCommand[] } {
     this.event({ kind: 'heartbeat', heartbeat: report });
-    return { token: this.owner.state.token, orders: this.owner.answerHeartbeat(report, this.now()) };
+    return {
+      token: this.owner.state.term.fencingToken,
+      orders: this.owner.answerHeartbeat(report, this.now()),
+    };
   }
 
   private byFormer(report: Heartbeat): { token: number; orders: WorkerCommand[] } | null {
     const former = this.former;
     if (former === null) return null;
-    if (!mayAcknowledgeHeartbeats(FACTS, former.state.contact, this.now().monotonic)) {
+    if (!mayAcknowledgeHeartbeats(FACTS, former.state.term.confirmedAt, this.now().monotonic)) {
       this.former = null;
       return null;
     }
@@ -288,7 +291,7 @@
       this.effect(effect, former);
     if (this.former === null) return null;
     this.answeredByFormer += 1;
-    return { token: former.state.token, orders: former.answerHeartbeat(report, this.now()) };
+    return { token: former.state.term.fencingToken, orders: former.answerHeartbeat(report, this.now()) };
   }
 
   private commit(): void {
--- a/test/standins/core-fleet.ts
+++ b/test/standins/core-fleet.ts
@@ -126,7 +126,7 @@
       spot: false,
       agentEpoch: 1,
       sequence: seq,
-      fencingToken: this.owner.state.token,
+      fencingToken: this.owner.state.term.fencingToken,
       preemptionNotice: null,
       tasks: this.held.get(name) ?? [],
     };
@@ -193,7 +193,7 @@
 
   /** The owner writes the end of a job from what it holds in memory. */
   private end(id: string, standing: 'done' | 'cancelled', stamp: number): void {
-    const job = this.owner.state.jobs.get(id);
+    const job = this.owner.state.jobs.byId.get(id);
     if (job === undefined) return;
     const { spec, submittedAt: submitted } = job;
     this.jobs.set(id, {
--- a/test/zones.test.ts
+++ b/test/zones.test.ts
@@ -93,7 +93,7 @@
   }
 
   on(machine: string): string[] {
-    return [...(this.owner.state.machines.get(machine)?.assignments.keys() ?? [])];
+    return [...(this.owner.state.machines.byName.get(machine)?.assignments.keys() ?? [])];
   }
 }
 
