--- a/measure/memory.ts
+++ b/measure/memory.ts
@@ -5,13 +5,13 @@
 import type { JobRecord } from '../src/core/model/job.js';
 import type { Heartbeat } from '../src/core/model/heartbeat.js';
 import { seconds, type Timestamp } from '../src/core/model/time.js';
-import { Counts } from '../src/edge/state-store/task-counts.js';
-import { DecodedPages } from '../src/edge/state-store/decoded-page-cache.js';
-import { EndedJobs } from '../src/edge/state-store/finished-job-compactor.js';
+import { TaskCounts } from '../src/edge/state-store/task-counts.js';
+import { DecodedPageCache } from '../src/edge/state-store/decoded-page-cache.js';
+import { FinishedJobCompactor } from '../src/edge/state-store/finished-job-compactor.js';
 import { DEFAULT_SETTINGS } from '../src/edge/config/operator-settings.js';
-import { Intake, readReports } from '../src/edge/http/heartbeat-reader.js';
-import type { Change, Entry, Store } from '../src/edge/state-store/state-store.js';
-import { jobKey, pageKey, writeJob, writePage, type EndedJob } from '../src/wire/records.js';
+import { HeartbeatQueue, readHeartbeats } from '../src/edge/http/heartbeat-reader.js';
+import type { KeyChange, ReplicaEntry, StateStore } from '../src/edge/state-store/state-store.js';
+import { jobKey, pageKey, encodeJob, encodePage, type FinishedJobSummary } from '../src/wire/records.js';
 import { decode, encode } from '../src/wire/cbor.js';
 import { FACTS, TYPE, spec } from '../test/player.js';
 
@@ -54,20 +54,20 @@
 
 /** A followed copy without a state service. */
 class Copy {
-  readonly copy = new Map<string, Entry>();
-  readonly changes = new Subject<Change>();
-  readonly loading = false;
+  readonly replica = new Map<string, ReplicaEntry>();
+  readonly changes = new Subject<KeyChange>();
+  readonly reloading = false;
   private stamp = 0;
 
   put(key: string, value: unknown): void {
     // As it comes over the wire: nothing is shared with what wrote it.
-    const entry = { value: decode(encode(value)), stamp: ++this.stamp };
-    this.copy.set(key, entry);
+    const entry = { value: decode(encode(value)), modRevision: ++this.stamp };
+    this.replica.set(key, entry);
     this.changes.next({ key, entry });
   }
 
-  abridge(key: string, value: EndedJob): void {
-    this.copy.set(key, { value, stamp: this.copy.get(key)?.stamp ?? 0 });
+  replaceWithSummary(key: string, value: FinishedJobSummary): void {
+    this.replica.set(key, { value, modRevision: this.replica.get(key)?.modRevision ?? 0 });
   }
 }
 
@@ -99,11 +99,11 @@
 });
 
 async function connections(): Promise<() => void> {
-  const intake = new Intake();
+  const intake = new HeartbeatQueue();
   const inbound = new Set<Socket>();
   const server = createServer((socket) => {
     inbound.add(socket);
-    readReports(
+    readHeartbeats(
       socket,
       65_536,
       intake,
@@ -142,11 +142,11 @@
     );
   tell(`${openJobs} open jobs of ${TASKS} tasks, as placed by the owner`);
   const copy = new Copy();
-  const counts = new Counts(copy as unknown as Store);
-  const ended = new EndedJobs(copy, counts);
-  const pages = new DecodedPages();
+  const counts = new TaskCounts(copy as unknown as StateStore);
+  const ended = new FinishedJobCompactor(copy, counts);
+  const pages = new DecodedPageCache();
   const routine = ended.start();
-  for (let n = 0; n < openJobs; n++) copy.put(jobKey(`req-${n}`), writeJob(recordOf(n, 'open')));
+  for (let n = 0; n < openJobs; n++) copy.put(jobKey(`req-${n}`), encodeJob(recordOf(n, 'open')));
   tell('their records in the followed copy');
   for (let n = 0; n < openJobs / 2; n++) {
     const intents = Array.from({ length: 40 }, (_, task) => ({
@@ -154,7 +154,7 @@
     }));
     copy.put(
       pageKey('all', n),
-      writePage(
+      encodePage(
         [
           {
             jobId: `req-${n}`,
@@ -165,11 +165,11 @@
         FACTS.zones,
       ),
     );
-    const entry = copy.copy.get(pageKey('all', n));
+    const entry = copy.replica.get(pageKey('all', n));
     if (entry !== undefined) pages.of(entry);
   }
   tell(`${openJobs / 2} pages of 40 places, taken apart`);
-  for (let n = 0; n < finishedJobs; n++) copy.put(jobKey(`req-9${n}`), writeJob(recordOf(n, 'done')));
+  for (let n = 0; n < finishedJobs; n++) copy.put(jobKey(`req-9${n}`), encodeJob(recordOf(n, 'done')));
   ended.sweep();
   tell(`${finishedJobs} finished jobs in the followed copy`);
   const close = await connections();
--- a/measure/peer-link.ts
+++ b/measure/peer-link.ts
@@ -1,7 +1,7 @@
 import { setFlagsFromString } from 'node:v8';
 import { runInNewContext } from 'node:vm';
-import { makeLog } from '../src/edge/runtime/logger.js';
-import { Peers } from '../src/edge/peers/peer-links.js';
+import { createLogger } from '../src/edge/runtime/logger.js';
+import { PeerLinks } from '../src/edge/peers/peer-links.js';
 import { ownAddress } from '../test/standins/site.js';
 
 const STATUSES_MS = 3000;
@@ -15,20 +15,25 @@
     collect();
     return process.memoryUsage().heapUsed;
   };
-  const log = makeLog('peer-link');
+  const log = createLogger('peer-link');
   const addresses = [ownAddress(), ownAddress()] as const;
-  const link = (own: 0 | 1): Peers => {
+  const link = (own: 0 | 1): PeerLinks => {
     const other = own === 0 ? 1 : 0;
     const label = String(own);
     const known = [{ label: String(other), endpoint: addresses[other] }];
-    return new Peers(addresses[own], known, () => ({ label, owner: false, contactMs: 0, token: 0n }), log);
+    return new PeerLinks(
+      addresses[own],
+      known,
+      () => ({ label, isLeader: false, stateStoreContactMs: 0, fencingToken: 0n }),
+      log,
+    );
   };
   const before = used();
   const links = [link(0), link(1)];
   const running = links.map((each) => each.start());
   await new Promise((done) => setTimeout(done, STATUSES_MS));
   const after = used();
-  if (!links.every((each) => each.othersServing() === 1)) throw new Error('the controllers did not link');
+  if (!links.every((each) => each.peersServing() === 1)) throw new Error('the controllers did not link');
   for (const each of running) each.unsubscribe();
   return after - before;
 }
--- a/packages/zone-recovery/test/loopback.test.ts
+++ b/packages/zone-recovery/test/loopback.test.ts
@@ -2,7 +2,7 @@
 import { after, before, test } from 'node:test';
 import type { Subscription } from 'rxjs';
 import type { Features } from '../../../src/edge/config/features.js';
-import { zonesKey } from '../../../src/wire/records.js';
+import { zoneRecordKey } from '../../../src/wire/records.js';
 import { call, listen } from '../../../test/standins/http.js';
 import {
   job,
@@ -155,7 +155,7 @@
 }
 
 const keptPhases = (): unknown =>
-  (state.items.get(zonesKey('all'))?.value as { zones?: { phase: string }[] } | undefined)?.zones?.map(
+  (state.items.get(zoneRecordKey('all'))?.value as { zones?: { phase: string }[] } | undefined)?.zones?.map(
     ({ phase }) => phase,
   );
 
--- a/src/core/model/worker-command.ts
+++ b/src/core/model/worker-command.ts
@@ -9,6 +9,12 @@
   readonly gracePeriodS?: number;
 }
 
+/** What a heartbeat is answered with: it renews the worker's lease and carries the commands for it. */
+export interface HeartbeatAnswer {
+  readonly fencingToken: number;
+  readonly commands: readonly WorkerCommand[];
+}
+
 /** An exited task whose result must be committed before the worker may forget it. */
 export interface PendingForget {
   readonly jobId: string;
--- a/src/edge/cloud/cloud-poller.ts
+++ b/src/edge/cloud/cloud-poller.ts
@@ -2,31 +2,31 @@
 import type { MachineType } from '../../core/model/machine.js';
 import { monotonicNow } from '../runtime/clock.js';
 import { jittered } from '../runtime/jitter.js';
-import { isAborted, pause, supervise } from '../runtime/supervised-task.js';
+import { isAborted, sleep, supervise } from '../runtime/supervised-task.js';
 import type { TermContext } from '../leadership/term-context.js';
 
 /** Asks the cloud for its machines and their types for as long as the term lasts. */
-export class CloudPolling {
+export class CloudPoller {
   private imagesTold = false;
 
   constructor(private readonly term: TermContext) {}
 
   /** Runs until unsubscribed. */
   start(): Subscription {
-    const { log } = this.term.dependencies;
+    const { logger: log } = this.term.dependencies;
     const routines = supervise('machine list', log, (signal) => this.pollList(signal));
     routines.add(supervise('machine types', log, (signal) => this.pollTypes(signal)));
     return routines;
   }
 
   private async pollList(signal: AbortSignal): Promise<void> {
-    const every = Math.max(2000, Number(this.term.dependencies.facts.inventoryLag) / 1e6);
+    const every = Math.max(2000, Number(this.term.dependencies.config.inventoryLag) / 1e6);
     while (!signal.aborted) {
       const sent = monotonicNow();
-      const machines = await this.term.dependencies.cloud.list(signal);
+      const machines = await this.term.dependencies.cloud.listInstances(signal);
       if (isAborted(signal)) return;
-      if (machines !== null) this.term.event({ kind: 'instance-inventory', machines, requestedAt: sent });
-      await pause(machines === null ? jittered(1000) : every, signal);
+      if (machines !== null) this.term.dispatch({ kind: 'instance-inventory', machines, requestedAt: sent });
+      await sleep(machines === null ? jittered(1000) : every, signal);
     }
   }
 
@@ -35,21 +35,21 @@
     this.imagesTold = true;
     const rates = types.map((type) => type.fetchGbPerS).filter((r) => r > 0);
     if (rates.length > 0)
-      this.term.event({
+      this.term.dispatch({
         kind: 'images-observed',
-        sightings: this.term.dependencies.images.likely(Math.min(...rates)),
+        sightings: this.term.dependencies.imageObserver.likelyCached(Math.min(...rates)),
       });
   }
 
   private async pollTypes(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      const types = await this.term.dependencies.cloud.types(signal);
+      const types = await this.term.dependencies.cloud.listMachineTypes(signal);
       if (isAborted(signal)) return;
       if (types !== null) {
-        this.term.event({ kind: 'machine-types', types });
+        this.term.dispatch({ kind: 'machine-types', types });
         if (!this.imagesTold) this.tellImages(types);
       }
-      await pause(types === null ? jittered(1000) : 60_000, signal);
+      await sleep(types === null ? jittered(1000) : 60_000, signal);
     }
   }
 }
--- a/src/edge/config/connection-limits.ts
+++ b/src/edge/config/connection-limits.ts
@@ -2,17 +2,17 @@
  * How the sockets that the settings allow are shared out. Without this, workers and users that crowd in would take the
  * last ones, and the controller could reach neither the state service nor a worker.
  */
-export interface SocketShares {
+export interface ConnectionLimits {
   /** Connections straight to workers, at once. */
-  readonly direct: number;
+  readonly workerCommands: number;
   /** Connections that come in, of all kinds. */
   readonly inbound: number;
   /** With so many in, users get no more: workers that come back still find room. */
-  readonly usersBelow: number;
+  readonly userLimit: number;
   /** From so many on, users' connections are closed after each answer, so that all take turns. */
-  readonly turnsAbove: number;
+  readonly rotateUsersAbove: number;
   /** From so many on, workers' connections are closed after each answer too. */
-  readonly workerTurnsAbove: number;
+  readonly rotateWorkersAbove: number;
 }
 
 /** The state service's, the cloud's and the other controllers' connections, the listeners, and the engine's own. */
@@ -27,17 +27,17 @@
  */
 const TURNS_SHARE = 0.75;
 /** Fewer cannot carry a controller at all. */
-export const LEAST_SOCKETS = 64;
+export const MIN_SOCKETS = 64;
 
 /** Shares out the sockets that the settings allow. */
-export function shareSockets(max: number | null): SocketShares {
+export function connectionLimitsFor(max: number | null): ConnectionLimits {
   if (max === null)
     return {
-      direct: 256,
+      workerCommands: 256,
       inbound: Infinity,
-      usersBelow: Infinity,
-      turnsAbove: Infinity,
-      workerTurnsAbove: Infinity,
+      userLimit: Infinity,
+      rotateUsersAbove: Infinity,
+      rotateWorkersAbove: Infinity,
     };
   const direct = Math.max(LEAST_DIRECT, Math.floor(max * DIRECT_SHARE));
   const inbound = max - OWN - direct;
@@ -45,5 +45,11 @@
   const usersBelow = inbound - spare;
   const turnsAbove = Math.floor(usersBelow * TURNS_SHARE);
   // Half of what is kept free of users is left for workers that come while others take turns.
-  return { direct, inbound, usersBelow, turnsAbove, workerTurnsAbove: usersBelow + Math.floor(spare / 2) };
+  return {
+    workerCommands: direct,
+    inbound,
+    userLimit: usersBelow,
+    rotateUsersAbove: turnsAbove,
+    rotateWorkersAbove: usersBelow + Math.floor(spare / 2),
+  };
 }
--- a/src/edge/config/platform-settings.ts
+++ b/src/edge/config/platform-settings.ts
@@ -3,8 +3,8 @@
 import type { ClusterConfig } from '../../core/model/cluster-config.js';
 import { seconds } from '../../core/model/time.js';
 import { MIN_VALUE_BYTES } from '../../core/records/record-pages.js';
-import { LEAST_MB } from '../runtime/memory-monitor.js';
-import { LEAST_SOCKETS } from './connection-limits.js';
+import { MIN_MEMORY_MB } from '../runtime/memory-monitor.js';
+import { MIN_SOCKETS } from './connection-limits.js';
 
 /** A mistake in what we were started with: told in one line, exit code 2. */
 export class SettingsError extends Error {}
@@ -63,8 +63,8 @@
     limits: z
       .object({
         core_share: z.number().positive(),
-        memory_mb: z.number().min(LEAST_MB, `at least ${LEAST_MB} is needed`),
-        max_sockets: z.number().min(LEAST_SOCKETS, `at least ${LEAST_SOCKETS} are needed`),
+        memory_mb: z.number().min(MIN_MEMORY_MB, `at least ${MIN_MEMORY_MB} is needed`),
+        max_sockets: z.number().min(MIN_SOCKETS, `at least ${MIN_SOCKETS} are needed`),
       })
       .optional(),
     skew_ms: amount.default(0),
@@ -72,10 +72,10 @@
 });
 
 /** The settings file of the platform, checked. */
-export type Platform = z.infer<typeof platform>;
+export type PlatformSettings = z.infer<typeof platform>;
 
 /** Reads and checks the settings file of the platform. */
-export function readPlatform(path: string): Platform {
+export function readPlatformSettings(path: string): PlatformSettings {
   let text: string;
   try {
     text = readFileSync(path, 'utf8');
@@ -102,10 +102,10 @@
 }
 
 /** The smaller of the limits of a value, now and later: what is written must fit both. */
-const valueBytesOf = ({ facts: { state } }: Platform): number =>
+const valueBytesOf = ({ facts: { state } }: PlatformSettings): number =>
   Math.floor(Math.min(state.value_kb, state.next?.value_kb ?? Infinity) * 1024);
 
-function checkValueLimit(path: string, p: Platform): void {
+function checkValueLimit(path: string, p: PlatformSettings): void {
   if (valueBytesOf(p) < MIN_VALUE_BYTES)
     throw new SettingsError(
       `settings ${path}: facts.state: values must hold ${MIN_VALUE_BYTES} bytes, now and by \`next\``,
@@ -113,7 +113,7 @@
 }
 
 /** The platform's settings as the core uses them. */
-export function factsOf(p: Platform): ClusterConfig {
+export function clusterConfigFrom(p: PlatformSettings): ClusterConfig {
   const f = p.facts;
   return {
     zones: f.zones,
--- a/src/edge/http/health.ts
+++ b/src/edge/http/health.ts
@@ -4,19 +4,19 @@
 const STALE_ALONE_MS = 3000;
 
 /** What a controller's health towards users follows from. */
-export interface Condition {
+export interface HealthInputs {
   /** Jobs can be taken and looked up at all. */
   readonly ready: boolean;
   /** How old the copy of the state service is. */
-  readonly copyMs: number;
+  readonly replicaAgeMs: number;
   /** We lead, and so answer all workers. */
-  readonly leading: boolean;
+  readonly isLeader: boolean;
   /** We lead, and are late with what workers ask. */
-  readonly behind: boolean;
+  readonly overloaded: boolean;
   /** How many other controllers there are. */
-  readonly others: number;
+  readonly peerCount: number;
   /** How many of them were lately answered by the state service: they can serve users. */
-  readonly othersServing: number;
+  readonly peersServing: number;
 }
 
 /** With fewer others that serve them, users would hang on a single controller. */
@@ -28,10 +28,14 @@
  * behind. A controller whose copy is old here alone is no use to users either. Where no other serves them, going away
  * would only keep users out for longer.
  */
-export function isHealthy(condition: Condition): boolean {
+export function isHealthy(condition: HealthInputs): boolean {
   if (!condition.ready) return false;
-  if (condition.othersServing === 0) return condition.copyMs < STALE_MS;
-  if (condition.leading && condition.othersServing === condition.others && condition.others >= ENOUGH_OTHERS)
+  if (condition.peersServing === 0) return condition.replicaAgeMs < STALE_MS;
+  if (
+    condition.isLeader &&
+    condition.peersServing === condition.peerCount &&
+    condition.peerCount >= ENOUGH_OTHERS
+  )
     return false;
-  return !condition.behind && condition.copyMs < STALE_ALONE_MS;
+  return !condition.overloaded && condition.replicaAgeMs < STALE_ALONE_MS;
 }
--- a/src/edge/http/heartbeat-reader.ts
+++ b/src/edge/http/heartbeat-reader.ts
@@ -8,7 +8,7 @@
  * form is read here: `POST` to the report's path with a `Content-Length`. Whatever else comes on a connection, it is
  * handed to the general server from that request on, with every byte.
  */
-export interface ReportAnswer {
+export interface HeartbeatResponse {
   readonly status: 200 | 400 | 421 | 503;
   readonly body: Buffer;
 }
@@ -28,7 +28,7 @@
 } as const;
 
 /** An answer to a report as it goes over the wire. */
-export function answerBytes(a: ReportAnswer, close: boolean): Buffer {
+export function encodeResponse(a: HeartbeatResponse, close: boolean): Buffer {
   const head =
     `HTTP/1.1 ${a.status} ${REASONS[a.status]}\r\nContent-Type: application/cbor\r\n` +
     `Content-Length: ${a.body.length}\r\n${a.status === 503 ? 'Retry-After: 1\r\n' : ''}` +
@@ -37,7 +37,7 @@
 }
 
 /** What has come of a request so far. */
-export type Head =
+export type ParsedHead =
   | { readonly kind: 'report'; readonly from: number; readonly to: number; readonly close: boolean }
   /** Not all here yet. */
   | { readonly kind: 'part' }
@@ -45,7 +45,7 @@
   | { readonly kind: 'other' };
 
 /** Looks at what has come of a request: where the body of a report lies in it, if it is one. */
-export function headOf(raw: Buffer, bodyLimit: number): Head {
+export function parseHead(raw: Buffer, bodyLimit: number): ParsedHead {
   const seen = Math.min(raw.length, REQUEST_LINE.length);
   if (raw.toString('latin1', 0, seen) !== REQUEST_LINE.slice(0, seen)) return { kind: 'other' };
   const end = raw.indexOf(HEAD_END);
@@ -81,7 +81,7 @@
  * 4 s they have, gave up, and came again. Answers are given in short turns, so that the loop goes round often; a report
  * whose worker has gone meanwhile is not looked at, since nobody would hear the answer and its next one says more.
  */
-export class Intake {
+export class HeartbeatQueue {
   /** What waits, oldest first, with the turn before which it came. */
   private readonly waiting = new Map<() => void, number>();
   private turns = 0;
@@ -145,11 +145,11 @@
 }
 
 /** One connection, until it ends or turns out to be for the general server. Returns what tears it down. */
-export function readReports(
+export function readHeartbeats(
   socket: Socket,
   bodyLimit: number,
-  intake: Intake,
-  answer: (body: Buffer) => ReportAnswer,
+  intake: HeartbeatQueue,
+  answer: (body: Buffer) => HeartbeatResponse,
   handOver: (socket: Socket) => void,
   /** Whether the connection is to be closed after an answer, so that others get its socket. */
   takesTurns: () => boolean = () => false,
@@ -179,7 +179,7 @@
   };
   const read = (): void => {
     if (raw.length === 0) return;
-    const head = headOf(raw, bodyLimit);
+    const head = parseHead(raw, bodyLimit);
     if (head.kind === 'part') return;
     if (head.kind === 'other') {
       stop();
@@ -194,7 +194,7 @@
     takeBack = intake.push(() => {
       takeBack = null;
       const close = head.close || takesTurns();
-      socket.write(answerBytes(answer(body), close));
+      socket.write(encodeResponse(answer(body), close));
       if (close) {
         stop();
         socket.end();
--- a/src/edge/http/http-server.ts
+++ b/src/edge/http/http-server.ts
@@ -3,40 +3,40 @@
 import express, { type NextFunction, type Request, type Response } from 'express';
 import { Observable, Subscription } from 'rxjs';
 import type { Heartbeat } from '../../core/model/heartbeat.js';
-import type { WorkerCommand } from '../../core/model/worker-command.js';
+import type { HeartbeatAnswer, WorkerCommand } from '../../core/model/worker-command.js';
 import { decode, encode } from '../../wire/cbor.js';
 import {
   API_PATHS,
   isJobId,
-  jobAnswer,
+  encodeJobStatus,
   jobIdOf,
-  orders,
-  parseReport,
+  encodeCommands,
+  parseHeartbeat,
   parseSubmission,
-  redirect,
+  encodeRedirect,
 } from '../../wire/protocol.js';
-import type { Answer, RequestHandler, View } from './request-handler.js';
+import type { RequestResult, RequestHandler, JobView } from './request-handler.js';
 import { InboundConnections } from './inbound-connections.js';
 import { Listener } from './listener.js';
-import { messageOf } from '../runtime/supervised-task.js';
+import { errorMessage } from '../runtime/supervised-task.js';
 import { parseTarget } from '../net/http-client.js';
-import { warnSparsely, type Log } from '../runtime/logger.js';
-import { Intake, readReports, type ReportAnswer } from './heartbeat-reader.js';
-import type { SocketShares } from '../config/connection-limits.js';
+import { warnRateLimited, type Logger } from '../runtime/logger.js';
+import { HeartbeatQueue, readHeartbeats, type HeartbeatResponse } from './heartbeat-reader.js';
+import type { ConnectionLimits } from '../config/connection-limits.js';
 
 /** What the HTTP interface needs. */
-export interface ApiDependencies {
-  readonly addr: string;
+export interface HttpServerDependencies {
+  readonly address: string;
   readonly requests: RequestHandler;
-  readonly log: Log;
-  readonly healthy: () => boolean;
-  readonly sockets: SocketShares;
+  readonly logger: Logger;
+  readonly isHealthy: () => boolean;
+  readonly connectionLimits: ConnectionLimits;
   /** The part of a core that we have. */
   readonly coreShare: number;
-  readonly leading: () => boolean;
+  readonly isLeader: () => boolean;
   /** The owner's answer to a report; null if we are not the owner or may not answer. */
-  readonly report: (report: Heartbeat) => { token: number; orders: WorkerCommand[] } | null;
-  readonly ownerLabel: () => string | null;
+  readonly onHeartbeat: (report: Heartbeat) => HeartbeatAnswer | null;
+  readonly leaderLabel: () => string | null;
 }
 
 const BODY_LIMIT = 64 * 1024;
@@ -47,20 +47,20 @@
   res.end(raw);
 }
 
-function sendAnswer(res: Response, a: Answer<View>, fresh: number): void {
+function sendAnswer(res: Response, a: RequestResult<JobView>, fresh: number): void {
   switch (a.kind) {
     case 'ok':
-      send(res, a.fresh ? fresh : 200, jobAnswer(a.value.id, a.value.standing, a.value));
+      send(res, a.created ? fresh : 200, encodeJobStatus(a.value.id, a.value.status, a.value));
       break;
-    case 'absent':
+    case 'not-found':
       send(res, 404, { error: 'no such job' });
       break;
-    case 'never':
-      send(res, 422, { error: a.why });
+    case 'rejected':
+      send(res, 422, { error: a.reason });
       break;
-    case 'later':
-      res.setHeader('retry-after', String(a.seconds));
-      send(res, 503, { error: a.why });
+    case 'unavailable':
+      res.setHeader('retry-after', String(a.retryAfterS));
+      send(res, 503, { error: a.reason });
       break;
   }
 }
@@ -79,15 +79,15 @@
 const crowded = new WeakSet<Socket>();
 
 /** The express application for users, and for reports in an unusual form. */
-export function makeApp(
-  dependencies: ApiDependencies,
-  answer: (raw: Buffer) => ReportAnswer,
+export function createUserApp(
+  dependencies: HttpServerDependencies,
+  answer: (raw: Buffer) => HeartbeatResponse,
   connections: InboundConnections,
 ): express.Express {
   const app = express();
   app.use((_req: Request, res: Response, next: NextFunction) => {
     // A user stays on the connection it has: closing it lets the next request come to a controller that is healthy.
-    if (connections.usersTakeTurns || !dependencies.healthy()) res.setHeader('connection', 'close');
+    if (connections.rotatesUsers || !dependencies.isHealthy()) res.setHeader('connection', 'close');
     next();
   });
   // Turned away before its body is read. The load balancer's question is answered all the same.
@@ -112,9 +112,9 @@
     const body = bodyOf(req);
     const id = jobIdOf(body);
     const spec = parseSubmission(body);
-    if (id === null) return send(res, 400, { error: spec.ok ? 'ref: invalid' : spec.why });
-    const a = await dependencies.requests.submit(id, spec.ok ? spec.value : spec.why);
-    if (a.kind === 'never' && !spec.ok) return send(res, 400, { error: a.why });
+    if (id === null) return send(res, 400, { error: spec.ok ? 'ref: invalid' : spec.reason });
+    const a = await dependencies.requests.submit(id, spec.ok ? spec.value : spec.reason);
+    if (a.kind === 'rejected' && !spec.ok) return send(res, 400, { error: a.reason });
     sendAnswer(res, a, 201);
   });
 
@@ -131,7 +131,7 @@
   });
 
   app.get(API_PATHS.health, (_req, res) => {
-    const ok = dependencies.healthy();
+    const ok = dependencies.isHealthy();
     send(res, ok ? 200 : 503, { ok });
   });
 
@@ -147,45 +147,46 @@
     const status = (e as { status?: unknown }).status;
     // Bodies that are too large or cannot be read are the sender's mistake.
     if (typeof status === 'number' && status >= 400 && status < 500)
-      return send(res, 400, { error: messageOf(e) });
-    warnSparsely(dependencies.log, { error: messageOf(e) }, 'request failed');
+      return send(res, 400, { error: errorMessage(e) });
+    warnRateLimited(dependencies.logger, { error: errorMessage(e) }, 'request failed');
     res.setHeader('retry-after', '1');
     send(res, 503, { error: 'internal trouble' });
   });
   return app;
 }
 
-function refuseReport(dependencies: ApiDependencies, why: string): ReportAnswer {
-  warnSparsely(dependencies.log, { why }, 'a report cannot be read');
+function refuseReport(dependencies: HttpServerDependencies, why: string): HeartbeatResponse {
+  warnRateLimited(dependencies.logger, { why }, 'a report cannot be read');
   return { status: 400, body: encode({ error: why }) };
 }
 
 /** The answers to workers' reports. Most carry no orders and differ by the token alone: those are written once for each. */
-function reportAnswers(dependencies: ApiDependencies): (raw: Buffer) => ReportAnswer {
+function reportAnswers(dependencies: HttpServerDependencies): (raw: Buffer) => HeartbeatResponse {
   let plain: { readonly token: number; readonly body: Buffer } | null = null;
   const write = (token: number, list: readonly WorkerCommand[]): Buffer => {
-    if (list.length > 0) return encode(orders(token, list));
-    if (plain?.token !== token) plain = { token, body: encode(orders(token, [])) };
+    if (list.length > 0) return encode(encodeCommands(token, list));
+    if (plain?.token !== token) plain = { token, body: encode(encodeCommands(token, [])) };
     return plain.body;
   };
   return (raw) => {
     // Only the leader reads reports: after a takeover the others send hundreds of workers on within seconds.
-    if (!dependencies.leading()) return { status: 421, body: encode(redirect(dependencies.ownerLabel())) };
+    if (!dependencies.isLeader())
+      return { status: 421, body: encode(encodeRedirect(dependencies.leaderLabel())) };
     let body: unknown;
     try {
       body = decode(raw);
     } catch {
       return refuseReport(dependencies, 'not CBOR');
     }
-    const r = parseReport(body);
-    if (!r.ok) return refuseReport(dependencies, r.why);
+    const r = parseHeartbeat(body);
+    if (!r.ok) return refuseReport(dependencies, r.reason);
     try {
-      const answer = dependencies.report(r.value);
-      if (answer === null) return { status: 421, body: encode(redirect(dependencies.ownerLabel())) };
-      return { status: 200, body: write(answer.token, answer.orders) };
+      const answer = dependencies.onHeartbeat(r.value);
+      if (answer === null) return { status: 421, body: encode(encodeRedirect(dependencies.leaderLabel())) };
+      return { status: 200, body: write(answer.fencingToken, answer.commands) };
     } catch (e) {
       // The worker goes on to the next controller; a report that trips us must not end the process.
-      warnSparsely(dependencies.log, { error: messageOf(e) }, 'a report could not be taken in');
+      warnRateLimited(dependencies.logger, { error: errorMessage(e) }, 'a report could not be taken in');
       return { status: 503, body: encode({ error: 'internal trouble' }) };
     }
   };
@@ -195,34 +196,34 @@
  * Listens until unsubscribed. Each connection is a routine of its own and is torn down with the server. It starts with
  * the reader of reports, and goes to express with the first request that is something else.
  */
-export function serve(dependencies: ApiDependencies): Observable<{ readonly port: number }> {
+export function startHttpServer(dependencies: HttpServerDependencies): Observable<{ readonly port: number }> {
   return new Observable((subscriber) => {
-    const connections = new InboundConnections(dependencies.sockets, dependencies.log);
+    const connections = new InboundConnections(dependencies.connectionLimits, dependencies.logger);
     const answer = reportAnswers(dependencies);
-    const users = http.createServer(makeApp(dependencies, answer, connections));
+    const users = http.createServer(createUserApp(dependencies, answer, connections));
     users.keepAliveTimeout = 120_000;
     users.requestTimeout = 15_000;
     const all = new Subscription();
-    const intake = new Intake(() => {
+    const intake = new HeartbeatQueue(() => {
       if (listener.reopen())
-        dependencies.log.info(
+        dependencies.logger.info(
           { open: connections.open },
           'the queue of new connections is stale: listening anew',
         );
     }, dependencies.coreShare);
-    const listener = new Listener(parseTarget(dependencies.addr), (socket) => {
+    const listener = new Listener(parseTarget(dependencies.address), (socket) => {
       if (!connections.admit()) {
         socket.destroy();
         return;
       }
       const one = new Subscription();
       const handOver = (socket: Socket): void => {
-        if (connections.usersRefused) crowded.add(socket);
+        if (connections.refusesUsers) crowded.add(socket);
         users.emit('connection', socket);
         socket.resume();
       };
-      const takesTurns = (): boolean => connections.workersTakeTurns();
-      one.add(readReports(socket, BODY_LIMIT, intake, answer, handOver, takesTurns));
+      const takesTurns = (): boolean => connections.rotatesWorkers();
+      one.add(readHeartbeats(socket, BODY_LIMIT, intake, answer, handOver, takesTurns));
       socket.on('error', () => undefined);
       socket.once('close', () => {
         connections.release();
--- a/src/edge/http/inbound-connections.ts
+++ b/src/edge/http/inbound-connections.ts
@@ -1,6 +1,6 @@
 import { monotonicNow } from '../runtime/clock.js';
-import type { Log } from '../runtime/logger.js';
-import type { SocketShares } from '../config/connection-limits.js';
+import type { Logger } from '../runtime/logger.js';
+import type { ConnectionLimits } from '../config/connection-limits.js';
 
 /** Nanoseconds for which workers go on taking turns after sockets were short. */
 const TURNS_LAST = 60_000_000_000n;
@@ -16,8 +16,8 @@
   private shortAt: bigint | null = null;
 
   constructor(
-    private readonly shares: SocketShares,
-    private readonly log: Log,
+    private readonly shares: ConnectionLimits,
+    private readonly log: Logger,
     private readonly clock: () => bigint = monotonicNow,
   ) {}
 
@@ -37,13 +37,13 @@
   }
 
   /** Users' connections are closed after each answer. */
-  get usersTakeTurns(): boolean {
-    return this.count > this.shares.turnsAbove;
+  get rotatesUsers(): boolean {
+    return this.count > this.shares.rotateUsersAbove;
   }
 
   /** Users that come now are refused. */
-  get usersRefused(): boolean {
-    return this.count > this.shares.usersBelow;
+  get refusesUsers(): boolean {
+    return this.count > this.shares.userLimit;
   }
 
   /**
@@ -51,9 +51,9 @@
    * goes on for a while after sockets were last short. Ended at once, it would let connections fill up again to the
    * limit, where each pass of the core, in which nothing is taken in, has a burst of workers find no socket.
    */
-  workersTakeTurns(): boolean {
+  rotatesWorkers(): boolean {
     const now = this.clock();
-    if (this.count > this.shares.workerTurnsAbove) {
+    if (this.count > this.shares.rotateWorkersAbove) {
       if (this.shortAt === null)
         this.log.warn(
           { open: this.count, sockets: this.shares.inbound },
--- a/src/edge/http/request-handler.ts
+++ b/src/edge/http/request-handler.ts
@@ -2,30 +2,38 @@
 import type { JobRecord, JobSpec } from '../../core/model/job.js';
 import type { MachineType } from '../../core/model/machine.js';
 import { fitsQuota } from '../../core/state/team-quotas.js';
-import type { UserStanding } from '../../wire/protocol.js';
-import { EndedJob, ROOT, jobKey, parseKey, readJob, summaryOf, writeJob } from '../../wire/records.js';
+import type { UserJobStatus } from '../../wire/protocol.js';
+import {
+  FinishedJobSummary,
+  KEY_PREFIX,
+  jobKey,
+  parseKey,
+  decodeJob,
+  jobSummaryOf,
+  encodeJob,
+} from '../../wire/records.js';
 import { millisecondsSince, monotonicNow } from '../runtime/clock.js';
 import { jittered } from '../runtime/jitter.js';
-import type { Log } from '../runtime/logger.js';
-import { Counts } from '../state-store/task-counts.js';
+import type { Logger } from '../runtime/logger.js';
+import { TaskCounts } from '../state-store/task-counts.js';
 import { DependencyIndex } from '../state-store/dependency-index.js';
-import type { Read, Store } from '../state-store/state-store.js';
-import { DEPENDENCIES, type Versions } from '../state-store/controller-versions.js';
+import type { ReadResult, StateStore } from '../state-store/state-store.js';
+import { DEPENDENCIES_FEATURE, type ControllerVersions } from '../state-store/controller-versions.js';
 
 /** A job as its user sees it. */
-export interface View {
+export interface JobView {
   readonly id: string;
-  readonly standing: UserStanding;
+  readonly status: UserJobStatus;
   readonly done: number;
   readonly running: number;
 }
 
 /** `later`: not now, come again after so many seconds. */
-export type Answer<T> =
-  | { readonly kind: 'ok'; readonly value: T; readonly fresh: boolean }
-  | { readonly kind: 'never'; readonly why: string }
-  | { readonly kind: 'absent' }
-  | { readonly kind: 'later'; readonly seconds: number; readonly why: string };
+export type RequestResult<T> =
+  | { readonly kind: 'ok'; readonly value: T; readonly created: boolean }
+  | { readonly kind: 'rejected'; readonly reason: string }
+  | { readonly kind: 'not-found' }
+  | { readonly kind: 'unavailable'; readonly retryAfterS: number; readonly reason: string };
 
 const SUBMIT_LIMIT_MS = 3500;
 const POLL_LIMIT_MS = 1500;
@@ -36,19 +44,19 @@
 /** What users ask, answered from the followed copy and by guarded writes. Every controller does this. */
 export class RequestHandler {
   private inside = 0;
-  readonly counts: Counts;
+  readonly counts: TaskCounts;
   private readonly dependencies: DependencyIndex;
   types: readonly MachineType[] = [];
 
   constructor(
-    private readonly store: Store,
+    private readonly store: StateStore,
     private readonly facts: Pick<ClusterConfig, 'teams' | 'maxValueBytes'>,
-    private readonly versions: Pick<Versions, 'allHave'>,
-    private readonly log: Log,
+    private readonly versions: Pick<ControllerVersions, 'allSupport'>,
+    private readonly log: Logger,
     /** So little memory is left that nobody more is let in. */
     private readonly tight: () => boolean,
   ) {
-    this.counts = new Counts(store);
+    this.counts = new TaskCounts(store);
     this.dependencies = new DependencyIndex(store);
   }
 
@@ -56,43 +64,45 @@
     return this.store.loaded && this.types.length > 0;
   }
 
-  view(id: string): View | null {
-    const entry = this.store.copy.get(jobKey(id));
+  view(id: string): JobView | null {
+    const entry = this.store.replica.get(jobKey(id));
     if (entry === undefined) return null;
-    const job = summaryOf(entry.value);
+    const job = jobSummaryOf(entry.value);
     // Cancelled by the fact that a job that it needs was; it had no task then, and has none since.
-    if (job.standing === 'open' && this.dependencies.isCancelled(id))
-      return { id, standing: 'cancelled', done: 0, running: 0 };
-    const { done, placed } = job.standing === 'done' ? { done: job.tasks, placed: 0 } : this.counts.of(id);
-    const standing = job.standing === 'open' ? (placed + done > 0 ? 'running' : 'pending') : job.standing;
-    return { id, standing, done, running: placed };
+    if (job.status === 'open' && this.dependencies.isCancelled(id))
+      return { id, status: 'cancelled', done: 0, running: 0 };
+    const { completed: done, assigned: placed } =
+      job.status === 'done' ? { completed: job.taskCount, assigned: 0 } : this.counts.of(id);
+    const standing = job.status === 'open' ? (placed + done > 0 ? 'running' : 'pending') : job.status;
+    return { id, status: standing, done, running: placed };
   }
 
   /** A job's state: at once if final, else from a copy as fresh as the asking. */
-  async status(id: string, limitMs = POLL_LIMIT_MS): Promise<Answer<View>> {
+  async status(id: string, limitMs = POLL_LIMIT_MS): Promise<RequestResult<JobView>> {
     const known = this.view(id);
-    if (known !== null && (known.standing === 'done' || known.standing === 'cancelled')) return ok(known);
+    if (known !== null && (known.status === 'done' || known.status === 'cancelled')) return ok(known);
     if (this.cutOff()) return cut;
     if (this.inside >= ROOM || this.tight()) return busy;
     this.inside += 1;
     try {
-      if (!this.store.loaded || !(await this.store.fresh(limitMs))) return cut;
+      if (!this.store.loaded || !(await this.store.syncReplica(limitMs))) return cut;
       const view = this.view(id);
-      this.log.debug({ job: id, standing: view?.standing ?? 'absent', rev: this.store.rev }, 'looked at');
-      return view === null ? { kind: 'absent' } : ok(view);
+      this.log.debug({ job: id, standing: view?.status ?? 'absent', rev: this.store.revision }, 'looked at');
+      return view === null ? { kind: 'not-found' } : ok(view);
     } finally {
       this.inside -= 1;
     }
   }
 
   /** Takes a job in. `spec` is null if the body was wrong; a known job gets its state all the same. */
-  async submit(id: string, spec: JobSpec | string): Promise<Answer<View>> {
-    if (this.store.copy.has(jobKey(id))) return this.status(id, SUBMIT_LIMIT_MS);
+  async submit(id: string, spec: JobSpec | string): Promise<RequestResult<JobView>> {
+    if (this.store.replica.has(jobKey(id))) return this.status(id, SUBMIT_LIMIT_MS);
     const why = typeof spec === 'string' ? spec : (this.neverRuns(spec) ?? this.tooLarge(spec));
     if (why !== null) return this.never(id, why);
-    if (typeof spec === 'string') return { kind: 'never', why: spec };
+    if (typeof spec === 'string') return { kind: 'rejected', reason: spec };
     if (this.cutOff()) return cut;
-    if (!this.ready) return { kind: 'later', seconds: 2, why: 'machine types are not known yet' };
+    if (!this.ready)
+      return { kind: 'unavailable', retryAfterS: 2, reason: 'machine types are not known yet' };
     if (this.inside >= ROOM || this.tight()) return busy;
     this.inside += 1;
     try {
@@ -104,44 +114,48 @@
   }
 
   /** Why a job with such dependencies is not taken in, or not now; null if it may be. */
-  private async refuseDependencies(spec: JobSpec): Promise<Answer<View> | null> {
+  private async refuseDependencies(spec: JobSpec): Promise<RequestResult<JobView> | null> {
     const { dependencies } = spec;
     if (dependencies.length === 0) return null;
-    if (!this.versions.allHave(DEPENDENCIES)) return upgrading;
+    if (!this.versions.allSupport(DEPENDENCIES_FEATURE)) return upgrading;
     const found = await Promise.all(dependencies.map((id) => this.findDependency(id)));
     if (found.some((each) => each.kind === 'unread')) return cut;
     for (const [n, each] of found.entries()) {
       const id = dependencies[n] ?? '';
       if (each.kind === 'absent') return this.never(spec.id, `${id} was never accepted`);
-      if (each.kind === 'found' && summaryOf(each.value).kind === 'service')
+      if (each.kind === 'found' && jobSummaryOf(each.value).kind === 'service')
         return this.never(spec.id, `${id} is a service: it is never done`);
     }
     return null;
   }
 
   /** A job that another waits for: from the copy, or, if it was accepted elsewhere a moment ago, past it. */
-  private async findDependency(id: string): Promise<Read> {
-    const entry = this.store.copy.get(jobKey(id));
+  private async findDependency(id: string): Promise<ReadResult> {
+    const entry = this.store.replica.get(jobKey(id));
     if (entry !== undefined) return { kind: 'found', value: entry.value };
     return this.store.read(jobKey(id), POLL_LIMIT_MS);
   }
 
   /** Refuses a submission for good, unless it repeats one that was accepted. */
-  private async never(id: string, why: string): Promise<Answer<View>> {
+  private async never(id: string, why: string): Promise<RequestResult<JobView>> {
     const answer = await this.status(id, SUBMIT_LIMIT_MS);
-    return answer.kind === 'absent' ? { kind: 'never', why } : answer;
+    return answer.kind === 'not-found' ? { kind: 'rejected', reason: why } : answer;
   }
 
-  private async write(spec: JobSpec): Promise<Answer<View>> {
+  private async write(spec: JobSpec): Promise<RequestResult<JobView>> {
     const began = monotonicNow();
     const record: JobRecord = { spec, submittedAt: new Date(), status: 'open' };
     const key = jobKey(spec.id);
     for (let n = 0; ; n++) {
-      const result = await this.store.commit([{ key, stamp: 0 }], [{ write: key, value: writeJob(record) }]);
-      if (result.kind === 'ok')
-        return { kind: 'ok', fresh: true, value: { id: spec.id, standing: 'pending', done: 0, running: 0 } };
+      const result = await this.store.commit(
+        [{ key, modRevision: 0 }],
+        [{ write: key, value: encodeJob(record) }],
+      );
+      if (result.kind === 'committed')
+        return { kind: 'ok', created: true, value: { id: spec.id, status: 'pending', done: 0, running: 0 } };
       if (result.kind === 'conflict') {
-        if (!(await this.store.reached(result.rev, SUBMIT_LIMIT_MS - millisecondsSince(began)))) return cut;
+        if (!(await this.store.waitForRevision(result.revision, SUBMIT_LIMIT_MS - millisecondsSince(began))))
+          return cut;
         return this.status(spec.id, 1000);
       }
       const pauseMs = jittered(150 * 2 ** n);
@@ -152,29 +166,29 @@
   }
 
   /** Cancels a job. The answer is given only when the cancellation, or an earlier end, is committed. */
-  async cancel(id: string): Promise<Answer<View>> {
+  async cancel(id: string): Promise<RequestResult<JobView>> {
     const began = monotonicNow();
     for (let n = 0; millisecondsSince(began) < SUBMIT_LIMIT_MS; n++) {
       const seen = this.view(id);
-      if (seen !== null && (seen.standing === 'done' || seen.standing === 'cancelled')) return ok(seen);
+      if (seen !== null && (seen.status === 'done' || seen.status === 'cancelled')) return ok(seen);
       if (this.cutOff()) return cut;
-      const e = this.store.copy.get(jobKey(id));
+      const e = this.store.replica.get(jobKey(id));
       if (e === undefined || n > 0) {
         const answer = await this.status(id, 1500);
-        if (answer.kind !== 'ok' || answer.value.standing === 'done' || answer.value.standing === 'cancelled')
+        if (answer.kind !== 'ok' || answer.value.status === 'done' || answer.value.status === 'cancelled')
           return answer;
       }
-      const entry = this.store.copy.get(jobKey(id));
+      const entry = this.store.replica.get(jobKey(id));
       if (entry === undefined) continue;
       // It ended a moment ago: the next round finds that.
-      if (entry.value instanceof EndedJob) continue;
-      const record: JobRecord = { ...readJob(entry.value), status: 'cancelled' };
+      if (entry.value instanceof FinishedJobSummary) continue;
+      const record: JobRecord = { ...decodeJob(entry.value), status: 'cancelled' };
       const result = await this.store.commit(
-        [{ key: jobKey(id), stamp: entry.stamp }],
-        [{ write: jobKey(id), value: writeJob(record) }],
+        [{ key: jobKey(id), modRevision: entry.modRevision }],
+        [{ write: jobKey(id), value: encodeJob(record) }],
       );
-      if (result.kind === 'ok')
-        return { kind: 'ok', fresh: true, value: { id, standing: 'cancelled', done: 0, running: 0 } };
+      if (result.kind === 'committed')
+        return { kind: 'ok', created: true, value: { id, status: 'cancelled', done: 0, running: 0 } };
       if (result.kind === 'refused') await new Promise((done) => setTimeout(done, jittered(150 * 2 ** n)));
     }
     return cut;
@@ -182,7 +196,7 @@
 
   /** Nothing has been heard of the state service for so long that a user would only wait in vain. */
   private cutOff(): boolean {
-    return millisecondsSince(this.store.freshAt) > CUT_MS;
+    return millisecondsSince(this.store.lastSyncedAt) > CUT_MS;
   }
 
   /**
@@ -191,7 +205,7 @@
    */
   private tooLarge(spec: JobSpec): string | null {
     const longest: JobRecord = { spec, submittedAt: new Date(), status: 'cancelled' };
-    const bytes = Buffer.byteLength(JSON.stringify(writeJob(longest)));
+    const bytes = Buffer.byteLength(JSON.stringify(encodeJob(longest)));
     return bytes > this.facts.maxValueBytes ? 'too large for a record, with the jobs to wait for' : null;
   }
 
@@ -212,17 +226,21 @@
 
   jobCount(): number {
     let n = 0;
-    for (const key of this.store.copy.keys())
-      if (key.startsWith(ROOT) && parseKey(key).kind === 'job') n += 1;
+    for (const key of this.store.replica.keys())
+      if (key.startsWith(KEY_PREFIX) && parseKey(key).kind === 'job') n += 1;
     return n;
   }
 }
 
-const ok = (value: View): Answer<View> => ({ kind: 'ok', value, fresh: false });
-const cut: Answer<never> = { kind: 'later', seconds: 1, why: 'the state service does not answer' };
-const upgrading: Answer<never> = {
-  kind: 'later',
-  seconds: 2,
-  why: 'not before all controllers run a version that knows dependencies',
+const ok = (value: JobView): RequestResult<JobView> => ({ kind: 'ok', value, created: false });
+const cut: RequestResult<never> = {
+  kind: 'unavailable',
+  retryAfterS: 1,
+  reason: 'the state service does not answer',
+};
+const upgrading: RequestResult<never> = {
+  kind: 'unavailable',
+  retryAfterS: 2,
+  reason: 'not before all controllers run a version that knows dependencies',
 };
-const busy: Answer<never> = { kind: 'later', seconds: 1, why: 'too many requests' };
+const busy: RequestResult<never> = { kind: 'unavailable', retryAfterS: 1, reason: 'too many requests' };
--- a/src/edge/leadership/commit-loop.ts
+++ b/src/edge/leadership/commit-loop.ts
@@ -1,13 +1,13 @@
 import { interval, type Subscription } from 'rxjs';
 import type { JobStatus } from '../../core/model/job.js';
 import { operationCount, type Transaction } from '../../core/persistence/transactions.js';
-import { jobKey, pageKey, partKey, summaryOf, writeJob, writePage } from '../../wire/records.js';
+import { jobKey, pageKey, leaderKey, jobSummaryOf, encodeJob, encodePage } from '../../wire/records.js';
 import { currentTime } from '../runtime/clock.js';
 import { jittered } from '../runtime/jitter.js';
-import type { OwnedKey } from './leader-key.js';
+import type { LeaderKey } from './leader-key.js';
 import { RateLimiter } from '../runtime/rate-limiter.js';
-import type { Guard, Write } from '../state-store/state-store.js';
-import { isAborted, pause, supervise } from '../runtime/supervised-task.js';
+import type { CompareCondition, WriteOperation } from '../state-store/state-store.js';
+import { isAborted, sleep, supervise } from '../runtime/supervised-task.js';
 import type { TermContext } from './term-context.js';
 import { WakeSignal } from '../runtime/wake-signal.js';
 
@@ -34,9 +34,9 @@
 
   constructor(
     private readonly term: TermContext,
-    private readonly key: OwnedKey,
+    private readonly key: LeaderKey,
   ) {
-    const { facts, writeRps } = term.dependencies;
+    const { config: facts, maxWritesPerSecond: writeRps } = term.dependencies;
     this.writeRps = writeRps;
     this.budget = new RateLimiter(
       writeRps * MOST_SHARE,
@@ -46,7 +46,7 @@
 
   /** Runs until unsubscribed. */
   start(): Subscription {
-    const routines = supervise('commits', this.term.dependencies.log, (signal) => this.commits(signal));
+    const routines = supervise('commits', this.term.dependencies.logger, (signal) => this.commits(signal));
     routines.add(interval(1000).subscribe(() => this.share()));
     return routines;
   }
@@ -57,13 +57,13 @@
   }
 
   /** Has the token raised before the next transaction. */
-  requestRaise(why: string): void {
+  requestTokenAdvance(why: string): void {
     this.raise = why;
     this.wake();
   }
 
   /** A submission or cancellation of a user's was seen: such changes go first. */
-  countUsersChange(): void {
+  recordUserWrite(): void {
     this.usersChanges += 1;
   }
 
@@ -81,10 +81,10 @@
       await this.wakeSignal.wait(500, signal);
       if (isAborted(signal)) return;
       if (this.raise !== null) await this.raiseToken(signal);
-      const transaction = this.term.owner.nextTransaction(currentTime());
+      const transaction = this.term.scheduler.nextTransaction(currentTime());
       if (transaction === null) continue;
       const wait = this.budget.take(operationCount(transaction));
-      if (wait > 0) await pause(wait, signal);
+      if (wait > 0) await sleep(wait, signal);
       if (isAborted(signal)) return;
       await this.commit(transaction, signal);
       this.wake();
@@ -93,41 +93,44 @@
 
   /** More changes than it takes: from now on it takes what was announced, if that is less. */
   private heedRefusal(why: string): void {
-    const next = this.term.dependencies.nextWriteRps;
+    const next = this.term.dependencies.announcedMaxWritesPerSecond;
     if (why !== TOO_MANY || next >= this.writeRps) return;
     this.writeRps = next;
     this.share();
   }
 
   private async raiseToken(signal: AbortSignal): Promise<void> {
-    this.term.dependencies.log.info({ why: this.raise }, 'raising the token');
+    this.term.dependencies.logger.info({ why: this.raise }, 'raising the token');
     this.raise = null;
-    const result = await this.term.dependencies.store.commit(
-      [this.key.guard()],
+    const result = await this.term.dependencies.stateStore.commit(
+      [this.key.condition()],
       [
         {
-          write: partKey(this.term.dependencies.part),
-          value: this.term.dependencies.record,
-          permit: this.term.lease,
+          write: leaderKey(this.term.dependencies.partition),
+          value: this.term.dependencies.leaderRecord,
+          permit: this.term.leaseId,
         },
       ],
     );
     if (isAborted(signal)) return;
-    if (result.kind === 'ok') this.term.event({ kind: 'token-advanced', fencingToken: result.rev });
-    else if (result.kind === 'conflict' && !(await this.key.stillOwner()))
+    if (result.kind === 'committed')
+      this.term.dispatch({ kind: 'token-advanced', fencingToken: result.revision });
+    else if (result.kind === 'conflict' && !(await this.key.stillLeader()))
       this.term.end('the part has changed hands');
   }
 
   /** Sends a transaction until its fate is known. Its guards make repeats harmless. */
   private async commit(transaction: Transaction, signal: AbortSignal): Promise<void> {
-    const { store } = this.term.dependencies;
-    const guards: Guard[] = [{ key: partKey(this.term.dependencies.part), stamp: transaction.fencingToken }];
-    const writes: Write[] = [];
-    for (const [id, stamp] of transaction.guardedJobs) guards.push({ key: jobKey(id), stamp });
+    const { stateStore: store } = this.term.dependencies;
+    const guards: CompareCondition[] = [
+      { key: leaderKey(this.term.dependencies.partition), modRevision: transaction.fencingToken },
+    ];
+    const writes: WriteOperation[] = [];
+    for (const [id, stamp] of transaction.guardedJobs) guards.push({ key: jobKey(id), modRevision: stamp });
     for (const page of transaction.pages) {
-      const key = pageKey(this.term.dependencies.part, page.id);
-      guards.push({ key, stamp: page.modRevision });
-      writes.push({ write: key, value: writePage(page.entries, this.term.dependencies.facts.zones) });
+      const key = pageKey(this.term.dependencies.partition, page.id);
+      guards.push({ key, modRevision: page.modRevision });
+      writes.push({ write: key, value: encodePage(page.entries, this.term.dependencies.config.zones) });
     }
     for (const id of transaction.completedJobs) writes.push(...this.endOf(id, 'done'));
     for (const id of transaction.cancelledJobs) writes.push(...this.endOf(id, 'cancelled'));
@@ -135,57 +138,57 @@
     for (let n = 0; !signal.aborted; n++) {
       const result = await store.commit(guards, writes);
       if (isAborted(signal)) return;
-      if (result.kind === 'ok')
-        return this.term.event({
+      if (result.kind === 'committed')
+        return this.term.dispatch({
           kind: 'transaction-committed',
           transaction: transaction,
-          modRevision: result.rev,
+          modRevision: result.revision,
         });
       if (result.kind === 'conflict') return this.onConflict(transaction, result, doubtful, signal);
       if (result.kind === 'unknown') doubtful = true;
-      else this.heedRefusal(result.why);
-      this.term.dependencies.log.debug({ why: result.why, n }, 'transaction not settled yet');
-      await pause(jittered(Math.min(100 * 2 ** n, 1500)), signal);
+      else this.heedRefusal(result.reason);
+      this.term.dependencies.logger.debug({ why: result.reason, n }, 'transaction not settled yet');
+      await sleep(jittered(Math.min(100 * 2 ** n, 1500)), signal);
     }
   }
 
   /** The record of a job that is over; none if the job is not known any more. */
-  private endOf(id: string, standing: 'done' | 'cancelled'): Write[] {
-    const job = this.term.owner.state.jobs.byId.get(id);
+  private endOf(id: string, standing: 'done' | 'cancelled'): WriteOperation[] {
+    const job = this.term.scheduler.state.jobs.byId.get(id);
     if (job === undefined) return [];
     const { spec, submittedAt: submitted } = job;
-    return [{ write: jobKey(id), value: writeJob({ spec, submittedAt: submitted, status: standing }) }];
+    return [{ write: jobKey(id), value: encodeJob({ spec, submittedAt: submitted, status: standing }) }];
   }
 
   /** How a job stands by the followed copy; null if it is not there. */
   private standingOf(id: string): JobStatus | null {
-    const entry = this.term.dependencies.store.copy.get(jobKey(id));
-    return entry === undefined ? null : summaryOf(entry.value).standing;
+    const entry = this.term.dependencies.stateStore.replica.get(jobKey(id));
+    return entry === undefined ? null : jobSummaryOf(entry.value).status;
   }
 
   private async onConflict(
     transaction: Transaction,
-    conflict: { readonly failed: readonly string[]; readonly rev: number },
+    conflict: { readonly failedKeys: readonly string[]; readonly revision: number },
     doubtful: boolean,
     signal: AbortSignal,
   ): Promise<void> {
-    const { store } = this.term.dependencies;
-    const { failed } = conflict;
+    const { stateStore: store } = this.term.dependencies;
+    const { failedKeys: failed } = conflict;
     // What the conflict means can only be read from a copy that holds it: an older one still shows the stamps that the
     // transaction was guarded by, and taking those for what it left behind would fail every later write of the page.
-    while (!(await store.reached(conflict.rev, 2000))) if (isAborted(signal)) return;
-    if (!(await this.key.stillOwner())) return this.term.end('the part has changed hands');
+    while (!(await store.waitForRevision(conflict.revision, 2000))) if (isAborted(signal)) return;
+    if (!(await this.key.stillLeader())) return this.term.end('the part has changed hands');
     const moved = transaction.pages.find((page) =>
-      failed.includes(pageKey(this.term.dependencies.part, page.id)),
+      failed.includes(pageKey(this.term.dependencies.partition, page.id)),
     );
     // Pages have one writer: a page that moved on was moved by an earlier copy of this very transaction.
     if (moved !== undefined) {
-      const entry = store.copy.get(pageKey(this.term.dependencies.part, moved.id));
+      const entry = store.replica.get(pageKey(this.term.dependencies.partition, moved.id));
       if (doubtful && entry !== undefined)
-        return this.term.event({
+        return this.term.dispatch({
           kind: 'transaction-committed',
           transaction: transaction,
-          modRevision: entry.stamp,
+          modRevision: entry.modRevision,
         });
       return this.term.end('a page was written by somebody else');
     }
@@ -194,12 +197,12 @@
         transaction.completedJobs.every((id) => this.standingOf(id) === 'done') &&
         transaction.cancelledJobs.every((id) => this.standingOf(id) === 'cancelled');
       if (carriedOut)
-        return this.term.event({
+        return this.term.dispatch({
           kind: 'transaction-committed',
           transaction: transaction,
-          modRevision: store.rev,
+          modRevision: store.revision,
         });
     }
-    this.term.dependencies.log.info({ failed }, 'transaction refused by its guards; planned anew');
+    this.term.dependencies.logger.info({ failed }, 'transaction refused by its guards; planned anew');
   }
 }
--- a/src/edge/leadership/leader-key.ts
+++ b/src/edge/leadership/leader-key.ts
@@ -1,27 +1,30 @@
-import { partKey, type PartRecord } from '../../wire/records.js';
-import type { Guard } from '../state-store/state-store.js';
+import { leaderKey, type LeaderRecord } from '../../wire/records.js';
+import type { CompareCondition } from '../state-store/state-store.js';
 import type { TermContext } from './term-context.js';
 
 /** The key in the state service that makes this process the owner of the part. */
-export class OwnedKey {
+export class LeaderKey {
   constructor(private readonly term: TermContext) {}
 
   /** Has a transaction carried out only while we are the owner. */
-  guard(): Guard {
-    return { key: partKey(this.term.dependencies.part), stamp: this.term.owner.state.term.fencingToken };
+  condition(): CompareCondition {
+    return {
+      key: leaderKey(this.term.dependencies.partition),
+      modRevision: this.term.scheduler.state.term.fencingToken,
+    };
   }
 
   /** After a conflict on our own key: our own raise may just have been carried out, or the term is over. */
-  async stillOwner(): Promise<boolean> {
-    if (!(await this.term.dependencies.store.fresh(2000))) return true;
-    const entry = this.term.dependencies.store.copy.get(partKey(this.term.dependencies.part));
+  async stillLeader(): Promise<boolean> {
+    if (!(await this.term.dependencies.stateStore.syncReplica(2000))) return true;
+    const entry = this.term.dependencies.stateStore.replica.get(leaderKey(this.term.dependencies.partition));
     if (
       entry === undefined ||
-      (entry.value as PartRecord).incarnation !== this.term.dependencies.record.incarnation
+      (entry.value as LeaderRecord).incarnation !== this.term.dependencies.leaderRecord.incarnation
     )
       return false;
-    if (entry.stamp > this.term.owner.state.term.fencingToken)
-      this.term.event({ kind: 'token-advanced', fencingToken: entry.stamp });
+    if (entry.modRevision > this.term.scheduler.state.term.fencingToken)
+      this.term.dispatch({ kind: 'token-advanced', fencingToken: entry.modRevision });
     return true;
   }
 }
--- a/src/edge/leadership/leader-term.ts
+++ b/src/edge/leadership/leader-term.ts
@@ -2,7 +2,7 @@
 import { Subscription, interval } from 'rxjs';
 import { isOverloaded } from '../../core/state/overload.js';
 import type { Effect } from '../../core/model/effects.js';
-import type { WorkerCommand } from '../../core/model/worker-command.js';
+import type { HeartbeatAnswer } from '../../core/model/worker-command.js';
 import type { ScaleOutRequest } from '../../core/model/scale-out.js';
 import type { Heartbeat } from '../../core/model/heartbeat.js';
 import { ClusterScheduler, type Event } from '../../core/cluster-scheduler.js';
@@ -11,17 +11,23 @@
   mayStartTasks,
   previousLeadersDeadlineFrom,
 } from '../../core/state/leadership-timing.js';
-import { EndedJob, parseKey, readJob, zonesKey, type PartRecord } from '../../wire/records.js';
+import {
+  FinishedJobSummary,
+  parseKey,
+  decodeJob,
+  zoneRecordKey,
+  type LeaderRecord,
+} from '../../wire/records.js';
 import { currentTime, monotonicNow } from '../runtime/clock.js';
-import { CloudPolling } from '../cloud/cloud-poller.js';
+import { CloudPoller } from '../cloud/cloud-poller.js';
 import { CommitLoop } from './commit-loop.js';
-import { OwnedKey } from './leader-key.js';
-import { StateContact } from './leadership-lease.js';
-import type { Change, Entry } from '../state-store/state-store.js';
+import { LeaderKey } from './leader-key.js';
+import { LeadershipLease } from './leadership-lease.js';
+import type { KeyChange, ReplicaEntry } from '../state-store/state-store.js';
 import type { TermContext, TermDependencies } from './term-context.js';
-import { TermProfile, stepOf } from './term-startup-profile.js';
-import { Workers } from '../workers/worker-command-sender.js';
-import { ZoneKeeper } from './zone-record-writer.js';
+import { TermStartupProfile, stepOf } from './term-startup-profile.js';
+import { WorkerCommandSender } from '../workers/worker-command-sender.js';
+import { ZoneRecordWriter } from './zone-record-writer.js';
 
 const TICK_MS = 100;
 
@@ -29,15 +35,15 @@
  * One term as the owner of a part: the core with the sockets and timers round it. All of its routines hang on one
  * subscription, which ends with the term.
  */
-export class Term {
+export class LeaderTerm {
   private readonly owner: ClusterScheduler;
   private readonly routines = new Subscription();
-  private readonly workers: Workers;
+  private readonly workers: WorkerCommandSender;
   private readonly commits: CommitLoop;
-  private readonly contact: StateContact;
-  private readonly polling: CloudPolling;
-  private readonly profile: TermProfile;
-  private readonly zones: ZoneKeeper;
+  private readonly contact: LeadershipLease;
+  private readonly polling: CloudPoller;
+  private readonly profile: TermStartupProfile;
+  private readonly zones: ZoneRecordWriter;
   private rentals = 0;
   private over = false;
   private tickedAt = monotonicNow();
@@ -58,26 +64,26 @@
       fencingToken: token,
       startedAt: t.monotonic,
       confirmedAt: claimed,
-      previousLeadersDeadline: previousLeadersDeadlineFrom(dependencies.facts, t.monotonic),
+      previousLeadersDeadline: previousLeadersDeadlineFrom(dependencies.config, t.monotonic),
     };
     const zonePolicy = dependencies.newZonePolicy?.() ?? null;
-    this.owner = new ClusterScheduler(dependencies.facts, dependencies.settings, term, zonePolicy);
-    this.profile = new TermProfile(t.monotonic, dependencies.log);
+    this.owner = new ClusterScheduler(dependencies.config, dependencies.settings, term, zonePolicy);
+    this.profile = new TermStartupProfile(t.monotonic, dependencies.logger);
     const context: TermContext = {
       dependencies,
-      owner: this.owner,
-      lease,
-      renewMs,
-      event: (event) => this.event(event),
+      scheduler: this.owner,
+      leaseId: lease,
+      renewIntervalMs: renewMs,
+      dispatch: (event) => this.event(event),
       end: (why) => this.end(why),
     };
-    const key = new OwnedKey(context);
+    const key = new LeaderKey(context);
     this.commits = new CommitLoop(context, key);
-    this.contact = new StateContact(context, key);
-    this.polling = new CloudPolling(context);
-    this.zones = new ZoneKeeper(context, key);
-    this.workers = new Workers(
-      dependencies.directs,
+    this.contact = new LeadershipLease(context, key);
+    this.polling = new CloudPoller(context);
+    this.zones = new ZoneRecordWriter(context, key);
+    this.workers = new WorkerCommandSender(
+      dependencies.maxWorkerConnections,
       () => this.owner.state.term.fencingToken,
       (order) =>
         mayStartTasks(this.owner.state.term.confirmedAt, monotonicNow()) &&
@@ -85,27 +91,27 @@
       (result) =>
         this.event({
           kind: 'commands-answered',
-          machineName: result.job.machine,
-          agentEpoch: result.job.session,
-          fencingToken: result.token,
-          commands: result.job.orders,
+          machineName: result.batch.machineName,
+          agentEpoch: result.batch.agentEpoch,
+          fencingToken: result.fencingToken,
+          commands: result.batch.commands,
           outcome: result.outcome,
-          heartbeat: result.report,
+          heartbeat: result.heartbeat,
         }),
     );
   }
 
-  get token(): number {
+  get fencingToken(): number {
     return this.owner.state.term.fencingToken;
   }
 
   /** It is late with what workers ask. */
-  get behind(): boolean {
+  get overloaded(): boolean {
     return isOverloaded(this.owner.state.term);
   }
 
   start(): void {
-    const { store } = this.dependencies;
+    const { stateStore: store } = this.dependencies;
     this.load();
     this.routines.add(this.workers.start());
     this.routines.add(() => this.stop.abort());
@@ -120,7 +126,7 @@
   end(why: string): void {
     if (this.over) return;
     this.over = true;
-    this.dependencies.log.info({ token: this.token, why }, 'term over');
+    this.dependencies.logger.info({ fencingToken: this.fencingToken, why }, 'term over');
     this.routines.unsubscribe();
     this.dependencies.onEnd(why);
   }
@@ -130,46 +136,46 @@
   }
 
   /** The answer to a worker's report, or null if we may no longer answer. */
-  report(report: Heartbeat): { token: number; orders: WorkerCommand[] } | null {
+  onHeartbeat(report: Heartbeat): HeartbeatAnswer | null {
     if (
       this.over ||
-      !mayAcknowledgeHeartbeats(this.dependencies.facts, this.owner.state.term.confirmedAt, monotonicNow())
+      !mayAcknowledgeHeartbeats(this.dependencies.config, this.owner.state.term.confirmedAt, monotonicNow())
     )
       return null;
     this.event({ kind: 'heartbeat', heartbeat: report });
     if (this.isOver()) return null;
     const began = currentTime();
-    const orders = this.owner.answerHeartbeat(report, began);
+    const commands = this.owner.answerHeartbeat(report, began);
     if (this.profile.active) this.profile.add('reports', monotonicNow() - began.monotonic);
-    return { token: this.token, orders };
+    return { fencingToken: this.fencingToken, commands };
   }
 
-  private loadJob(id: string, { value, stamp }: Entry): void {
+  private loadJob(id: string, { value, modRevision: stamp }: ReplicaEntry): void {
     // Of a job that has ended and of which nothing is placed only others may want to know.
-    if (value instanceof EndedJob) this.event({ kind: 'job-finished', id, status: value.standing });
-    else this.event({ kind: 'job-changed', id, record: readJob(value), modRevision: stamp });
+    if (value instanceof FinishedJobSummary) this.event({ kind: 'job-finished', id, status: value.status });
+    else this.event({ kind: 'job-changed', id, record: decodeJob(value), modRevision: stamp });
   }
 
   private load(): void {
-    const pages: { readonly id: number; readonly entry: Entry }[] = [];
-    for (const [key, entry] of this.dependencies.store.copy) {
+    const pages: { readonly id: number; readonly entry: ReplicaEntry }[] = [];
+    for (const [key, entry] of this.dependencies.stateStore.replica) {
       const parsed = parseKey(key);
       if (parsed.kind === 'job') this.loadJob(parsed.id, entry);
-      if (parsed.kind === 'page' && parsed.part === this.dependencies.part)
+      if (parsed.kind === 'page' && parsed.partition === this.dependencies.partition)
         pages.push({ id: parsed.id, entry });
     }
     for (const { id, entry } of pages)
       this.event({
         kind: 'page-loaded',
         id,
-        entries: this.dependencies.pages.of(entry),
-        modRevision: entry.stamp,
+        entries: this.dependencies.pageCache.of(entry),
+        modRevision: entry.modRevision,
       });
     this.event({ kind: 'load-completed' });
-    const zones = this.dependencies.store.copy.get(zonesKey(this.dependencies.part));
+    const zones = this.dependencies.stateStore.replica.get(zoneRecordKey(this.dependencies.partition));
     if (zones !== undefined) this.owner.state.zonePolicy?.restore(zones.value, currentTime());
-    this.dependencies.log.info(
-      { token: this.token, jobs: this.owner.state.jobs.byId.size, pages: pages.length },
+    this.dependencies.logger.info(
+      { fencingToken: this.fencingToken, jobs: this.owner.state.jobs.byId.size, pages: pages.length },
       'term begins',
     );
   }
@@ -200,20 +206,20 @@
   }
 
   private carryOut(effect: Effect): void {
-    const { log } = this.dependencies;
+    const { logger: log } = this.dependencies;
     switch (effect.kind) {
       case 'log':
         log[effect.level](effect.fields, effect.message);
         break;
       case 'send-commands': {
         const endpoint = this.owner.state.machines.byName.get(effect.machineName)?.endpoint ?? '';
-        const job = {
-          machine: effect.machineName,
+        const batch = {
+          machineName: effect.machineName,
           endpoint,
-          session: effect.agentEpoch,
-          orders: effect.commands,
+          agentEpoch: effect.agentEpoch,
+          commands: effect.commands,
         };
-        if (endpoint !== '') this.workers.push(job);
+        if (endpoint !== '') this.workers.push(batch);
         break;
       }
       case 'scale-out':
@@ -223,16 +229,16 @@
         this.giveBack(effect.machineNames, effect.reason);
         break;
       case 'advance-token':
-        this.commits.requestRaise(effect.reason);
+        this.commits.requestTokenAdvance(effect.reason);
         break;
       case 'persist-zones':
-        this.zones.keep(effect.record);
+        this.zones.save(effect.record);
         break;
       case 'step-down':
         this.end(effect.reason);
-        this.dependencies.onAbdicate();
+        this.dependencies.onStepDown();
         // Without its lease the key goes at once, and another controller can take the part.
-        void this.dependencies.store.revokeLease(this.lease);
+        void this.dependencies.stateStore.revokeLease(this.lease);
         break;
       case 'superseded':
         this.end(`a worker has seen the higher token ${effect.fencingToken}`);
@@ -244,8 +250,8 @@
     // The first token of a term is committed and belongs to this process alone: names made of it are never reused.
     const name = `r-${this.owner.state.term.firstFencingToken}-${++this.rentals}`;
     this.event({ kind: 'scale-out-started', name, request: order });
-    void this.dependencies.cloud.rent(name, order, this.stop.signal).then((machines) => {
-      this.dependencies.log.info(
+    void this.dependencies.cloud.scaleOut(name, order, this.stop.signal).then((machines) => {
+      this.dependencies.logger.info(
         { name, wanted: order.count, got: machines?.length ?? 0 },
         'rental answered',
       );
@@ -254,9 +260,9 @@
   }
 
   private giveBack(machines: readonly string[], why: string): void {
-    this.dependencies.log.info({ machines, why }, 'returning machines');
+    this.dependencies.logger.info({ machines, why }, 'returning machines');
     void this.dependencies.cloud
-      .remove(
+      .scaleIn(
         machines,
         () => mayStartTasks(this.owner.state.term.confirmedAt, monotonicNow()),
         this.stop.signal,
@@ -264,20 +270,23 @@
       .then((ok) => this.event({ kind: 'scale-in-answered', machines, succeeded: ok }));
   }
 
-  private onChange(change: Change): void {
+  private onChange(change: KeyChange): void {
     const key = parseKey(change.key);
     if (key.kind === 'job' && change.entry !== null) {
-      if (change.entry.value instanceof EndedJob) return;
-      const record = readJob(change.entry.value);
-      if (record.status !== 'done') this.commits.countUsersChange();
-      this.event({ kind: 'job-changed', id: key.id, record, modRevision: change.entry.stamp });
+      if (change.entry.value instanceof FinishedJobSummary) return;
+      const record = decodeJob(change.entry.value);
+      if (record.status !== 'done') this.commits.recordUserWrite();
+      this.event({ kind: 'job-changed', id: key.id, record, modRevision: change.entry.modRevision });
     }
-    if (key.kind === 'part' && key.part === this.dependencies.part) {
+    if (key.kind === 'leader' && key.partition === this.dependencies.partition) {
       const mine =
         change.entry !== null &&
-        (change.entry.value as PartRecord).incarnation === this.dependencies.record.incarnation;
+        (change.entry.value as LeaderRecord).incarnation === this.dependencies.leaderRecord.incarnation;
       // Our own key may be followed late, but a key that is gone or another's is the end of the term.
-      if (!mine && (change.entry === null || change.entry.stamp > this.owner.state.term.firstFencingToken))
+      if (
+        !mine &&
+        (change.entry === null || change.entry.modRevision > this.owner.state.term.firstFencingToken)
+      )
         this.end('the part has another owner');
     }
   }
--- a/src/edge/leadership/leadership-lease.ts
+++ b/src/edge/leadership/leadership-lease.ts
@@ -1,7 +1,7 @@
 import type { Subscription } from 'rxjs';
 import { monotonicNow } from '../runtime/clock.js';
-import type { OwnedKey } from './leader-key.js';
-import { isAborted, pause, supervise } from '../runtime/supervised-task.js';
+import type { LeaderKey } from './leader-key.js';
+import { isAborted, sleep, supervise } from '../runtime/supervised-task.js';
 import type { TermContext } from './term-context.js';
 
 const HEARTBEAT_MS = 1000;
@@ -9,15 +9,15 @@
 const MOST_RENEWALS = 3;
 
 /** Keeps the term's lease in the state service, and proves again and again that the term still owns the part. */
-export class StateContact {
+export class LeadershipLease {
   constructor(
     private readonly term: TermContext,
-    private readonly key: OwnedKey,
+    private readonly key: LeaderKey,
   ) {}
 
   /** Runs until unsubscribed. */
   start(): Subscription {
-    const { log } = this.term.dependencies;
+    const { logger: log } = this.term.dependencies;
     const routines = supervise('lease', log, (signal) => this.keepLease(signal));
     routines.add(supervise('heartbeat', log, (signal) => this.heartbeat(signal)));
     return routines;
@@ -32,12 +32,12 @@
     while (!signal.aborted) {
       if (underWay < MOST_RENEWALS) {
         underWay += 1;
-        void this.term.dependencies.store.renewLease(this.term.lease).then((r) => {
+        void this.term.dependencies.stateStore.renewLease(this.term.leaseId).then((r) => {
           underWay -= 1;
           if (r === 'ended' && !signal.aborted) this.term.end('the lease in the state service ended');
         });
       }
-      await pause(this.term.renewMs, signal);
+      await sleep(this.term.renewIntervalMs, signal);
     }
   }
 
@@ -45,13 +45,16 @@
   private async heartbeat(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       const sent = monotonicNow();
-      const result = await this.term.dependencies.store.commit([this.key.guard()], [], 1000);
+      const result = await this.term.dependencies.stateStore.commit([this.key.condition()], [], 1000);
       if (isAborted(signal)) return;
-      if (result.kind === 'ok' && (await this.term.dependencies.store.reached(result.rev, 1000)))
-        this.term.event({ kind: 'leadership-confirmed', confirmedAt: sent });
-      if (result.kind === 'conflict' && !(await this.key.stillOwner()))
+      if (
+        result.kind === 'committed' &&
+        (await this.term.dependencies.stateStore.waitForRevision(result.revision, 1000))
+      )
+        this.term.dispatch({ kind: 'leadership-confirmed', confirmedAt: sent });
+      if (result.kind === 'conflict' && !(await this.key.stillLeader()))
         return this.term.end('the part has changed hands');
-      await pause(HEARTBEAT_MS, signal);
+      await sleep(HEARTBEAT_MS, signal);
     }
   }
 }
--- a/src/edge/leadership/term-startup-profile.ts
+++ b/src/edge/leadership/term-startup-profile.ts
@@ -1,5 +1,5 @@
 import type { Event } from '../../core/cluster-scheduler.js';
-import type { Log } from '../runtime/logger.js';
+import type { Logger } from '../runtime/logger.js';
 
 /** What the beginning of a term is spent on, step by step. */
 export type TermStep =
@@ -31,13 +31,13 @@
 export const stepOf = (event: Event): TermStep => STEPS[event.kind];
 
 /** Adds up what each step of a term's first seconds took, and tells it once in the log. */
-export class TermProfile {
+export class TermStartupProfile {
   private readonly spent = new Map<TermStep, bigint>();
   private told = false;
 
   constructor(
     private readonly began: bigint,
-    private readonly log: Log,
+    private readonly log: Logger,
   ) {}
 
   /** Still adding up: afterwards nothing need be measured. */
--- a/src/edge/leadership/zone-record-writer.ts
+++ b/src/edge/leadership/zone-record-writer.ts
@@ -1,7 +1,7 @@
-import { zonesKey } from '../../wire/records.js';
+import { zoneRecordKey } from '../../wire/records.js';
 import { jittered } from '../runtime/jitter.js';
-import type { OwnedKey } from './leader-key.js';
-import { isAborted, pause, supervise } from '../runtime/supervised-task.js';
+import type { LeaderKey } from './leader-key.js';
+import { isAborted, sleep, supervise } from '../runtime/supervised-task.js';
 import type { Subscription } from 'rxjs';
 import type { TermContext } from './term-context.js';
 import { WakeSignal } from '../runtime/wake-signal.js';
@@ -13,21 +13,21 @@
  * Keeps in the state service what the next owner must know of zones: one small record, the newest of those that wait,
  * written under the owner's stamp. If it is lost, the next owner starts afresh.
  */
-export class ZoneKeeper {
+export class ZoneRecordWriter {
   private newest: { readonly value: unknown } | null = null;
   private readonly wake = new WakeSignal();
 
   constructor(
     private readonly term: TermContext,
-    private readonly key: OwnedKey,
+    private readonly key: LeaderKey,
   ) {}
 
   /** Runs until unsubscribed. */
   start(): Subscription {
-    return supervise('zones', this.term.dependencies.log, (signal) => this.run(signal));
+    return supervise('zones', this.term.dependencies.logger, (signal) => this.run(signal));
   }
 
-  keep(value: unknown): void {
+  save(value: unknown): void {
     this.newest = { value };
     this.wake.wake();
   }
@@ -37,11 +37,11 @@
       await this.wake.wait(EVERY_MS, signal);
       const next = this.newest;
       if (next === null || isAborted(signal)) continue;
-      const { store, part } = this.term.dependencies;
-      const write = { write: zonesKey(part), value: next.value };
-      const result = await store.commit([this.key.guard()], [write]);
-      if (result.kind === 'ok' && this.newest === next) this.newest = null;
-      await pause(jittered(EVERY_MS), signal);
+      const { stateStore: store, partition: part } = this.term.dependencies;
+      const write = { write: zoneRecordKey(part), value: next.value };
+      const result = await store.commit([this.key.condition()], [write]);
+      if (result.kind === 'committed' && this.newest === next) this.newest = null;
+      await sleep(jittered(EVERY_MS), signal);
     }
   }
 }
--- a/src/edge/peers/peer-links.ts
+++ b/src/edge/peers/peer-links.ts
@@ -1,11 +1,11 @@
 import { createServer, connect, type Socket } from 'node:net';
 import { Observable, Subscription, fromEvent, interval, takeUntil } from 'rxjs';
-import { FrameReader, statusFrame, type Status } from '../../wire/frames.js';
+import { FrameReader, encodeStatus, type ControllerStatus } from '../../wire/frames.js';
 import { millisecondsSince, monotonicNow } from '../runtime/clock.js';
-import { supervise, messageOf, pause } from '../runtime/supervised-task.js';
+import { supervise, errorMessage, sleep } from '../runtime/supervised-task.js';
 import { parseTarget } from '../net/http-client.js';
 import { jittered } from '../runtime/jitter.js';
-import { warnSparsely, type Log } from '../runtime/logger.js';
+import { warnRateLimited, type Logger } from '../runtime/logger.js';
 
 /** Another controller. */
 export interface Peer {
@@ -25,27 +25,31 @@
  * The link between controllers: each dials the others and tells its status a few times a second. It tells an outage of
  * the state service from one that only we see. Nothing safe depends on it: a peer may refuse, lie, stall or be cut off.
  */
-export class Peers {
-  private readonly heard = new Map<string, { readonly status: Status; readonly at: bigint }>();
+export class PeerLinks {
+  private readonly heard = new Map<string, { readonly status: ControllerStatus; readonly at: bigint }>();
 
   constructor(
     private readonly addr: string,
     private readonly known: readonly Peer[],
-    private readonly own: () => Status,
-    private readonly log: Log,
+    private readonly own: () => ControllerStatus,
+    private readonly log: Logger,
   ) {}
 
   /** How many other controllers there are. */
-  get others(): number {
+  get peerCount(): number {
     return this.known.length;
   }
 
   /** How many other controllers have lately been answered by the state service. */
-  othersServing(): number {
+  peersServing(): number {
     let serving = 0;
     for (const { status, at } of this.heard.values()) {
       const age = millisecondsSince(at);
-      if (age < RECENT_MS && status.contactMs !== null && status.contactMs + age < 2 * RECENT_MS)
+      if (
+        age < RECENT_MS &&
+        status.stateStoreContactMs !== null &&
+        status.stateStoreContactMs + age < 2 * RECENT_MS
+      )
         serving += 1;
     }
     return serving;
@@ -70,7 +74,7 @@
       server.maxConnections = 4 * Math.max(1, this.known.length);
       // Without the link we go on as one who hears no peer.
       server.on('error', (e) =>
-        this.log.warn({ error: messageOf(e) }, 'cannot listen for other controllers'),
+        this.log.warn({ error: errorMessage(e) }, 'cannot listen for other controllers'),
       );
       const at = parseTarget(this.addr);
       server.listen(at.port, at.host);
@@ -97,7 +101,7 @@
         try {
           for (const status of reader.push(data)) this.take(status);
         } catch (e) {
-          warnSparsely(this.log, { error: messageOf(e) }, 'a controller sent what cannot be read');
+          warnRateLimited(this.log, { error: errorMessage(e) }, 'a controller sent what cannot be read');
           socket.destroy();
         }
       }),
@@ -105,7 +109,7 @@
     return one;
   }
 
-  private take(status: Status): void {
+  private take(status: ControllerStatus): void {
     if (this.known.some((peer) => peer.label === status.label))
       this.heard.set(status.label, { status, at: monotonicNow() });
   }
@@ -113,7 +117,7 @@
   private async dial(peer: Peer, signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       await this.tell(peer, signal);
-      await pause(jittered(1000), signal);
+      await sleep(jittered(1000), signal);
     }
   }
 
@@ -137,11 +141,11 @@
       socket.once('connect', () => {
         clearTimeout(timer);
         socket.setNoDelay(true);
-        socket.write(statusFrame(this.own()));
+        socket.write(encodeStatus(this.own()));
         routine.add(
           interval(TELL_MS).subscribe(() => {
             if (socket.writableLength > BACKLOG) socket.destroy();
-            else socket.write(statusFrame(this.own()));
+            else socket.write(encodeStatus(this.own()));
           }),
         );
       });
--- a/src/edge/runtime/logger.ts
+++ b/src/edge/runtime/logger.ts
@@ -4,10 +4,10 @@
 const LEVELS = new Set(['error', 'warn', 'info', 'debug']);
 
 /** The structured log. */
-export type Log = pino.Logger;
+export type Logger = pino.Logger;
 
 /** Writes JSON lines to standard error, at once: a process that is killed leaves what it said. */
-export function makeLog(label: string): Log {
+export function createLogger(label: string): Logger {
   const wanted = process.env['LOG_LEVEL'] ?? 'info';
   return pino(
     {
@@ -20,10 +20,10 @@
 }
 
 const SPARSE_MS = 10_000;
-const lately = new WeakMap<Log, Map<string, { at: bigint; passedOver: number }>>();
+const lately = new WeakMap<Logger, Map<string, { at: bigint; passedOver: number }>>();
 
 /** Warns of what may come in floods, such as messages that cannot be read: each text once in a while, with a count. */
-export function warnSparsely(log: Log, about: Record<string, unknown>, text: string): void {
+export function warnRateLimited(log: Logger, about: Record<string, unknown>, text: string): void {
   const texts = lately.get(log) ?? new Map<string, { at: bigint; passedOver: number }>();
   lately.set(log, texts);
   const last = texts.get(text);
--- a/src/edge/runtime/memory-monitor.ts
+++ b/src/edge/runtime/memory-monitor.ts
@@ -2,7 +2,7 @@
 import { setFlagsFromString } from 'node:v8';
 import { runInNewContext } from 'node:vm';
 import { Subscription, interval } from 'rxjs';
-import type { Log } from './logger.js';
+import type { Logger } from './logger.js';
 
 /**
  * The settings say how much memory a controller may hold; going over ends it. One start command serves every
@@ -18,14 +18,14 @@
 /** How far the heap may grow between two collections, in percent of what lived through the last. */
 const GROWING_PERCENT = 35;
 /** The program, its heap and its buffers hold about half of this before the first request; a takeover needs the rest. */
-export const LEAST_MB = 96;
+export const MIN_MEMORY_MB = 96;
 
 /**
  * What a process holds for itself, of what is resident: pages of files, the engine's own code above all, are shared and
  * given back by the kernel when it is short. Counting them had a controller with two fifths of its memory left refuse
  * its users for the rest of the day. `statm`: size, resident, shared, … in pages.
  */
-export function ownShare(statm: string): number {
+export function privateShare(statm: string): number {
   const [, resident = NaN, shared = NaN] = statm.split(' ').map(Number);
   const own = (resident - shared) / resident;
   return own > 0 && own <= 1 ? own : 1;
@@ -34,31 +34,31 @@
 function heldBytes(): number {
   const resident = process.memoryUsage.rss();
   try {
-    return resident * ownShare(readFileSync('/proc/self/statm', 'latin1'));
+    return resident * privateShare(readFileSync('/proc/self/statm', 'latin1'));
   } catch {
     return resident;
   }
 }
 
 /** What is to be done at a look, by the shares of the limit that are held now and were held after the last collection. */
-export function judge(held: number, afterLast: number): 'collect' | 'shed' | 'rest' {
+export function memoryAction(held: number, afterLast: number): 'collect' | 'shed' | 'rest' {
   if (held >= COLLECT && held >= afterLast + GROWN) return 'collect';
   return held >= SHED ? 'shed' : 'rest';
 }
 
 /** Keeps the process below its memory limit. */
-export class Memory {
+export class MemoryMonitor {
   private afterLast = 0;
   private shedding = false;
   private collect: (() => void) | null = null;
 
   constructor(
     private readonly limitMb: number | null,
-    private readonly log: Log,
+    private readonly log: Logger,
   ) {}
 
   /** So little is left that users are better refused than the process ended. */
-  get tight(): boolean {
+  get underPressure(): boolean {
     return this.shedding;
   }
 
@@ -79,11 +79,11 @@
   private look(): void {
     const held = this.held();
     this.afterLast = Math.min(this.afterLast, held);
-    let step = judge(held, this.afterLast);
+    let step = memoryAction(held, this.afterLast);
     if (step === 'collect') {
       this.collect?.();
       this.afterLast = this.held();
-      step = judge(this.afterLast, this.afterLast);
+      step = memoryAction(this.afterLast, this.afterLast);
       this.log.debug({ share: this.afterLast }, 'memory collected');
     }
     const shed = step === 'shed';
--- a/src/edge/runtime/supervised-task.ts
+++ b/src/edge/runtime/supervised-task.ts
@@ -1,15 +1,15 @@
 /** @file Long-lived tasks that end with their owner and begin anew after an error. */
-import { type Log, warnSparsely } from './logger.js';
+import { type Logger, warnRateLimited } from './logger.js';
 import { Observable, Subscription, retry, timer } from 'rxjs';
 
 /** The message of whatever was thrown. */
-export const messageOf = (e: unknown): string => (e instanceof Error ? e.message : String(e));
+export const errorMessage = (e: unknown): string => (e instanceof Error ? e.message : String(e));
 
 /** Whether the signal was given; a function, since the answer changes while one waits. */
 export const isAborted = (signal: AbortSignal): boolean => signal.aborted;
 
 /** Waits, or ends early (and quietly) when the signal is given. Callers look at the signal afterwards. */
-export function pause(ms: number, signal: AbortSignal): Promise<void> {
+export function sleep(ms: number, signal: AbortSignal): Promise<void> {
   return new Promise((resolve) => {
     if (signal.aborted) return resolve();
     const done = (): void => {
@@ -28,7 +28,7 @@
  */
 export function supervise(
   name: string,
-  log: Log,
+  log: Logger,
   body: (signal: AbortSignal) => Promise<void>,
 ): Subscription {
   return new Observable<never>((subscriber) => {
@@ -42,7 +42,7 @@
     .pipe(
       retry({
         delay: (e) => {
-          warnSparsely(log, { error: messageOf(e) }, `task "${name}" failed and begins anew`);
+          warnRateLimited(log, { error: errorMessage(e) }, `task "${name}" failed and begins anew`);
           return timer(250);
         },
       }),
--- a/src/edge/service.ts
+++ b/src/edge/service.ts
@@ -1,92 +1,92 @@
 import { Subscription } from 'rxjs';
 import type { OperatorSettings } from '../core/model/operator-settings.js';
-import { serve } from './http/http-server.js';
+import { startHttpServer } from './http/http-server.js';
 import { millisecondsSince, monotonicNow } from './runtime/clock.js';
-import { Cloud } from './cloud/cloud-client.js';
+import { CloudClient } from './cloud/cloud-client.js';
 import { RequestHandler } from './http/request-handler.js';
-import { supervise, messageOf, pause } from './runtime/supervised-task.js';
-import { DecodedPages } from './state-store/decoded-page-cache.js';
-import { EndedJobs } from './state-store/finished-job-compactor.js';
+import { supervise, errorMessage, sleep } from './runtime/supervised-task.js';
+import { DecodedPageCache } from './state-store/decoded-page-cache.js';
+import { FinishedJobCompactor } from './state-store/finished-job-compactor.js';
 import { zonePolicyFor } from './config/feature-loader.js';
 import type { Features } from './config/features.js';
-import { ImagesSeen } from './state-store/image-cache-observer.js';
+import { ImageCacheObserver } from './state-store/image-cache-observer.js';
 import { isHealthy } from './http/health.js';
 import { jittered } from './runtime/jitter.js';
-import type { Log } from './runtime/logger.js';
-import { Memory } from './runtime/memory-monitor.js';
-import { Ownership } from './leadership/leader-election.js';
-import { Peers } from './peers/peer-links.js';
-import { factsOf, type Platform } from './config/platform-settings.js';
-import { shareSockets } from './config/connection-limits.js';
-import { Store } from './state-store/state-store.js';
-import { Versions } from './state-store/controller-versions.js';
+import type { Logger } from './runtime/logger.js';
+import { MemoryMonitor } from './runtime/memory-monitor.js';
+import { LeaderElection } from './leadership/leader-election.js';
+import { PeerLinks } from './peers/peer-links.js';
+import { clusterConfigFrom, type PlatformSettings } from './config/platform-settings.js';
+import { connectionLimitsFor } from './config/connection-limits.js';
+import { StateStore } from './state-store/state-store.js';
+import { ControllerVersions } from './state-store/controller-versions.js';
 
 /** The one part of today; names and keys leave room for more. */
 const PART = 'all';
 /** A controller: everything it does hangs on the subscription that this returns. */
 export function startService(
-  p: Platform,
+  p: PlatformSettings,
   settings: OperatorSettings,
   features: Features,
-  log: Log,
+  log: Logger,
   onFatal: (why: string) => void,
 ): Subscription {
-  const facts = factsOf(p);
-  const store = new Store(p.external.state, log);
-  const cloud = new Cloud(p.external.cloud, p.facts.cloud.rps, log);
-  const memory = new Memory(p.facts.limits?.memory_mb ?? null, log);
-  const sockets = shareSockets(p.facts.limits?.max_sockets ?? null);
-  const versions = new Versions(
+  const facts = clusterConfigFrom(p);
+  const store = new StateStore(p.external.state, log);
+  const cloud = new CloudClient(p.external.cloud, p.facts.cloud.rps, log);
+  const memory = new MemoryMonitor(p.facts.limits?.memory_mb ?? null, log);
+  const sockets = connectionLimitsFor(p.facts.limits?.max_sockets ?? null);
+  const versions = new ControllerVersions(
     store,
     p.label,
     p.known.map((peer) => peer.label),
     log,
   );
-  const requests = new RequestHandler(store, facts, versions, log, () => memory.tight);
+  const requests = new RequestHandler(store, facts, versions, log, () => memory.underPressure);
   const incarnation = `${p.label}-${new Date().getTime()}-${monotonicNow()}`;
-  const pages = new DecodedPages();
-  const images = new ImagesSeen(store, log, pages, (): boolean => owner.term !== null);
-  const owner: Ownership = new Ownership({
-    part: PART,
+  const pages = new DecodedPageCache();
+  const images = new ImageCacheObserver(store, log, pages, (): boolean => owner.currentTerm !== null);
+  const owner: LeaderElection = new LeaderElection({
+    partition: PART,
     label: p.label,
     incarnation,
-    facts,
+    config: facts,
     settings,
-    store,
+    stateStore: store,
     cloud,
-    log,
-    writeRps: p.facts.state.write_rps,
-    nextWriteRps: p.facts.state.next?.write_rps ?? Infinity,
-    images,
-    pages,
-    directs: sockets.direct,
+    logger: log,
+    maxWritesPerSecond: p.facts.state.write_rps,
+    announcedMaxWritesPerSecond: p.facts.state.next?.write_rps ?? Infinity,
+    imageObserver: images,
+    pageCache: pages,
+    maxWorkerConnections: sockets.workerCommands,
     newZonePolicy: zonePolicyFor(features, facts),
   });
 
-  const peers = new Peers(
+  const peers = new PeerLinks(
     p.internal_addr,
     p.known,
     () => ({
       label: p.label,
-      owner: owner.term !== null,
-      contactMs: store.freshAt === 0n ? null : millisecondsSince(store.freshAt),
-      token: BigInt(owner.term?.token ?? 0),
+      isLeader: owner.currentTerm !== null,
+      stateStoreContactMs: store.lastSyncedAt === 0n ? null : millisecondsSince(store.lastSyncedAt),
+      fencingToken: BigInt(owner.currentTerm?.fencingToken ?? 0),
     }),
     log,
   );
   const healthy = (): boolean =>
     isHealthy({
       ready: requests.ready,
-      copyMs: millisecondsSince(store.freshAt),
-      leading: owner.term !== null,
-      behind: owner.term?.behind === true,
-      others: peers.others,
-      othersServing: peers.othersServing(),
+      replicaAgeMs: millisecondsSince(store.lastSyncedAt),
+      isLeader: owner.currentTerm !== null,
+      overloaded: owner.currentTerm?.overloaded === true,
+      peerCount: peers.peerCount,
+      peersServing: peers.peersServing(),
     });
 
   const all = new Subscription();
   all.add(memory.start());
-  all.add(new EndedJobs(store, requests.counts).start());
+  all.add(new FinishedJobCompactor(store, requests.counts).start());
   all.add(images.start());
   all.add(store.start());
   all.add(peers.start());
@@ -95,9 +95,9 @@
   all.add(
     supervise('types for users', log, async (signal) => {
       while (!signal.aborted) {
-        const types = await cloud.types(signal);
+        const types = await cloud.listMachineTypes(signal);
         if (types !== null) requests.types = types;
-        await pause(types === null ? jittered(1000) : 300_000, signal);
+        await sleep(types === null ? jittered(1000) : 300_000, signal);
       }
     }),
   );
@@ -105,28 +105,28 @@
   all.add(
     supervise('contact', log, async (signal) => {
       while (!signal.aborted) {
-        if (store.loaded && millisecondsSince(store.freshAt) > 800) await store.fresh(1000);
-        await pause(500, signal);
+        if (store.loaded && millisecondsSince(store.lastSyncedAt) > 800) await store.syncReplica(1000);
+        await sleep(500, signal);
       }
     }),
   );
   all.add(
-    serve({
-      addr: p.api_addr,
+    startHttpServer({
+      address: p.api_addr,
       requests,
-      log,
-      healthy,
-      sockets,
+      logger: log,
+      isHealthy: healthy,
+      connectionLimits: sockets,
       coreShare: p.facts.limits?.core_share ?? 1,
-      leading: () => owner.term !== null,
-      report: (report) => owner.term?.report(report) ?? null,
-      ownerLabel: () => {
-        const label = owner.ownerLabel();
+      isLeader: () => owner.currentTerm !== null,
+      onHeartbeat: (report) => owner.currentTerm?.onHeartbeat(report) ?? null,
+      leaderLabel: () => {
+        const label = owner.leaderLabel();
         return label === p.label ? null : label;
       },
     }).subscribe({
       next: ({ port }) => log.info({ port }, 'listening'),
-      error: (e: unknown) => onFatal(`cannot listen on ${p.api_addr}: ${messageOf(e)}`),
+      error: (e: unknown) => onFatal(`cannot listen on ${p.api_addr}: ${errorMessage(e)}`),
     }),
   );
   return all;
--- a/src/edge/state-store/coalesced-read.ts
+++ b/src/edge/state-store/coalesced-read.ts
@@ -4,7 +4,7 @@
  * A read shared by those who need it. Whoever comes before the read is sent shares it; whoever comes after waits for the next
  * one, so that each answer is at least as new as the request. Reads are sent at least `gapMs` apart.
  */
-export class SharedRead<T> {
+export class CoalescedRead<T> {
   private unsent: Promise<T> | null = null;
   private sentAt = 0n;
 
@@ -13,7 +13,7 @@
     private readonly read: () => Promise<T>,
   ) {}
 
-  ask(): Promise<T> {
+  request(): Promise<T> {
     this.unsent ??= this.run();
     return this.unsent;
   }
--- a/src/edge/state-store/controller-versions.ts
+++ b/src/edge/state-store/controller-versions.ts
@@ -1,15 +1,15 @@
 import type { Subscription } from 'rxjs';
-import { featuresIn, versionKey, type VersionRecord } from '../../wire/records.js';
+import { decodeFeatures, versionKey, type VersionRecord } from '../../wire/records.js';
 import { jittered } from '../runtime/jitter.js';
-import type { Log } from '../runtime/logger.js';
-import type { Store } from './state-store.js';
-import { pause, supervise } from '../runtime/supervised-task.js';
+import type { Logger } from '../runtime/logger.js';
+import type { StateStore } from './state-store.js';
+import { sleep, supervise } from '../runtime/supervised-task.js';
 
 /** Jobs that wait for jobs. */
-export const DEPENDENCIES = 'dependencies';
+export const DEPENDENCIES_FEATURE = 'dependencies';
 
 /** What this version can do beyond the ones that kept no such record. */
-const FEATURES: readonly string[] = [DEPENDENCIES];
+const FEATURES: readonly string[] = [DEPENDENCIES_FEATURE];
 
 const RETRY_MS = 1000;
 
@@ -19,16 +19,16 @@
  * service, under a key that older versions pass over, and a feature is used only once every controller has been seen
  * with it. A controller that was never seen counts as old; one that was seen stays so while it is down.
  */
-export class Versions {
+export class ControllerVersions {
   constructor(
-    private readonly store: Store,
+    private readonly store: StateStore,
     private readonly label: string,
     private readonly others: readonly string[],
-    private readonly log: Log,
+    private readonly log: Logger,
   ) {}
 
   /** Whether every controller's version can do it, as far as the followed copy knows. */
-  allHave(feature: string): boolean {
+  allSupport(feature: string): boolean {
     return [this.label, ...this.others].every((label) => this.featuresOf(label).includes(feature));
   }
 
@@ -38,8 +38,8 @@
   }
 
   private featuresOf(label: string): readonly string[] {
-    const entry = this.store.copy.get(versionKey(label));
-    return entry === undefined ? [] : featuresIn(entry.value);
+    const entry = this.store.replica.get(versionKey(label));
+    return entry === undefined ? [] : decodeFeatures(entry.value);
   }
 
   private async register(signal: AbortSignal): Promise<void> {
@@ -48,10 +48,10 @@
     while (!signal.aborted) {
       if (this.store.loaded) {
         if (FEATURES.every((feature) => this.featuresOf(this.label).includes(feature))) return;
-        const stamp = this.store.copy.get(key)?.stamp ?? 0;
-        await this.store.commit([{ key, stamp }], [{ write: key, value }]);
+        const stamp = this.store.replica.get(key)?.modRevision ?? 0;
+        await this.store.commit([{ key, modRevision: stamp }], [{ write: key, value }]);
       }
-      await pause(jittered(RETRY_MS), signal);
+      await sleep(jittered(RETRY_MS), signal);
     }
   }
 }
--- a/src/edge/state-store/decoded-page-cache.ts
+++ b/src/edge/state-store/decoded-page-cache.ts
@@ -1,18 +1,18 @@
 import type { PageEntry } from '../../core/records/record-pages.js';
-import { readPage } from '../../wire/records.js';
-import type { Entry } from './state-store.js';
+import { decodePage } from '../../wire/records.js';
+import type { ReplicaEntry } from './state-store.js';
 
 /** Pages of the followed copy, taken apart once each: a standby that follows them has them ready when it takes over. */
-export class DecodedPages {
-  private readonly known = new WeakMap<Entry, readonly PageEntry[]>();
+export class DecodedPageCache {
+  private readonly known = new WeakMap<ReplicaEntry, readonly PageEntry[]>();
   /** How many were taken apart. */
   decoded = 0;
 
   /** What a page holds; throws if it cannot be read. */
-  of(entry: Entry): readonly PageEntry[] {
+  of(entry: ReplicaEntry): readonly PageEntry[] {
     const known = this.known.get(entry);
     if (known !== undefined) return known;
-    const entries = readPage(entry.value);
+    const entries = decodePage(entry.value);
     this.decoded += 1;
     this.known.set(entry, entries);
     return entries;
--- a/src/edge/state-store/dependency-index.ts
+++ b/src/edge/state-store/dependency-index.ts
@@ -1,14 +1,14 @@
 import { DependencyGraph } from '../../core/state/dependency-graph.js';
-import { EndedJob, parseKey, readJob } from '../../wire/records.js';
-import type { FollowedCopy } from './finished-job-compactor.js';
-import type { Entry } from './state-store.js';
+import { FinishedJobSummary, parseKey, decodeJob } from '../../wire/records.js';
+import type { ReplicaView } from './finished-job-compactor.js';
+import type { ReplicaEntry } from './state-store.js';
 
 /** Which jobs are cancelled through a job that they need, by the followed copy: as fresh as the copy is. */
 export class DependencyIndex {
   private readonly graph = new DependencyGraph();
 
-  constructor(store: Pick<FollowedCopy, 'copy' | 'changes'>) {
-    for (const [key, entry] of store.copy) this.take(key, entry);
+  constructor(store: Pick<ReplicaView, 'replica' | 'changes'>) {
+    for (const [key, entry] of store.replica) this.take(key, entry);
     store.changes.subscribe(({ key, entry }) => this.take(key, entry));
   }
 
@@ -17,14 +17,14 @@
     return this.graph.isCancelled(id);
   }
 
-  private take(key: string, entry: Entry | null): void {
+  private take(key: string, entry: ReplicaEntry | null): void {
     const parsed = parseKey(key);
     if (parsed.kind !== 'job' || entry === null) return;
-    if (entry.value instanceof EndedJob) {
-      this.graph.markFinished(parsed.id, entry.value.standing);
+    if (entry.value instanceof FinishedJobSummary) {
+      this.graph.markFinished(parsed.id, entry.value.status);
       return;
     }
-    const { spec, status: standing } = readJob(entry.value);
+    const { spec, status: standing } = decodeJob(entry.value);
     if (standing === 'open') this.graph.add(parsed.id, spec.dependencies);
     else this.graph.markFinished(parsed.id, standing);
   }
--- a/src/edge/state-store/finished-job-compactor.ts
+++ b/src/edge/state-store/finished-job-compactor.ts
@@ -1,16 +1,16 @@
 import { interval, type Subject, type Subscription } from 'rxjs';
-import { EndedJob, jobKey, parseKey, readJob } from '../../wire/records.js';
-import type { Counts } from './task-counts.js';
-import type { Change, Entry } from './state-store.js';
+import { FinishedJobSummary, jobKey, parseKey, decodeJob } from '../../wire/records.js';
+import type { TaskCounts } from './task-counts.js';
+import type { KeyChange, ReplicaEntry } from './state-store.js';
 
 /** The part of the followed copy that is needed here. */
-export interface FollowedCopy {
-  readonly copy: ReadonlyMap<string, Entry>;
-  readonly changes: Subject<Change>;
+export interface ReplicaView {
+  readonly replica: ReadonlyMap<string, ReplicaEntry>;
+  readonly changes: Subject<KeyChange>;
   /** The copy is being read anew: its keys are not of one revision. */
-  readonly loading: boolean;
+  readonly reloading: boolean;
   /** Keeps another value in memory for a key; its stamp stays. */
-  abridge(key: string, value: EndedJob): void;
+  replaceWithSummary(key: string, value: FinishedJobSummary): void;
 }
 
 const SWEEP_MS = 1000;
@@ -23,13 +23,13 @@
  * A job that has ended gets no new places (they are committed under its stamp), so a copy of one revision that shows
  * none shows that there are none. While the copy is read anew it proves nothing.
  */
-export class EndedJobs {
+export class FinishedJobCompactor {
   /** Ended jobs that are still held whole. */
   private readonly whole = new Set<string>();
 
   constructor(
-    private readonly store: FollowedCopy,
-    private readonly counts: Pick<Counts, 'of'>,
+    private readonly store: ReplicaView,
+    private readonly counts: Pick<TaskCounts, 'of'>,
   ) {}
 
   /** Follows the copy until unsubscribed. */
@@ -37,7 +37,7 @@
     const routines = this.store.changes.subscribe(({ key, entry }) => {
       const parsed = parseKey(key);
       if (parsed.kind !== 'job' || entry === null) return;
-      if (readJob(entry.value).status !== 'open') this.whole.add(parsed.id);
+      if (decodeJob(entry.value).status !== 'open') this.whole.add(parsed.id);
     });
     routines.add(interval(SWEEP_MS).subscribe(() => this.sweep()));
     return routines;
@@ -45,16 +45,16 @@
 
   /** Abridges what may be abridged by now. */
   sweep(): void {
-    if (this.store.loading) return;
-    for (const id of this.whole) if (this.counts.of(id).placed === 0) this.abridge(id);
+    if (this.store.reloading) return;
+    for (const id of this.whole) if (this.counts.of(id).assigned === 0) this.abridge(id);
   }
 
   private abridge(id: string): void {
     this.whole.delete(id);
-    const value = this.store.copy.get(jobKey(id))?.value;
-    if (value === undefined || value instanceof EndedJob) return;
-    const { spec, status: standing } = readJob(value);
+    const value = this.store.replica.get(jobKey(id))?.value;
+    if (value === undefined || value instanceof FinishedJobSummary) return;
+    const { spec, status: standing } = decodeJob(value);
     if (standing !== 'open')
-      this.store.abridge(jobKey(id), new EndedJob(standing, spec.kind, spec.taskCount));
+      this.store.replaceWithSummary(jobKey(id), new FinishedJobSummary(standing, spec.kind, spec.taskCount));
   }
 }
--- a/src/edge/state-store/image-cache-observer.ts
+++ b/src/edge/state-store/image-cache-observer.ts
@@ -1,13 +1,13 @@
 import type { Subscription } from 'rxjs';
-import { EndedJob, jobKey, parseKey, readJob } from '../../wire/records.js';
+import { FinishedJobSummary, jobKey, parseKey, decodeJob } from '../../wire/records.js';
 import { monotonicNow } from '../runtime/clock.js';
-import { messageOf } from '../runtime/supervised-task.js';
-import { warnSparsely, type Log } from '../runtime/logger.js';
-import type { DecodedPages } from './decoded-page-cache.js';
-import type { Entry, Store } from './state-store.js';
+import { errorMessage } from '../runtime/supervised-task.js';
+import { warnRateLimited, type Logger } from '../runtime/logger.js';
+import type { DecodedPageCache } from './decoded-page-cache.js';
+import type { ReplicaEntry, StateStore } from './state-store.js';
 
 /** An image that a machine is likely to have cached. */
-export interface ImageSeen {
+export interface ImageSighting {
   readonly machineName: string;
   readonly image: string;
   readonly sizeGb: number;
@@ -36,21 +36,21 @@
  * runs now; a new owner would otherwise send work away from machines whose caches hold what it needs. It only steers
  * the choice of a place: what is wrong here costs a fetch.
  */
-export class ImagesSeen {
+export class ImageCacheObserver {
   /** The machine seen longest ago comes first. */
   private readonly byMachine = new Map<string, MachineImages>();
 
   constructor(
-    private readonly store: Store,
-    private readonly log: Log,
-    private readonly pages: DecodedPages,
+    private readonly store: StateStore,
+    private readonly log: Logger,
+    private readonly pages: DecodedPageCache,
     /** A leader hears of images from the workers themselves. */
     private readonly leading: () => boolean,
     private readonly clock: () => bigint = monotonicNow,
   ) {}
 
   /** How many machines something is known of. */
-  get machines(): number {
+  get machineCount(): number {
     return this.byMachine.size;
   }
 
@@ -60,14 +60,14 @@
       try {
         this.take(change.entry);
       } catch (e) {
-        warnSparsely(this.log, { key: change.key, error: messageOf(e) }, 'a page cannot be read');
+        warnRateLimited(this.log, { key: change.key, error: errorMessage(e) }, 'a page cannot be read');
       }
     });
   }
 
   /** What is likely cached now, given how fast machines fetch. */
-  likely(gbPerS: number): ImageSeen[] {
-    const out: ImageSeen[] = [];
+  likelyCached(gbPerS: number): ImageSighting[] {
+    const out: ImageSighting[] = [];
     const now = this.clock();
     for (const [machine, { images }] of this.byMachine)
       for (const [image, { gb, first, last }] of images)
@@ -76,13 +76,13 @@
     return out;
   }
 
-  private take(page: Entry): void {
+  private take(page: ReplicaEntry): void {
     const now = this.clock();
     for (const entry of this.pages.of(page)) {
       if (entry.record.assignments.length === 0) continue;
-      const job = this.store.copy.get(jobKey(entry.jobId));
-      if (job === undefined || job.value instanceof EndedJob) continue;
-      const { image, imageGb } = readJob(job.value).spec;
+      const job = this.store.replica.get(jobKey(entry.jobId));
+      if (job === undefined || job.value instanceof FinishedJobSummary) continue;
+      const { image, imageGb } = decodeJob(job.value).spec;
       for (const intent of entry.record.assignments) this.see(intent.machineName, image, imageGb, now);
     }
     this.forgetOld(now);
--- a/src/edge/state-store/state-store.ts
+++ b/src/edge/state-store/state-store.ts
@@ -1,49 +1,49 @@
 import { Subject, type Subscription } from 'rxjs';
-import { STORE_PATHS } from '../../wire/protocol.js';
-import { ROOT, isReadable, type EndedJob } from '../../wire/records.js';
+import { STATE_STORE_PATHS } from '../../wire/protocol.js';
+import { KEY_PREFIX, isDecodable, type FinishedJobSummary } from '../../wire/records.js';
 import * as schemas from '../../wire/schemas.js';
 import { monotonicNow } from '../runtime/clock.js';
-import { supervise, pause } from '../runtime/supervised-task.js';
+import { supervise, sleep } from '../runtime/supervised-task.js';
 import { HttpClient } from '../net/http-client.js';
 import { jittered } from '../runtime/jitter.js';
-import { warnSparsely, type Log } from '../runtime/logger.js';
-import { SharedRead } from './coalesced-read.js';
+import { warnRateLimited, type Logger } from '../runtime/logger.js';
+import { CoalescedRead } from './coalesced-read.js';
 
 /** A key that must have a stamp for a transaction to be carried out. */
-export interface Guard {
+export interface CompareCondition {
   readonly key: string;
-  readonly stamp: number;
+  readonly modRevision: number;
 }
 
 /** One change of a transaction. */
-export type Write =
+export type WriteOperation =
   { readonly write: string; readonly value: unknown; readonly permit?: number } | { readonly delete: string };
 
 /** What became of a transaction. */
-export type Committed =
-  | { readonly kind: 'ok'; readonly rev: number }
-  | { readonly kind: 'conflict'; readonly failed: readonly string[]; readonly rev: number }
+export type CommitResult =
+  | { readonly kind: 'committed'; readonly revision: number }
+  | { readonly kind: 'conflict'; readonly failedKeys: readonly string[]; readonly revision: number }
   /** Surely not carried out: too many requests, an outage, or a lost lease. */
-  | { readonly kind: 'refused'; readonly why: string }
-  | { readonly kind: 'unknown'; readonly why: string };
+  | { readonly kind: 'refused'; readonly reason: string }
+  | { readonly kind: 'unknown'; readonly reason: string };
 
 /** A key of the state service as last seen. */
-export interface Entry {
+export interface ReplicaEntry {
   readonly value: unknown;
-  readonly stamp: number;
+  readonly modRevision: number;
 }
 
 /** What came of reading one key. */
-export type Read =
+export type ReadResult =
   | { readonly kind: 'found'; readonly value: unknown }
   | { readonly kind: 'absent' }
   | { readonly kind: 'unread' };
 
 /** A key that changed in the followed copy. */
-export interface Change {
+export interface KeyChange {
   readonly key: string;
   /** Null: the key is gone. */
-  readonly entry: Entry | null;
+  readonly entry: ReplicaEntry | null;
 }
 
 const REQUEST_MS = 1500;
@@ -54,83 +54,92 @@
  * The state service's client: a followed copy of all our keys, transactions, leases, and reads as fresh as the request for them.
  * The copy never goes back; `rev` is the revision up to which it holds every change.
  */
-export class Store {
-  readonly copy = new Map<string, Entry>();
-  readonly changes = new Subject<Change>();
-  rev = -1;
+export class StateStore {
+  readonly replica = new Map<string, ReplicaEntry>();
+  readonly changes = new Subject<KeyChange>();
+  revision = -1;
   /** The copy is being read anew: its keys are not of one revision. */
-  loading = true;
+  reloading = true;
   /** Least pause between two follows: each costs a request. The owner of a part follows more closely. */
-  followGapMs = 250;
+  watchIntervalMs = 250;
   private readonly client: HttpClient;
-  private readonly follower: HttpClient;
-  private readonly waiters: { rev: number; resolve: () => void }[] = [];
+  private readonly watchClient: HttpClient;
+  private readonly waiters: { revision: number; resolve: () => void }[] = [];
   /** When a compare was sent, last, to whose revision the copy then came: so new the copy surely was. */
-  freshAt = 0n;
-  private readonly barrier = new SharedRead<{ rev: number; sent: bigint } | null>(
+  lastSyncedAt = 0n;
+  private readonly barrier = new CoalescedRead<{ revision: number; sent: bigint } | null>(
     BARRIER_GAP_MS,
     async () => {
       const sent = monotonicNow();
       const result = await this.commit([], [], 1000);
-      return result.kind === 'ok' ? { rev: result.rev, sent } : null;
+      return result.kind === 'committed' ? { revision: result.revision, sent } : null;
     },
   );
-  private refollow: AbortController | null = null;
+  private watchAbort: AbortController | null = null;
 
   constructor(
     addr: string,
-    private readonly log: Log,
+    private readonly log: Logger,
   ) {
     this.client = new HttpClient(addr, 6);
-    this.follower = new HttpClient(addr, 2);
+    this.watchClient = new HttpClient(addr, 2);
   }
 
   start(): Subscription {
-    return supervise('follow', this.log, (signal) => this.follow(signal));
+    return supervise('follow', this.log, (signal) => this.watch(signal));
   }
 
   get loaded(): boolean {
-    return this.rev >= 0;
+    return this.revision >= 0;
   }
 
-  async commit(guards: readonly Guard[], writes: readonly Write[], limitMs = REQUEST_MS): Promise<Committed> {
-    const outcome = await this.client.request('POST', STORE_PATHS.commit, { guards, writes }, limitMs);
-    if (outcome.kind === 'unsent') return { kind: 'refused', why: outcome.why };
-    if (outcome.kind === 'unknown') return { kind: 'unknown', why: outcome.why };
+  async commit(
+    guards: readonly CompareCondition[],
+    writes: readonly WriteOperation[],
+    limitMs = REQUEST_MS,
+  ): Promise<CommitResult> {
+    const outcome = await this.client.request(
+      'POST',
+      STATE_STORE_PATHS.commit,
+      { guards: guards.map(({ key, modRevision }) => ({ key, stamp: modRevision })), writes },
+      limitMs,
+    );
+    if (outcome.kind === 'unsent') return { kind: 'refused', reason: outcome.why };
+    if (outcome.kind === 'unknown') return { kind: 'unknown', reason: outcome.why };
     if (outcome.status === 200) {
       const r = schemas.revision.safeParse(outcome.body);
-      if (!r.success) return this.unread('answer without a revision');
-      return { kind: 'ok', rev: r.data.ledgerRev };
+      if (!r.success) return this.malformed('answer without a revision');
+      return { kind: 'committed', revision: r.data.ledgerRev };
     }
     if (outcome.status === 409) {
       const r = schemas.conflict.safeParse(outcome.body);
-      if (!r.success) return this.unread('conflict without keys');
-      return { kind: 'conflict', failed: r.data.failed, rev: r.data.ledgerRev };
+      if (!r.success) return this.malformed('conflict without keys');
+      return { kind: 'conflict', failedKeys: r.data.failed, revision: r.data.ledgerRev };
     }
     if (outcome.status === 429 || outcome.status === 503 || outcome.status === 400)
-      return { kind: 'refused', why: `status ${outcome.status}` };
-    return { kind: 'unknown', why: `status ${outcome.status}` };
+      return { kind: 'refused', reason: `status ${outcome.status}` };
+    return { kind: 'unknown', reason: `status ${outcome.status}` };
   }
 
-  private unread(why: string): Committed {
-    warnSparsely(this.log, { why }, 'the state service sent what cannot be read');
-    return { kind: 'unknown', why };
+  private malformed(why: string): CommitResult {
+    warnRateLimited(this.log, { why }, 'the state service sent what cannot be read');
+    return { kind: 'unknown', reason: why };
   }
 
   /** A key as the state service has it now, past the copy: for what was written elsewhere a moment ago. */
-  async read(key: string, limitMs: number): Promise<Read> {
-    const outcome = await this.client.request('GET', `${STORE_PATHS.keys}/${key}`, undefined, limitMs);
+  async read(key: string, limitMs: number): Promise<ReadResult> {
+    const outcome = await this.client.request('GET', `${STATE_STORE_PATHS.keys}/${key}`, undefined, limitMs);
     if (outcome.kind !== 'answer') return { kind: 'unread' };
     if (outcome.status === 404) return { kind: 'absent' };
     const item = schemas.stored.safeParse(outcome.body);
-    if (outcome.status !== 200 || !item.success || !isReadable(key, item.data.value))
+    if (outcome.status !== 200 || !item.success || !isDecodable(key, item.data.value))
       return { kind: 'unread' };
     return { kind: 'found', value: item.data.value };
   }
 
   /** A new lease, or null if none could be had. */
   async grantLease(ttlMs: number): Promise<number | null> {
-    const outcome = await this.client.request('POST', STORE_PATHS.holds, { ttlMs }, REQUEST_MS);
+    const outcome = await this.client.request('POST', STATE_STORE_PATHS.holds, { ttlMs }, REQUEST_MS);
     if (outcome.kind !== 'answer' || outcome.status !== 200) return null;
     const r = schemas.permit.safeParse(outcome.body);
     return r.success ? r.data.permit : null;
@@ -139,7 +148,7 @@
   async renewLease(permit: number): Promise<'ok' | 'ended' | 'unknown'> {
     const outcome = await this.client.request(
       'POST',
-      `${STORE_PATHS.holds}/${permit}/${STORE_PATHS.renew}`,
+      `${STATE_STORE_PATHS.holds}/${permit}/${STATE_STORE_PATHS.renew}`,
       undefined,
       REQUEST_MS,
     );
@@ -148,32 +157,32 @@
   }
 
   async revokeLease(permit: number): Promise<void> {
-    await this.client.request('DELETE', `${STORE_PATHS.holds}/${permit}`, undefined, REQUEST_MS);
+    await this.client.request('DELETE', `${STATE_STORE_PATHS.holds}/${permit}`, undefined, REQUEST_MS);
   }
 
   /** A read that is as new as this call: true once the copy holds every change committed before it. */
-  async fresh(limitMs: number): Promise<boolean> {
-    const read = await this.barrier.ask();
+  async syncReplica(limitMs: number): Promise<boolean> {
+    const read = await this.barrier.request();
     if (read === null) return false;
-    const ok = await this.reached(read.rev, limitMs);
-    if (ok && read.sent > this.freshAt) this.freshAt = read.sent;
-    this.log.debug({ asked: read.rev, copy: this.rev, ok }, 'fresh read');
+    const ok = await this.waitForRevision(read.revision, limitMs);
+    if (ok && read.sent > this.lastSyncedAt) this.lastSyncedAt = read.sent;
+    this.log.debug({ asked: read.revision, replica: this.revision, ok }, 'fresh read');
     return ok;
   }
 
   /** Waits until the copy has come to a revision. */
-  reached(rev: number, limitMs: number): Promise<boolean> {
-    if (this.rev >= rev) return Promise.resolve(true);
+  waitForRevision(rev: number, limitMs: number): Promise<boolean> {
+    if (this.revision >= rev) return Promise.resolve(true);
     return new Promise((resolve) => {
       const timer = setTimeout(() => {
         const at = this.waiters.indexOf(waiter);
         if (at >= 0) this.waiters.splice(at, 1);
         // The follow has said nothing of a change that exists: it may hang on a dead connection.
-        this.refollow?.abort();
+        this.watchAbort?.abort();
         resolve(false);
       }, limitMs);
       const waiter = {
-        rev,
+        revision: rev,
         resolve: (): void => {
           clearTimeout(timer);
           resolve(true);
@@ -183,27 +192,27 @@
     });
   }
 
-  private async follow(signal: AbortSignal): Promise<void> {
+  private async watch(signal: AbortSignal): Promise<void> {
     await this.load(signal);
     let lastAt = 0n;
     while (!signal.aborted) {
-      const gap = this.followGapMs - Number(monotonicNow() - lastAt) / 1e6;
-      if (gap > 0) await pause(gap, signal);
+      const gap = this.watchIntervalMs - Number(monotonicNow() - lastAt) / 1e6;
+      if (gap > 0) await sleep(gap, signal);
       lastAt = monotonicNow();
       const stop = new AbortController();
-      this.refollow = stop;
-      const path = `${STORE_PATHS.follow}?under=${ROOT}&from=${this.rev}&holdMs=${FOLLOW_MS}`;
-      const outcome = await this.follower.request(
+      this.watchAbort = stop;
+      const path = `${STATE_STORE_PATHS.follow}?under=${KEY_PREFIX}&from=${this.revision}&holdMs=${FOLLOW_MS}`;
+      const outcome = await this.watchClient.request(
         'GET',
         path,
         undefined,
         FOLLOW_MS + 15_000,
         AbortSignal.any([signal, stop.signal]),
       );
-      this.refollow = null;
+      this.watchAbort = null;
       if (outcome.kind !== 'answer' || outcome.status !== 200) {
         if (outcome.kind === 'answer' && outcome.status === 410) await this.load(signal);
-        else await pause(jittered(300), signal);
+        else await sleep(jittered(300), signal);
         continue;
       }
       const r = schemas.news.safeParse(outcome.body);
@@ -217,16 +226,16 @@
   }
 
   private async load(signal: AbortSignal): Promise<void> {
-    this.loading = true;
+    this.reloading = true;
     let from: string | null = null;
     let first: number | null = null;
     const seen = new Set<string>();
     for (;;) {
       if (signal.aborted) return;
-      const query = `${STORE_PATHS.keys}?under=${ROOT}&page=500${from === null ? '' : `&from=${from}`}`;
+      const query = `${STATE_STORE_PATHS.keys}?under=${KEY_PREFIX}&page=500${from === null ? '' : `&from=${from}`}`;
       const outcome = await this.client.request('GET', query, undefined, 3000);
       if (outcome.kind !== 'answer' || outcome.status !== 200) {
-        await pause(jittered(450), signal);
+        await sleep(jittered(450), signal);
         continue;
       }
       const p = schemas.page.parse(outcome.body);
@@ -239,38 +248,38 @@
       }
       if (!p.hasNext) break;
     }
-    for (const key of [...this.copy.keys()]) if (!seen.has(key)) this.remove(key);
+    for (const key of [...this.replica.keys()]) if (!seen.has(key)) this.remove(key);
     this.advance(first);
-    this.loading = false;
+    this.reloading = false;
   }
 
-  private apply(key: string, value: unknown, stamp: number): void {
-    const known = this.copy.get(key);
-    if (known !== undefined && known.stamp >= stamp) return;
+  private apply(key: string, value: unknown, modRevision: number): void {
+    const known = this.replica.get(key);
+    if (known !== undefined && known.modRevision >= modRevision) return;
     if (value === null || value === undefined) return this.remove(key);
     // Whoever follows the copy may rely on it: what cannot be read would end the process from within a listener.
-    if (!isReadable(key, value))
-      return warnSparsely(this.log, { key }, 'the state service holds what cannot be read');
-    const entry = { value, stamp };
-    this.copy.set(key, entry);
+    if (!isDecodable(key, value))
+      return warnRateLimited(this.log, { key }, 'the state service holds what cannot be read');
+    const entry: ReplicaEntry = { value, modRevision };
+    this.replica.set(key, entry);
     this.changes.next({ key, entry });
   }
 
   /** Keeps another, smaller value in memory for a key. */
-  abridge(key: string, value: EndedJob): void {
-    const known = this.copy.get(key);
-    if (known !== undefined) this.copy.set(key, { value, stamp: known.stamp });
+  replaceWithSummary(key: string, value: FinishedJobSummary): void {
+    const known = this.replica.get(key);
+    if (known !== undefined) this.replica.set(key, { value, modRevision: known.modRevision });
   }
 
   private remove(key: string): void {
-    if (this.copy.delete(key)) this.changes.next({ key, entry: null });
+    if (this.replica.delete(key)) this.changes.next({ key, entry: null });
   }
 
   private advance(rev: number): void {
-    if (rev > this.rev) this.rev = rev;
+    if (rev > this.revision) this.revision = rev;
     for (let n = this.waiters.length - 1; n >= 0; n--) {
       const w = this.waiters[n];
-      if (w !== undefined && w.rev <= this.rev) {
+      if (w !== undefined && w.revision <= this.revision) {
         this.waiters.splice(n, 1);
         w.resolve();
       }
--- a/src/edge/workers/keyed-task-queue.ts
+++ b/src/edge/workers/keyed-task-queue.ts
@@ -1,15 +1,15 @@
 import { Subscription } from 'rxjs';
 
 /** One piece of work; it must not reject. */
-export type SerialTask = () => Promise<void>;
+export type QueuedTask = () => Promise<void>;
 
 /**
  * Runs tasks of one key one after the other, in the order in which they came, and those of different keys side by side.
  * Nothing is kept for a key without tasks, so that the keys that were ever used take no memory.
  */
-export class SerialTasks {
+export class KeyedTaskQueue {
   /** Tasks behind the one that runs, for each key that has one running. */
-  private readonly waiting = new Map<string, SerialTask[]>();
+  private readonly waiting = new Map<string, QueuedTask[]>();
   private stopped = false;
 
   /** How many keys have a task that runs or waits. */
@@ -17,14 +17,14 @@
     return this.waiting.size;
   }
 
-  push(key: string, task: SerialTask): void {
+  push(key: string, task: QueuedTask): void {
     if (this.stopped) return;
     const queue = this.waiting.get(key);
     if (queue !== undefined) {
       queue.push(task);
       return;
     }
-    const own: SerialTask[] = [];
+    const own: QueuedTask[] = [];
     this.waiting.set(key, own);
     void this.drain(key, task, own);
   }
@@ -37,8 +37,8 @@
     });
   }
 
-  private async drain(key: string, first: SerialTask, queue: SerialTask[]): Promise<void> {
-    for (let task: SerialTask | undefined = first; task !== undefined; task = queue.shift()) {
+  private async drain(key: string, first: QueuedTask, queue: QueuedTask[]): Promise<void> {
+    for (let task: QueuedTask | undefined = first; task !== undefined; task = queue.shift()) {
       await task();
       if (this.stopped) return;
     }
--- a/src/edge/workers/worker-command-sender.ts
+++ b/src/edge/workers/worker-command-sender.ts
@@ -1,24 +1,24 @@
 import { Subscription } from 'rxjs';
 import type { Heartbeat } from '../../core/model/heartbeat.js';
 import type { WorkerCommand } from '../../core/model/worker-command.js';
-import { WORKER_PATHS, orders, parseReport } from '../../wire/protocol.js';
+import { WORKER_PATHS, encodeCommands, parseHeartbeat } from '../../wire/protocol.js';
 import { HttpClient } from '../net/http-client.js';
-import { SerialTasks } from './keyed-task-queue.js';
+import { KeyedTaskQueue } from './keyed-task-queue.js';
 
 /** Orders for one worker, to be sent straight to it. */
-export interface DirectJob {
-  readonly machine: string;
+export interface CommandBatch {
+  readonly machineName: string;
   readonly endpoint: string;
-  readonly session: number;
-  readonly orders: readonly WorkerCommand[];
+  readonly agentEpoch: number;
+  readonly commands: readonly WorkerCommand[];
 }
 
 /** What became of a direct call. */
-export interface DirectResult {
-  readonly job: DirectJob;
-  readonly token: number;
+export interface CommandResult {
+  readonly batch: CommandBatch;
+  readonly fencingToken: number;
   readonly outcome: 'executed' | 'refused' | 'unknown';
-  readonly report: Heartbeat | null;
+  readonly heartbeat: Heartbeat | null;
 }
 
 const LIMIT_MS = 2500;
@@ -27,8 +27,8 @@
  * Commands straight to the workers: one at a time per machine, so that they arrive in the order they were given. Of the
  * connections, those used longest ago are closed beyond `most`: a large fleet would take all our sockets.
  */
-export class Workers {
-  private readonly calls = new SerialTasks();
+export class WorkerCommandSender {
+  private readonly calls = new KeyedTaskQueue();
   private stopped = false;
   /** By endpoint, the one used longest ago first. */
   private readonly clients = new Map<string, { readonly client: HttpClient; busy: number }>();
@@ -42,7 +42,7 @@
     private readonly token: () => number,
     /** Whether a start may still be sent: asked when a command is sent, which may be long after it was given. */
     private readonly mayStart: (order: WorkerCommand) => boolean,
-    private readonly result: (result: DirectResult) => void,
+    private readonly result: (result: CommandResult) => void,
   ) {}
 
   start(): Subscription {
@@ -58,19 +58,19 @@
     return routines;
   }
 
-  push(call: DirectJob): void {
+  push(call: CommandBatch): void {
     // One question at a time: those to a machine that hangs piled up behind one another, and each cost a connection.
-    if (call.orders.length === 0) {
-      if (this.asked.has(call.machine)) return;
-      this.asked.add(call.machine);
+    if (call.commands.length === 0) {
+      if (this.asked.has(call.machineName)) return;
+      this.asked.add(call.machineName);
     }
-    this.calls.push(call.machine, () => this.carryOut(call));
+    this.calls.push(call.machineName, () => this.carryOut(call));
   }
 
-  private async carryOut(call: DirectJob): Promise<void> {
+  private async carryOut(call: CommandBatch): Promise<void> {
     const result = await this.send(call);
     if (this.stopped) return;
-    if (call.orders.length === 0) this.asked.delete(call.machine);
+    if (call.commands.length === 0) this.asked.delete(call.machineName);
     this.result(result);
   }
 
@@ -88,11 +88,11 @@
     return entry;
   }
 
-  private async send(job: DirectJob): Promise<DirectResult> {
+  private async send(job: CommandBatch): Promise<CommandResult> {
     // Machines that hang hold a connection each until we give up: questions to them leave room for commands, and are
     // asked again anyway; commands wait their turn.
-    if (job.orders.length === 0 && this.busy * 2 >= this.most)
-      return { job, token: this.token(), outcome: 'refused', report: null };
+    if (job.commands.length === 0 && this.busy * 2 >= this.most)
+      return { batch: job, fencingToken: this.token(), outcome: 'refused', heartbeat: null };
     if (this.busy >= this.most) await new Promise<void>((go) => this.waiting.push(go));
     this.busy += 1;
     try {
@@ -103,27 +103,31 @@
     }
   }
 
-  private async call(job: DirectJob): Promise<DirectResult> {
+  private async call(job: CommandBatch): Promise<CommandResult> {
     const token = this.token();
     // A command may have waited behind a slow one, or we stood still meanwhile: nothing is started on an old word, nor
     // for a job that was cancelled in the meantime.
-    if (job.orders.some((order) => order.op === 'start' && !this.mayStart(order)))
-      return { job, token, outcome: 'refused', report: null };
+    if (job.commands.some((order) => order.op === 'start' && !this.mayStart(order)))
+      return { batch: job, fencingToken: token, outcome: 'refused', heartbeat: null };
     const at = this.clientOf(job.endpoint);
     at.busy += 1;
     const outcome = await at.client.request(
       'POST',
       WORKER_PATHS.commands,
-      orders(token, job.orders, job.session),
+      encodeCommands(token, job.commands, job.agentEpoch),
       LIMIT_MS,
     );
     at.busy -= 1;
-    if (outcome.kind === 'unsent') return { job, token, outcome: 'refused', report: null };
-    if (outcome.kind === 'unknown') return { job, token, outcome: 'unknown', report: null };
-    const r = parseReport(outcome.body);
+    if (outcome.kind === 'unsent')
+      return { batch: job, fencingToken: token, outcome: 'refused', heartbeat: null };
+    if (outcome.kind === 'unknown')
+      return { batch: job, fencingToken: token, outcome: 'unknown', heartbeat: null };
+    const r = parseHeartbeat(outcome.body);
     const report = r.ok ? r.value : null;
-    if (outcome.status === 200) return { job, token, outcome: 'executed', report };
-    if (outcome.status === 409 || outcome.status === 400) return { job, token, outcome: 'refused', report };
-    return { job, token, outcome: 'unknown', report: null };
+    if (outcome.status === 200)
+      return { batch: job, fencingToken: token, outcome: 'executed', heartbeat: report };
+    if (outcome.status === 409 || outcome.status === 400)
+      return { batch: job, fencingToken: token, outcome: 'refused', heartbeat: report };
+    return { batch: job, fencingToken: token, outcome: 'unknown', heartbeat: null };
   }
 }
--- a/src/main.ts
+++ b/src/main.ts
@@ -2,9 +2,9 @@
 import { version } from '../package.json';
 import { readOperatorSettings } from './edge/config/operator-settings.js';
 import { readFeatures } from './edge/config/features.js';
-import { makeLog } from './edge/runtime/logger.js';
+import { createLogger } from './edge/runtime/logger.js';
 import { startService } from './edge/service.js';
-import { SettingsError, readPlatform } from './edge/config/platform-settings.js';
+import { SettingsError, readPlatformSettings } from './edge/config/platform-settings.js';
 
 interface Options {
   config: string;
@@ -22,14 +22,14 @@
   .option('--check', 'read and check the settings, then end')
   .exitOverride()
   .action((o: Options) => {
-    const platform = readPlatform(o.config);
+    const platform = readPlatformSettings(o.config);
     const settings = readOperatorSettings(o.settings);
     const features = readFeatures(o.features);
     if (o.check === true) {
       process.stdout.write('settings are valid\n');
       return;
     }
-    const log = makeLog(platform.label);
+    const log = createLogger(platform.label);
     const all = startService(platform, settings, features, log, (why) => {
       process.stderr.write(`pumiceroad: ${why}\n`);
       process.exit(1);
--- a/src/wire/frames.ts
+++ b/src/wire/frames.ts
@@ -3,12 +3,12 @@
  * One kind so far, a controller's status: flags, milliseconds since the state service last answered it with a current
  * copy (32 bits), the token it acts under (64 bits), its label.
  */
-export interface Status {
+export interface ControllerStatus {
   readonly label: string;
-  readonly owner: boolean;
+  readonly isLeader: boolean;
   /** Null: never yet. */
-  readonly contactMs: number | null;
-  readonly token: bigint;
+  readonly stateStoreContactMs: number | null;
+  readonly fencingToken: bigint;
 }
 
 const MAGIC = 0x5052;
@@ -22,19 +22,21 @@
 export const FRAME_LIMIT = 512;
 
 /** Writes a status as a frame. */
-export function statusFrame(status: Status): Buffer {
+export function encodeStatus(status: ControllerStatus): Buffer {
   const label = Buffer.from(status.label, 'utf8').subarray(0, 255);
   const b = Buffer.alloc(HEAD + FIXED + label.length);
   b.writeUInt16BE(MAGIC, 0);
   b.writeUInt8(VERSION, 2);
   b.writeUInt8(STATUS, 3);
   b.writeUInt16BE(FIXED + label.length, 4);
-  b.writeUInt8(status.owner ? OWNER : 0, 6);
+  b.writeUInt8(status.isLeader ? OWNER : 0, 6);
   b.writeUInt32BE(
-    status.contactMs === null ? NEVER : Math.min(Math.max(0, Math.round(status.contactMs)), NEVER - 1),
+    status.stateStoreContactMs === null
+      ? NEVER
+      : Math.min(Math.max(0, Math.round(status.stateStoreContactMs)), NEVER - 1),
     7,
   );
-  b.writeBigUInt64BE(BigInt.asUintN(64, status.token), 11);
+  b.writeBigUInt64BE(BigInt.asUintN(64, status.fencingToken), 11);
   b.writeUInt8(label.length, 19);
   label.copy(b, HEAD + FIXED);
   return b;
@@ -44,9 +46,9 @@
 export class FrameReader {
   private raw: Buffer = Buffer.alloc(0);
 
-  push(data: Buffer): Status[] {
+  push(data: Buffer): ControllerStatus[] {
     this.raw = this.raw.length === 0 ? data : Buffer.concat([this.raw, data]);
-    const out: Status[] = [];
+    const out: ControllerStatus[] = [];
     while (this.raw.length >= HEAD) {
       if (this.raw.readUInt16BE(0) !== MAGIC) throw new Error('not a frame');
       const length = this.raw.readUInt16BE(4);
@@ -60,13 +62,13 @@
   }
 }
 
-function readStatus(b: Buffer): Status {
+function readStatus(b: Buffer): ControllerStatus {
   if (b.length < FIXED || b.length < FIXED + b.readUInt8(13)) throw new Error('a status is too short');
   const contact = b.readUInt32BE(1);
   return {
-    owner: (b.readUInt8(0) & OWNER) !== 0,
-    contactMs: contact === NEVER ? null : contact,
-    token: b.readBigUInt64BE(5),
+    isLeader: (b.readUInt8(0) & OWNER) !== 0,
+    stateStoreContactMs: contact === NEVER ? null : contact,
+    fencingToken: b.readBigUInt64BE(5),
     label: b.toString('utf8', FIXED, FIXED + b.readUInt8(13)),
   };
 }
--- a/src/wire/protocol.ts
+++ b/src/wire/protocol.ts
@@ -9,7 +9,7 @@
 /** The one place that knows the interfaces' words (`docket`, `rig`, `baton`, …) for the names used inside. */
 export const API_PATHS = { jobs: '/work', cancel: 'withdraw', health: '/healthz', report: '/hello' } as const;
 /** Paths of the state service. */
-export const STORE_PATHS = {
+export const STATE_STORE_PATHS = {
   keys: '/store',
   commit: '/commit',
   holds: '/holds',
@@ -34,14 +34,14 @@
 };
 
 /** What came of reading a message. */
-export type Parsed<T> =
-  { readonly ok: true; readonly value: T } | { readonly ok: false; readonly why: string };
+export type ParseResult<T> =
+  { readonly ok: true; readonly value: T } | { readonly ok: false; readonly reason: string };
 
-const failure = (e: z.ZodError): { ok: false; why: string } => {
+const failure = (e: z.ZodError): { ok: false; reason: string } => {
   const first = e.issues[0];
   return {
     ok: false,
-    why: first === undefined ? 'invalid' : `${first.path.join('.') || 'body'}: ${first.message}`,
+    reason: first === undefined ? 'invalid' : `${first.path.join('.') || 'body'}: ${first.message}`,
   };
 };
 
@@ -56,12 +56,12 @@
 export const isJobId = (s: string): boolean => schemas.JOB_ID.test(s);
 
 /** Reads a submission. */
-export function parseSubmission(body: unknown): Parsed<JobSpec> {
+export function parseSubmission(body: unknown): ParseResult<JobSpec> {
   const r = schemas.submission.safeParse(body);
   if (!r.success) return failure(r.error);
   const b = r.data;
   const dependencies = [...new Set(b.awaits ?? [])];
-  if (dependencies.includes(b.ref)) return { ok: false, why: 'awaits: a job cannot wait for itself' };
+  if (dependencies.includes(b.ref)) return { ok: false, reason: 'awaits: a job cannot wait for itself' };
   return {
     ok: true,
     value: {
@@ -99,9 +99,9 @@
 } as const;
 
 /** Reads a worker's report. */
-export function parseReport(body: unknown): Parsed<Heartbeat> {
+export function parseHeartbeat(body: unknown): ParseResult<Heartbeat> {
   // Hundreds come a second: the plain form is read directly, and what deviates from it in any way goes to the schema.
-  const plain = plainReport(body);
+  const plain = parsePlainHeartbeat(body);
   if (plain !== null) return { ok: true, value: plain };
   const r = schemas.hello.safeParse(body);
   if (!r.success) return failure(r.error);
@@ -112,7 +112,7 @@
 const isName = (v: unknown): v is string => typeof v === 'string' && v.length > 0;
 
 /** A report in the form in which nearly all come; null if it has to be looked at more closely. */
-function plainReport(body: unknown): Heartbeat | null {
+function parsePlainHeartbeat(body: unknown): Heartbeat | null {
   if (body === null || typeof body !== 'object') return null;
   const b = body as Record<string, unknown>;
   const { rig, endpoint, build, hall, loaners, shift, tick, baton, tickets } = b;
@@ -184,7 +184,7 @@
 const VERBS = { start: 'run', stop: 'halt', forget: 'forget' } as const;
 
 /** Orders in the words of the workers. */
-export function orders(token: number, list: readonly WorkerCommand[], session?: number): unknown {
+export function encodeCommands(token: number, list: readonly WorkerCommand[], session?: number): unknown {
   return {
     baton: token,
     shift: session,
@@ -198,22 +198,23 @@
 }
 
 /** Where a worker should report instead. */
-export const redirect = (label: string | null): unknown => (label === null ? {} : { foreman: label });
+export const encodeRedirect = (label: string | null): unknown => (label === null ? {} : { foreman: label });
 
 /** A job's state in the words of its user. */
-export type UserStanding = 'pending' | 'running' | 'done' | 'cancelled';
+export type UserJobStatus = 'pending' | 'running' | 'done' | 'cancelled';
 
 /** A job's state as its user gets it. */
-export function jobAnswer(
+export function encodeJobStatus(
   id: string,
-  standing: UserStanding,
-  counts?: { done: number; running: number },
+  standing: UserJobStatus,
+  counts?: { readonly id?: string; readonly done: number; readonly running: number },
 ): unknown {
-  return { ref: id, standing, ...counts };
+  if (counts === undefined) return { ref: id, standing };
+  return { ref: id, standing, id: counts.id, done: counts.done, running: counts.running };
 }
 
 /** Reads the cloud's machine types. */
-export function parseTypes(body: unknown): Parsed<MachineType[]> {
+export function parseMachineTypes(body: unknown): ParseResult<MachineType[]> {
   const r = schemas.flavors.safeParse(body);
   if (!r.success) return failure(r.error);
   return {
@@ -234,7 +235,7 @@
 }
 
 /** Reads a part of the cloud's list. */
-export function parseList(body: unknown): Parsed<{ machines: CloudInstance[]; more: boolean }> {
+export function parseInventory(body: unknown): ParseResult<{ machines: CloudInstance[]; more: boolean }> {
   const r = schemas.machineList.safeParse(body);
   if (!r.success) return failure(r.error);
   return {
@@ -255,7 +256,7 @@
 }
 
 /** A rental request. */
-export const rentBody = (
+export const encodeScaleOut = (
   name: string,
   o: { type: string; zone: string; spot: boolean; count: number },
 ): unknown => ({
@@ -266,9 +267,9 @@
   number: o.count,
 });
 /** A request to return machines. */
-export const returnBody = (names: readonly string[]): unknown => ({ rigs: names });
+export const encodeScaleIn = (names: readonly string[]): unknown => ({ rigs: names });
 /** The path of the next part of the cloud's list. */
-export const listQuery = (after: string | null, limit: number): string =>
+export const inventoryPath = (after: string | null, limit: number): string =>
   `${CLOUD_PATHS.machines}?${after === null ? '' : `from=${encodeURIComponent(after)}&`}page=${limit}`;
 
 /** Spans go into records as seconds, times of day as ISO text. */
--- a/src/wire/records.ts
+++ b/src/wire/records.ts
@@ -10,9 +10,9 @@
  */
 export const TENANT = 'main';
 /** What all our keys begin with. */
-export const ROOT = `${TENANT}/`;
+export const KEY_PREFIX = `${TENANT}/`;
 /** The key that says who owns a part. */
-export const partKey = (part: string): string => `${TENANT}/part/${part}`;
+export const leaderKey = (part: string): string => `${TENANT}/part/${part}`;
 /** The key of a job. */
 export const jobKey = (id: string): string => `${TENANT}/job/${id}`;
 /** The key of a page of records. */
@@ -20,24 +20,25 @@
 
 /** What a key stands for. */
 export type Key =
-  | { readonly kind: 'part'; readonly part: string }
+  | { readonly kind: 'leader'; readonly partition: string }
   | { readonly kind: 'job'; readonly id: string }
-  | { readonly kind: 'page'; readonly part: string; readonly id: number }
+  | { readonly kind: 'page'; readonly partition: string; readonly id: number }
   | { readonly kind: 'version'; readonly label: string }
   | { readonly kind: 'other' };
 
 /** Tells what a key stands for. */
 export function parseKey(key: string): Key {
   const [, kind, a, b] = key.split('/');
-  if (kind === 'part' && a !== undefined) return { kind: 'part', part: a };
+  if (kind === 'part' && a !== undefined) return { kind: 'leader', partition: a };
   if (kind === 'job' && a !== undefined) return { kind: 'job', id: a };
-  if (kind === 'page' && a !== undefined && b !== undefined) return { kind: 'page', part: a, id: Number(b) };
+  if (kind === 'page' && a !== undefined && b !== undefined)
+    return { kind: 'page', partition: a, id: Number(b) };
   if (kind === 'version' && a !== undefined) return { kind: 'version', label: a };
   return { kind: 'other' };
 }
 
 /** The key under which the owner of a part keeps what the next one must know of zones; older versions pass it over. */
-export const zonesKey = (part: string): string => `${TENANT}/zones/${part}`;
+export const zoneRecordKey = (part: string): string => `${TENANT}/zones/${part}`;
 
 /** The key under which a controller keeps what its version can do; versions that know no such keys pass them over. */
 export const versionKey = (label: string): string => `${TENANT}/version/${label}`;
@@ -48,14 +49,14 @@
 export type VersionRecord = z.infer<typeof versionRecord>;
 
 /** Reads what a controller's version can do; nothing where it cannot be read. */
-export const featuresIn = (value: unknown): readonly string[] =>
+export const decodeFeatures = (value: unknown): readonly string[] =>
   versionRecord.safeParse(value).data?.features ?? [];
 
 const partRecord = z.object({ label: z.string(), incarnation: z.string() });
 /** Who owns a part. */
-export type PartRecord = z.infer<typeof partRecord>;
+export type LeaderRecord = z.infer<typeof partRecord>;
 /** Reads the record of an owner. */
-export const readPart = (v: unknown): PartRecord => partRecord.parse(v);
+export const decodeLeader = (v: unknown): LeaderRecord => partRecord.parse(v);
 
 const jobRecord = z.object({
   st: z.enum(['open', 'cancelled', 'done']),
@@ -90,7 +91,7 @@
  * Writes a job's record. Each field is named, in the order of the stored bytes: what is stored must not follow the names
  * used inside.
  */
-export function writeJob({ spec, submittedAt: submitted, status: standing }: JobRecord): unknown {
+export function encodeJob({ spec, submittedAt: submitted, status: standing }: JobRecord): unknown {
   const s = {
     id: spec.id,
     class: spec.class,
@@ -120,27 +121,27 @@
 }
 
 /** What is kept in memory of a job that is over and of which nothing is placed any more. */
-export class EndedJob {
+export class FinishedJobSummary {
   constructor(
-    readonly standing: 'done' | 'cancelled',
+    readonly status: 'done' | 'cancelled',
     readonly kind: JobKind,
-    readonly tasks: number,
+    readonly taskCount: number,
   ) {}
 }
 
 /** The state of a job by its value in the copy, whether that is its whole record or what is kept of an ended one. */
-export function summaryOf(
+export function jobSummaryOf(
   value: unknown,
-): Pick<EndedJob, 'kind' | 'tasks'> & { readonly standing: JobStatus } {
-  if (value instanceof EndedJob) return value;
-  const { spec, status: standing } = readJob(value);
-  return { standing, kind: spec.kind, tasks: spec.taskCount };
+): Pick<FinishedJobSummary, 'kind' | 'taskCount'> & { readonly status: JobStatus } {
+  if (value instanceof FinishedJobSummary) return value;
+  const { spec, status } = decodeJob(value);
+  return { status, kind: spec.kind, taskCount: spec.taskCount };
 }
 
 const parsed = new WeakMap<object, JobRecord>();
 
 /** A job's record. It is read for every question about the job, so each value is taken apart once. */
-export function readJob(v: unknown): JobRecord {
+export function decodeJob(v: unknown): JobRecord {
   const key = typeof v === 'object' ? v : null;
   const known = key === null ? undefined : parsed.get(key);
   if (known !== undefined) return known;
@@ -178,11 +179,11 @@
 }
 
 /** Whether a value can be what its key says. Pages are taken apart only by who needs them. */
-export function isReadable(key: string, value: unknown): boolean {
+export function isDecodable(key: string, value: unknown): boolean {
   const k = parseKey(key);
   try {
-    if (k.kind === 'job') readJob(value);
-    if (k.kind === 'part') readPart(value);
+    if (k.kind === 'job') decodeJob(value);
+    if (k.kind === 'leader') decodeLeader(value);
   } catch {
     return false;
   }
@@ -211,7 +212,7 @@
  * entry a chunk, `job/index a<highest attempt> c<done>,<placed> <done runs> <places>`, a place being
  * `task.attempt.machine.session.zone`, with the zone as its number in the first line.
  */
-export function writePage(entries: readonly PageEntry[], zones: readonly string[]): string {
+export function encodePage(entries: readonly PageEntry[], zones: readonly string[]): string {
   const names = [...zones];
   const zoneOf = (name: string): number => {
     const at = names.indexOf(name);
@@ -241,7 +242,7 @@
 const ROW = /^([^/ ]+)\/(\d+) a(\d+) c(\d+),(\d+) ([\d,-]*) (.*)$/;
 
 /** Reads a page of records. */
-export function readPage(v: unknown): PageEntry[] {
+export function decodePage(v: unknown): PageEntry[] {
   if (typeof v !== 'string') throw new Error('a page is not text');
   const [head = '', ...rows] = v.split('|');
   const zones = head === '' ? [] : head.split(',').map(decodeURIComponent);
@@ -272,7 +273,7 @@
 }
 
 /** How many tasks of which jobs a page tells of, without taking it apart. */
-export function countsIn(
+export function taskCountsIn(
   v: unknown,
 ): { readonly job: string; readonly done: number; readonly placed: number }[] {
   if (typeof v !== 'string') return [];
--- a/test/behind.test.ts
+++ b/test/behind.test.ts
@@ -12,8 +12,8 @@
 import { Listener } from '../src/edge/http/listener.js';
 import { parseTarget } from '../src/edge/net/http-client.js';
 import { isHealthy } from '../src/edge/http/health.js';
-import { Intake, readReports } from '../src/edge/http/heartbeat-reader.js';
-import { Workers } from '../src/edge/workers/worker-command-sender.js';
+import { HeartbeatQueue, readHeartbeats } from '../src/edge/http/heartbeat-reader.js';
+import { WorkerCommandSender } from '../src/edge/workers/worker-command-sender.js';
 import { FACTS, TYPE, spec } from './player.js';
 import { listen } from './standins/http.js';
 import { ownAddress, makeSite, platform, startController, until } from './standins/site.js';
@@ -31,14 +31,14 @@
   onStale: () => void = () => undefined,
   coreShare = 1,
 ): {
-  intake: Intake;
+  intake: HeartbeatQueue;
   turn: () => void;
   pass: (ms: number) => void;
   due: () => number;
 } {
   let now = 0n;
   const due: (() => void)[] = [];
-  const intake = new Intake(
+  const intake = new HeartbeatQueue(
     onStale,
     coreShare,
     () => now,
@@ -90,19 +90,26 @@
 });
 
 test('users are left to the others while the leader is behind or its copy is old, if there are others', () => {
-  const fine = { ready: true, copyMs: 500, leading: false, behind: false, others: 2, othersServing: 2 };
+  const fine = {
+    ready: true,
+    replicaAgeMs: 500,
+    isLeader: false,
+    overloaded: false,
+    peerCount: 2,
+    peersServing: 2,
+  };
   assert.equal(isHealthy(fine), true);
   assert.equal(isHealthy({ ...fine, ready: false }), false);
-  assert.equal(isHealthy({ ...fine, othersServing: 1, leading: true, behind: true }), false);
-  assert.equal(isHealthy({ ...fine, othersServing: 0, leading: true, behind: true }), true);
-  assert.equal(isHealthy({ ...fine, copyMs: 5000 }), false);
+  assert.equal(isHealthy({ ...fine, peersServing: 1, isLeader: true, overloaded: true }), false);
+  assert.equal(isHealthy({ ...fine, peersServing: 0, isLeader: true, overloaded: true }), true);
+  assert.equal(isHealthy({ ...fine, replicaAgeMs: 5000 }), false);
   // An outage that all see: going away would only keep users out for longer.
-  assert.equal(isHealthy({ ...fine, copyMs: 5000, othersServing: 0 }), true);
-  assert.equal(isHealthy({ ...fine, copyMs: 20_000, othersServing: 0 }), false);
+  assert.equal(isHealthy({ ...fine, replicaAgeMs: 5000, peersServing: 0 }), true);
+  assert.equal(isHealthy({ ...fine, replicaAgeMs: 20_000, peersServing: 0 }), false);
   // The leader answers all workers: users are left to the others before it falls behind, while all of them serve.
-  assert.equal(isHealthy({ ...fine, leading: true }), false);
-  assert.equal(isHealthy({ ...fine, leading: true, othersServing: 1 }), true);
-  assert.equal(isHealthy({ ...fine, leading: true, others: 1, othersServing: 1 }), true);
+  assert.equal(isHealthy({ ...fine, isLeader: true }), false);
+  assert.equal(isHealthy({ ...fine, isLeader: true, peersServing: 1 }), true);
+  assert.equal(isHealthy({ ...fine, isLeader: true, peerCount: 1, peersServing: 1 }), true);
 });
 
 test('a report whose worker has given up is not looked at; the others are', () => {
@@ -124,7 +131,7 @@
       seen.push(b.toString());
       return { status: 200, body: b } as const;
     };
-    readReports(socket as unknown as Socket, 1024, intake, answer, () => assert.fail('not a report'));
+    readHeartbeats(socket as unknown as Socket, 1024, intake, answer, () => assert.fail('not a report'));
     return socket;
   };
   const [gone, held] = [connect(), connect()];
@@ -392,14 +399,14 @@
     return { status: 409, body: {} };
   });
   const results: string[] = [];
-  const workers = new Workers(
+  const workers = new WorkerCommandSender(
     8,
     () => 1,
     () => true,
     (result) => results.push(result.outcome),
   );
   const running = workers.start();
-  const question = { machine: 'm1', endpoint: worker.addr, session: 1, orders: [] };
+  const question = { machineName: 'm1', endpoint: worker.addr, agentEpoch: 1, commands: [] };
   for (let n = 0; n < 5; n++) workers.push(question);
   await until('an answer', () => Promise.resolve(results.length > 0 ? true : null));
   workers.push(question);
--- a/test/bounded.test.ts
+++ b/test/bounded.test.ts
@@ -4,14 +4,21 @@
 import { ClusterScheduler } from '../src/core/cluster-scheduler.js';
 import { previousLeadersDeadlineFrom } from '../src/core/state/leadership-timing.js';
 import { seconds, type Timestamp } from '../src/core/model/time.js';
-import { Counts } from '../src/edge/state-store/task-counts.js';
-import { DecodedPages } from '../src/edge/state-store/decoded-page-cache.js';
-import { EndedJobs } from '../src/edge/state-store/finished-job-compactor.js';
-import { makeLog } from '../src/edge/runtime/logger.js';
-import { ImagesSeen } from '../src/edge/state-store/image-cache-observer.js';
+import { TaskCounts } from '../src/edge/state-store/task-counts.js';
+import { DecodedPageCache } from '../src/edge/state-store/decoded-page-cache.js';
+import { FinishedJobCompactor } from '../src/edge/state-store/finished-job-compactor.js';
+import { createLogger } from '../src/edge/runtime/logger.js';
+import { ImageCacheObserver } from '../src/edge/state-store/image-cache-observer.js';
 import { DEFAULT_SETTINGS } from '../src/edge/config/operator-settings.js';
-import type { Change, Entry, Store } from '../src/edge/state-store/state-store.js';
-import { EndedJob, jobKey, pageKey, summaryOf, writeJob, writePage } from '../src/wire/records.js';
+import type { KeyChange, ReplicaEntry, StateStore } from '../src/edge/state-store/state-store.js';
+import {
+  FinishedJobSummary,
+  jobKey,
+  pageKey,
+  jobSummaryOf,
+  encodeJob,
+  encodePage,
+} from '../src/wire/records.js';
 import { FACTS, TYPE, spec } from './player.js';
 
 /**
@@ -38,26 +45,26 @@
 
 /** A followed copy without a state service. */
 class Copy {
-  readonly copy = new Map<string, Entry>();
-  readonly changes = new Subject<Change>();
-  loading = false;
+  readonly replica = new Map<string, ReplicaEntry>();
+  readonly changes = new Subject<KeyChange>();
+  reloading = false;
   private stamp = 0;
 
   put(key: string, value: unknown): void {
-    const entry = { value, stamp: ++this.stamp };
-    this.copy.set(key, entry);
+    const entry = { value, modRevision: ++this.stamp };
+    this.replica.set(key, entry);
     this.changes.next({ key, entry });
   }
 
-  abridge(key: string, value: EndedJob): void {
-    const known = this.copy.get(key);
-    if (known !== undefined) this.copy.set(key, { value, stamp: known.stamp });
+  replaceWithSummary(key: string, value: FinishedJobSummary): void {
+    const known = this.replica.get(key);
+    if (known !== undefined) this.replica.set(key, { value, modRevision: known.modRevision });
   }
 
   job(id: string, standing: 'open' | 'done' | 'cancelled'): void {
     this.put(
       jobKey(id),
-      writeJob({ spec: spec(id, { taskCount: 3 }), submittedAt: at(0).wall, status: standing }),
+      encodeJob({ spec: spec(id, { taskCount: 3 }), submittedAt: at(0).wall, status: standing }),
     );
   }
 
@@ -71,7 +78,7 @@
     }));
     this.put(
       pageKey('all', 0),
-      writePage(
+      encodePage(
         [
           {
             jobId: id,
@@ -85,15 +92,16 @@
   }
 
   get whole(): number {
-    return [...this.copy].filter(([key, e]) => key.includes('/job/') && !(e.value instanceof EndedJob))
-      .length;
+    return [...this.replica].filter(
+      ([key, e]) => key.includes('/job/') && !(e.value instanceof FinishedJobSummary),
+    ).length;
   }
 }
 
 test('of thousands of finished jobs the copy keeps how they ended, not their descriptions', () => {
   const copy = new Copy();
-  const counts = new Counts(copy as unknown as Store);
-  const ended = new EndedJobs(copy, counts);
+  const counts = new TaskCounts(copy as unknown as StateStore);
+  const ended = new FinishedJobCompactor(copy, counts);
   const routine = ended.start();
   for (let n = 0; n < 3000; n++) {
     copy.job(`req-${n}`, 'open');
@@ -101,22 +109,25 @@
   }
   ended.sweep();
   assert.equal(copy.whole, 10, 'the open ones');
-  assert.deepEqual(summaryOf(copy.copy.get(jobKey('req-2000'))?.value), new EndedJob('done', 'array', 3));
-  assert.equal(summaryOf(copy.copy.get(jobKey('req-2001'))?.value).standing, 'cancelled');
+  assert.deepEqual(
+    jobSummaryOf(copy.replica.get(jobKey('req-2000'))?.value),
+    new FinishedJobSummary('done', 'array', 3),
+  );
+  assert.equal(jobSummaryOf(copy.replica.get(jobKey('req-2001'))?.value).status, 'cancelled');
   routine.unsubscribe();
 });
 
 // Its tasks may still run: a new owner must know what they take of their team's limit and of their machines.
 test('a cancelled job is kept whole while something of it is placed, or the copy is being read anew', () => {
   const copy = new Copy();
-  const ended = new EndedJobs(copy, new Counts(copy as unknown as Store));
+  const ended = new FinishedJobCompactor(copy, new TaskCounts(copy as unknown as StateStore));
   const routine = ended.start();
-  copy.loading = true;
+  copy.reloading = true;
   copy.job('req-1', 'cancelled');
   ended.sweep();
   assert.equal(copy.whole, 1, 'its page may not have been read yet');
   copy.place('req-1', ['m1']);
-  copy.loading = false;
+  copy.reloading = false;
   ended.sweep();
   assert.equal(copy.whole, 1);
   copy.place('req-1', []);
@@ -127,14 +138,19 @@
 
 test('a standby has each page taken apart once, before it takes over; a leader takes none apart', () => {
   const copy = new Copy();
-  const pages = new DecodedPages();
+  const pages = new DecodedPageCache();
   let leading = false;
-  const images = new ImagesSeen(copy as unknown as Store, makeLog('test'), pages, () => leading);
+  const images = new ImageCacheObserver(
+    copy as unknown as StateStore,
+    createLogger('test'),
+    pages,
+    () => leading,
+  );
   const routine = images.start();
   copy.job('req-1', 'open');
   copy.place('req-1', ['m1', 'm2']);
   assert.equal(pages.decoded, 1);
-  const entry = copy.copy.get(pageKey('all', 0));
+  const entry = copy.replica.get(pageKey('all', 0));
   assert.ok(entry);
   assert.equal(pages.of(entry)[0]?.record.assignments.length, 2);
   assert.equal(pages.decoded, 1, 'a takeover takes nothing apart that was followed');
--- a/test/golden-records.test.ts
+++ b/test/golden-records.test.ts
@@ -5,22 +5,22 @@
 import type { PageEntry } from '../src/core/records/record-pages.js';
 import { seconds, type Timestamp } from '../src/core/model/time.js';
 import { encode } from '../src/wire/cbor.js';
-import { FRAME_LIMIT, FrameReader, statusFrame, type Status } from '../src/wire/frames.js';
+import { FRAME_LIMIT, FrameReader, encodeStatus, type ControllerStatus } from '../src/wire/frames.js';
 import {
-  countsIn,
-  featuresIn,
+  taskCountsIn,
+  decodeFeatures,
   jobKey,
   pageKey,
   parseKey,
-  partKey,
-  readJob,
-  readPage,
-  readPart,
+  leaderKey,
+  decodeJob,
+  decodePage,
+  decodeLeader,
   versionKey,
-  writeJob,
-  writePage,
-  zonesKey,
-  type PartRecord,
+  encodeJob,
+  encodePage,
+  zoneRecordKey,
+  type LeaderRecord,
   type VersionRecord,
 } from '../src/wire/records.js';
 import { assertBytes, valueIn, type Golden } from './golden-bytes.js';
@@ -115,15 +115,15 @@
     [ARRAY_JOB, { spec: array, submittedAt: submitted, status: 'cancelled' }],
   ];
   for (const [golden, record] of records) {
-    assertBytes(encode(writeJob(record)), golden);
-    assert.deepEqual(readJob(valueIn(golden)), record);
+    assertBytes(encode(encodeJob(record)), golden);
+    assert.deepEqual(decodeJob(valueIn(golden)), record);
   }
 });
 
 // A cancellation reads the record and writes it again: nothing may be lost or moved on the way.
 test('a record that is read and written again keeps its bytes', () => {
   for (const golden of [WHOLE_JOB, BARE_JOB, ARRAY_JOB])
-    assertBytes(encode(writeJob(readJob(valueIn(golden)))), golden);
+    assertBytes(encode(encodeJob(decodeJob(valueIn(golden)))), golden);
 });
 
 test('the record of a part’s owner', () => {
@@ -131,9 +131,9 @@
     text: '{"label":"hearth-1","incarnation":"hearth-1-1893499200250-77"}',
     base64: 'omVsYWJlbGhoZWFydGgtMWtpbmNhcm5hdGlvbngZaGVhcnRoLTEtMTg5MzQ5OTIwMDI1MC03Nw==',
   };
-  const owner: PartRecord = { label: 'hearth-1', incarnation: 'hearth-1-1893499200250-77' };
+  const owner: LeaderRecord = { label: 'hearth-1', incarnation: 'hearth-1-1893499200250-77' };
   assertBytes(encode(owner), golden);
-  assert.deepEqual(readPart(valueIn(golden)), owner);
+  assert.deepEqual(decodeLeader(valueIn(golden)), owner);
 });
 
 test('the record of what a version can do', () => {
@@ -143,7 +143,7 @@
   };
   const version: VersionRecord = { features: ['dependencies'] };
   assertBytes(encode(version), golden);
-  assert.deepEqual(featuresIn(valueIn(golden)), ['dependencies']);
+  assert.deepEqual(decodeFeatures(valueIn(golden)), ['dependencies']);
 });
 
 test('the record of zones, in every phase', () => {
@@ -213,72 +213,77 @@
     },
   ];
   const zones = ['east', 'we.st'];
-  assert.equal(writePage(entries, zones), PAGE);
-  assert.equal(writePage(entries, zones), PAGE, 'rows that were kept from the first time');
-  assert.deepEqual(readPage(PAGE), entries);
-  assert.deepEqual(countsIn(PAGE), [
+  assert.equal(encodePage(entries, zones), PAGE);
+  assert.equal(encodePage(entries, zones), PAGE, 'rows that were kept from the first time');
+  assert.deepEqual(decodePage(PAGE), entries);
+  assert.deepEqual(taskCountsIn(PAGE), [
     { job: 'req-1', done: 0, placed: 0 },
     { job: 'req-2', done: 3, placed: 0 },
     { job: 'req-3', done: 0, placed: 1 },
     { job: 'req-4', done: 4, placed: 2 },
   ]);
-  assert.equal(writePage([], []), '');
-  assert.deepEqual(readPage(''), []);
+  assert.equal(encodePage([], []), '');
+  assert.deepEqual(decodePage(''), []);
 });
 
 test('the keys of records, written and taken apart', () => {
   assert.equal(jobKey('req-1'), 'main/job/req-1');
-  assert.equal(partKey('all'), 'main/part/all');
+  assert.equal(leaderKey('all'), 'main/part/all');
   assert.equal(pageKey('all', 3), 'main/page/all/3');
-  assert.equal(zonesKey('all'), 'main/zones/all');
+  assert.equal(zoneRecordKey('all'), 'main/zones/all');
   assert.equal(versionKey('hearth-1'), 'main/version/hearth-1');
   assert.deepEqual(parseKey('main/job/req-1'), { kind: 'job', id: 'req-1' });
-  assert.deepEqual(parseKey('main/part/all'), { kind: 'part', part: 'all' });
-  assert.deepEqual(parseKey('main/page/all/3'), { kind: 'page', part: 'all', id: 3 });
+  assert.deepEqual(parseKey('main/part/all'), { kind: 'leader', partition: 'all' });
+  assert.deepEqual(parseKey('main/page/all/3'), { kind: 'page', partition: 'all', id: 3 });
   assert.deepEqual(parseKey('main/version/hearth-1'), { kind: 'version', label: 'hearth-1' });
   assert.deepEqual(parseKey('main/zones/all'), { kind: 'other' });
 });
 
 // Magic `PR`, version, kind, length; then flags, contact, token and label.
-const FRAMES: readonly (readonly [string, string, Status])[] = [
+const FRAMES: readonly (readonly [string, string, ControllerStatus])[] = [
   [
     'an owner',
     '5052 01 01 0016 01 000001a4 000000000000004d 08 6865617274682d31',
-    { label: 'hearth-1', owner: true, contactMs: 420, token: 77n },
+    { label: 'hearth-1', isLeader: true, stateStoreContactMs: 420, fencingToken: 77n },
   ],
   [
     'no owner, and no contact yet',
     '5052 01 01 0016 00 ffffffff 0000000000000000 08 6865617274682d32',
-    { label: 'hearth-2', owner: false, contactMs: null, token: 0n },
+    { label: 'hearth-2', isLeader: false, stateStoreContactMs: null, fencingToken: 0n },
   ],
   [
     'the longest contact, the highest token, and a label beyond ASCII',
     '5052 01 01 0010 00 fffffffe ffffffffffffffff 02 c3a9',
-    { label: 'é', owner: false, contactMs: 0xfffffffe, token: 0xffff_ffff_ffff_ffffn },
+    { label: 'é', isLeader: false, stateStoreContactMs: 0xfffffffe, fencingToken: 0xffff_ffff_ffff_ffffn },
   ],
   [
     'no label',
     '5052 01 01 000e 01 00000000 0000000000000001 00',
-    { label: '', owner: true, contactMs: 0, token: 1n },
+    { label: '', isLeader: true, stateStoreContactMs: 0, fencingToken: 1n },
   ],
 ];
 
 test('frames between controllers', () => {
   for (const [what, hex, status] of FRAMES) {
     const bytes = hex.replaceAll(' ', '');
-    assert.equal(statusFrame(status).toString('hex'), bytes, what);
+    assert.equal(encodeStatus(status).toString('hex'), bytes, what);
     assert.deepEqual(new FrameReader().push(Buffer.from(bytes, 'hex')), [status], what);
   }
   assert.equal(FRAME_LIMIT, 512);
 });
 
 test('in a frame a contact is rounded, and a label is cut at 255 bytes', () => {
-  const long: Status = { label: 'x'.repeat(300), owner: false, contactMs: 1.5, token: 2n };
+  const long: ControllerStatus = {
+    label: 'x'.repeat(300),
+    isLeader: false,
+    stateStoreContactMs: 1.5,
+    fencingToken: 2n,
+  };
   const bytes = `50520101010d00000000020000000000000002ff${'78'.repeat(255)}`;
-  assert.equal(statusFrame(long).toString('hex'), bytes);
+  assert.equal(encodeStatus(long).toString('hex'), bytes);
   assert.deepEqual(new FrameReader().push(Buffer.from(bytes, 'hex')), [
-    { ...long, label: 'x'.repeat(255), contactMs: 2 },
+    { ...long, label: 'x'.repeat(255), stateStoreContactMs: 2 },
   ]);
-  assert.equal(statusFrame({ ...long, contactMs: 1e12 }).toString('hex', 7, 11), 'fffffffe');
-  assert.equal(statusFrame({ ...long, contactMs: -1 }).toString('hex', 7, 11), '00000000');
+  assert.equal(encodeStatus({ ...long, stateStoreContactMs: 1e12 }).toString('hex', 7, 11), 'fffffffe');
+  assert.equal(encodeStatus({ ...long, stateStoreContactMs: -1 }).toString('hex', 7, 11), '00000000');
 });
--- a/test/golden-requests.test.ts
+++ b/test/golden-requests.test.ts
@@ -6,22 +6,22 @@
 import type { Heartbeat } from '../src/core/model/heartbeat.js';
 import type { JobSpec } from '../src/core/model/job.js';
 import { seconds } from '../src/core/model/time.js';
-import { Cloud } from '../src/edge/cloud/cloud-client.js';
-import { Store } from '../src/edge/state-store/state-store.js';
-import { Workers, type DirectResult } from '../src/edge/workers/worker-command-sender.js';
+import { CloudClient } from '../src/edge/cloud/cloud-client.js';
+import { StateStore } from '../src/edge/state-store/state-store.js';
+import { WorkerCommandSender, type CommandResult } from '../src/edge/workers/worker-command-sender.js';
 import { encode } from '../src/wire/cbor.js';
 import {
-  jobAnswer,
-  listQuery,
-  orders,
-  parseList,
-  parseReport,
+  encodeJobStatus,
+  inventoryPath,
+  encodeCommands,
+  parseInventory,
+  parseHeartbeat,
   parseSubmission,
-  parseTypes,
-  redirect,
-  rentBody,
-  returnBody,
-  type Parsed,
+  parseMachineTypes,
+  encodeRedirect,
+  encodeScaleOut,
+  encodeScaleIn,
+  type ParseResult,
 } from '../src/wire/protocol.js';
 import { assertBytes, assertRequest, valueIn, type Golden } from './golden-bytes.js';
 import { call } from './standins/http.js';
@@ -43,8 +43,8 @@
 
 const silent = pino({ level: 'silent' });
 
-function valueOf<T>(parsed: Parsed<T>): T {
-  assert.ok(parsed.ok, parsed.ok ? '' : parsed.why);
+function valueOf<T>(parsed: ParseResult<T>): T {
+  assert.ok(parsed.ok, parsed.ok ? '' : parsed.reason);
   return parsed.value;
 }
 
@@ -161,7 +161,7 @@
 test('what is wrong with a submission is told in the words of the interface', () => {
   const why = (change: (text: string) => string): string => {
     const parsed = parseSubmission(JSON.parse(change(WHOLE.text)));
-    return parsed.ok ? 'accepted' : parsed.why;
+    return parsed.ok ? 'accepted' : parsed.reason;
   };
   assert.equal(
     why((text) => text.replace('"tickets":16', '"tickets":0')),
@@ -183,35 +183,35 @@
 
 test('a job is told of in the bytes of the interface, in each state, with and without counts', () => {
   const counts = { done: 3, running: 13 };
-  assertBytes(encode(jobAnswer('req-1', 'pending')), {
+  assertBytes(encode(encodeJobStatus('req-1', 'pending')), {
     text: '{"ref":"req-1","standing":"pending"}',
     base64: 'omNyZWZlcmVxLTFoc3RhbmRpbmdncGVuZGluZw==',
   });
-  assertBytes(encode(jobAnswer('req-1', 'running')), {
+  assertBytes(encode(encodeJobStatus('req-1', 'running')), {
     text: '{"ref":"req-1","standing":"running"}',
     base64: 'omNyZWZlcmVxLTFoc3RhbmRpbmdncnVubmluZw==',
   });
-  assertBytes(encode(jobAnswer('req-1', 'done')), {
+  assertBytes(encode(encodeJobStatus('req-1', 'done')), {
     text: '{"ref":"req-1","standing":"done"}',
     base64: 'omNyZWZlcmVxLTFoc3RhbmRpbmdkZG9uZQ==',
   });
-  assertBytes(encode(jobAnswer('req-1', 'cancelled')), {
+  assertBytes(encode(encodeJobStatus('req-1', 'cancelled')), {
     text: '{"ref":"req-1","standing":"cancelled"}',
     base64: 'omNyZWZlcmVxLTFoc3RhbmRpbmdpY2FuY2VsbGVk',
   });
-  assertBytes(encode(jobAnswer('req-1', 'pending', { done: 0, running: 0 })), {
+  assertBytes(encode(encodeJobStatus('req-1', 'pending', { done: 0, running: 0 })), {
     text: '{"ref":"req-1","standing":"pending","done":0,"running":0}',
     base64: 'pGNyZWZlcmVxLTFoc3RhbmRpbmdncGVuZGluZ2Rkb25lAGdydW5uaW5nAA==',
   });
-  assertBytes(encode(jobAnswer('req-1', 'running', counts)), {
+  assertBytes(encode(encodeJobStatus('req-1', 'running', counts)), {
     text: '{"ref":"req-1","standing":"running","done":3,"running":13}',
     base64: 'pGNyZWZlcmVxLTFoc3RhbmRpbmdncnVubmluZ2Rkb25lA2dydW5uaW5nDQ==',
   });
-  assertBytes(encode(jobAnswer('req-1', 'done', { done: 16, running: 0 })), {
+  assertBytes(encode(encodeJobStatus('req-1', 'done', { done: 16, running: 0 })), {
     text: '{"ref":"req-1","standing":"done","done":16,"running":0}',
     base64: 'pGNyZWZlcmVxLTFoc3RhbmRpbmdkZG9uZWRkb25lEGdydW5uaW5nAA==',
   });
-  assertBytes(encode(jobAnswer('req-1', 'cancelled', counts)), {
+  assertBytes(encode(encodeJobStatus('req-1', 'cancelled', counts)), {
     text: '{"ref":"req-1","standing":"cancelled","done":3,"running":13}',
     base64: 'pGNyZWZlcmVxLTFoc3RhbmRpbmdpY2FuY2VsbGVkZGRvbmUDZ3J1bm5pbmcN',
   });
@@ -320,8 +320,8 @@
     [HELLO, report],
     [QUIET, quiet],
   ] as const) {
-    assert.deepEqual(valueOf(parseReport(valueIn(golden))), expected);
-    assert.deepEqual(valueOf(parseReport(bySchema(valueIn(golden)))), expected);
+    assert.deepEqual(valueOf(parseHeartbeat(valueIn(golden))), expected);
+    assert.deepEqual(valueOf(parseHeartbeat(bySchema(valueIn(golden)))), expected);
   }
 });
 
@@ -347,33 +347,33 @@
 };
 
 test('answers to reports are written in the bytes of the interface', () => {
-  assertBytes(encode(orders(41, ORDERS)), IN_ANSWER);
-  assertBytes(encode(orders(41, [])), {
+  assertBytes(encode(encodeCommands(41, ORDERS)), IN_ANSWER);
+  assertBytes(encode(encodeCommands(41, [])), {
     text: '{"baton":41,"orders":[]}',
     base64: 'omViYXRvbhgpZm9yZGVyc4A=',
   });
-  assertBytes(encode(redirect('hearth-2')), {
+  assertBytes(encode(encodeRedirect('hearth-2')), {
     text: '{"foreman":"hearth-2"}',
     base64: 'oWdmb3JlbWFuaGhlYXJ0aC0y',
   });
-  assertBytes(encode(redirect(null)), { text: '{}', base64: 'oA==' });
+  assertBytes(encode(encodeRedirect(null)), { text: '{}', base64: 'oA==' });
   // Tokens above 32 bits must stay integers.
-  const long = encode(orders(0x1_0000_0001, []));
+  const long = encode(encodeCommands(0x1_0000_0001, []));
   assert.equal(long.toString('base64'), 'omViYXRvbhsAAAABAAAAAWZvcmRlcnOA');
 });
 
 test('commands go straight to a worker in the bytes of the interface, and its report comes back', async () => {
   const worker = await record(() => ({ status: 200, body: JSON.parse(HELLO.text) as unknown }));
-  const results: DirectResult[] = [];
-  const workers = new Workers(
+  const results: CommandResult[] = [];
+  const workers = new WorkerCommandSender(
     4,
     () => 41,
     () => true,
     (result) => results.push(result),
   );
   const routines = workers.start();
-  workers.push({ machine: 'n-000231', endpoint: worker.address, session: 1, orders: ORDERS });
-  const { outcome, report: told } = await until('answered', () => Promise.resolve(results[0] ?? null));
+  workers.push({ machineName: 'n-000231', endpoint: worker.address, agentEpoch: 1, commands: ORDERS });
+  const { outcome, heartbeat: told } = await until('answered', () => Promise.resolve(results[0] ?? null));
   routines.unsubscribe();
   worker.close();
   assert.equal(outcome, 'executed');
@@ -453,12 +453,12 @@
 
 test('the cloud is asked and its answers are read in the bytes of the interface', async () => {
   const order = { type: 'g8', zone: 'a', spot: true, count: 12 };
-  assert.deepEqual(valueOf(parseTypes(valueIn(FLAVORS))), types);
-  assert.deepEqual(valueOf(parseList(valueIn(MACHINES))), { machines: listed, more: true });
-  assertBytes(encode(rentBody('r-17', order)), RENTAL);
-  assertBytes(encode(returnBody(['n-000231', 'n-000232'])), RETURN);
-  assert.equal(listQuery(null, 500), '/machines?page=500');
-  assert.equal(listQuery('n-000231', 500), '/machines?from=n-000231&page=500');
+  assert.deepEqual(valueOf(parseMachineTypes(valueIn(FLAVORS))), types);
+  assert.deepEqual(valueOf(parseInventory(valueIn(MACHINES))), { machines: listed, more: true });
+  assertBytes(encode(encodeScaleOut('r-17', order)), RENTAL);
+  assertBytes(encode(encodeScaleIn(['n-000231', 'n-000232'])), RETURN);
+  assert.equal(inventoryPath(null, 500), '/machines?page=500');
+  assert.equal(inventoryPath('n-000231', 500), '/machines?from=n-000231&page=500');
 
   const cloud = await record((line) => {
     if (line === 'GET /flavors') return { status: 200, body: valueIn(FLAVORS) };
@@ -467,12 +467,12 @@
       return { status: 200, body: JSON.parse('{"rigs":[],"hasNext":false}') as unknown };
     return { status: 200, body: JSON.parse('{"rigs":["n-000240"]}') as unknown };
   });
-  const client = new Cloud(cloud.address, 20, silent);
+  const client = new CloudClient(cloud.address, 20, silent);
   const { signal } = new AbortController();
-  assert.deepEqual(await client.types(signal), types);
-  assert.deepEqual(await client.list(signal), listed);
-  assert.deepEqual(await client.rent('r-17', order, signal), ['n-000240']);
-  assert.equal(await client.remove(['n-000231', 'n-000232'], () => true, signal), true);
+  assert.deepEqual(await client.listMachineTypes(signal), types);
+  assert.deepEqual(await client.listInstances(signal), listed);
+  assert.deepEqual(await client.scaleOut('r-17', order, signal), ['n-000240']);
+  assert.equal(await client.scaleIn(['n-000231', 'n-000232'], () => true, signal), true);
   cloud.close();
   const [first, second, third, fourth, fifth] = cloud.requests;
   assertRequest(first, 'GET /flavors', null);
@@ -511,32 +511,32 @@
     const text = STORE_ANSWERS[line];
     return text === undefined ? null : { status: 200, body: JSON.parse(text) as unknown };
   });
-  const store = new Store(service.address, silent);
+  const store = new StateStore(service.address, silent);
   const owner = await store.read('main/part/all', 1000);
   assert.deepEqual(
     encode(owner.kind === 'found' ? owner.value : null),
     encode(JSON.parse('{"label":"hearth-1","incarnation":"i-1"}')),
   );
   const guards = [
-    { key: 'main/part/all', stamp: 412 },
-    { key: 'main/job/req-1', stamp: 0 },
+    { key: 'main/part/all', modRevision: 412 },
+    { key: 'main/job/req-1', modRevision: 0 },
   ];
   const result = await store.commit(guards, [
     { write: 'main/part/all', value: { a: 1 }, permit: 7 },
     { write: 'main/page/all/0', value: 'x' },
     { delete: 'main/c' },
   ]);
-  assert.deepEqual(result, { kind: 'ok', rev: 432 });
+  assert.deepEqual(result, { kind: 'committed', revision: 432 });
   await store.commit([], []);
   assert.equal(await store.grantLease(5000), 7);
   assert.equal(await store.renewLease(7), 'ok');
   await store.revokeLease(7);
   const routines = store.start();
-  assert.equal(await store.reached(433, 3000), true);
+  assert.equal(await store.waitForRevision(433, 3000), true);
   await until('the next follow', () => Promise.resolve(service.requests.length >= 10 ? true : null));
   routines.unsubscribe();
   service.close();
-  assert.deepEqual([...store.copy], [['main/x', { value: '3', stamp: 433 }]]);
+  assert.deepEqual([...store.replica], [['main/x', { value: '3', modRevision: 433 }]]);
 
   const sent = service.requests;
   assertRequest(sent[0], 'GET /store/main/part/all', null);
@@ -560,8 +560,8 @@
       ? { status: 409, body: JSON.parse('{"failed":["a/b"],"ledgerRev":431}') as unknown }
       : { status: 404, body: JSON.parse('{"ledgerRev":431}') as unknown },
   );
-  const store = new Store(service.address, silent);
-  assert.deepEqual(await store.commit([], []), { kind: 'conflict', failed: ['a/b'], rev: 431 });
+  const store = new StateStore(service.address, silent);
+  assert.deepEqual(await store.commit([], []), { kind: 'conflict', failedKeys: ['a/b'], revision: 431 });
   assert.equal((await store.read('main/part/all', 1000)).kind, 'absent');
   assert.equal(await store.renewLease(7), 'ended');
   service.close();
--- a/test/golden-settings.test.ts
+++ b/test/golden-settings.test.ts
@@ -14,7 +14,11 @@
   parseOperatorSettings,
   readOperatorSettings,
 } from '../src/edge/config/operator-settings.js';
-import { SettingsError, factsOf, readPlatform } from '../src/edge/config/platform-settings.js';
+import {
+  SettingsError,
+  clusterConfigFrom,
+  readPlatformSettings,
+} from '../src/edge/config/platform-settings.js';
 
 // The settings that platform and operators write, and what they are told of their mistakes. The files are text here, so
 // that a renamed identifier cannot change what is read.
@@ -72,8 +76,8 @@
 };
 
 test('the platform’s settings are read whole', () => {
-  const platform = readPlatform(fileWith('whole.json', PLATFORM));
-  assert.deepEqual(factsOf(platform), facts);
+  const platform = readPlatformSettings(fileWith('whole.json', PLATFORM));
+  assert.deepEqual(clusterConfigFrom(platform), facts);
   assert.equal(platform.label, 'hearth-0');
   assert.equal(platform.area, 'midtown');
   assert.equal(platform.api_addr, '10.0.0.1:8080');
@@ -103,8 +107,8 @@
 const SKEW = /,\s*"skew_ms": 5\.0/;
 
 test('what may be left out of the platform’s settings has its value', () => {
-  const platform = readPlatform(fileWith('bare.json', without(OBJECTIVES, NEXT, LIMITS, SKEW)));
-  assert.deepEqual(factsOf(platform), {
+  const platform = readPlatformSettings(fileWith('bare.json', without(OBJECTIVES, NEXT, LIMITS, SKEW)));
+  assert.deepEqual(clusterConfigFrom(platform), {
     ...facts,
     objectives: [],
     maxTransactionOperations: 8,
@@ -128,12 +132,12 @@
 
 const platformMistake = (from: string, to: string): string => {
   assert.ok(PLATFORM.includes(from), from);
-  return mistakeIn(() => readPlatform(fileWith('p.json', PLATFORM.replace(from, to))));
+  return mistakeIn(() => readPlatformSettings(fileWith('p.json', PLATFORM.replace(from, to))));
 };
 
 test('a mistake in the platform’s settings is told with its place', () => {
   assert.equal(
-    mistakeIn(() => readPlatform(join(folder, 'none.json'))),
+    mistakeIn(() => readPlatformSettings(join(folder, 'none.json'))),
     'cannot read settings DIR/none.json: ENOENT',
   );
   // What follows the colon is the engine's own text.
@@ -183,7 +187,7 @@
     'settings DIR/p.json: facts.state: values must hold 1792 bytes, now and by `next`',
   );
   assert.equal(
-    mistakeIn(() => readPlatform(fileWith('p.json', '[]'))),
+    mistakeIn(() => readPlatformSettings(fileWith('p.json', '[]'))),
     'settings DIR/p.json: : Invalid input: expected object, received array',
   );
 });
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -2,12 +2,12 @@
 import { setFlagsFromString } from 'node:v8';
 import { runInNewContext } from 'node:vm';
 import { test } from 'node:test';
-import { ImagesSeen } from '../src/edge/state-store/image-cache-observer.js';
-import { DecodedPages } from '../src/edge/state-store/decoded-page-cache.js';
-import { makeLog } from '../src/edge/runtime/logger.js';
-import { SerialTasks } from '../src/edge/workers/keyed-task-queue.js';
-import { jobKey, pageKey, writeJob, writePage } from '../src/wire/records.js';
-import type { Change, Entry, Store } from '../src/edge/state-store/state-store.js';
+import { ImageCacheObserver } from '../src/edge/state-store/image-cache-observer.js';
+import { DecodedPageCache } from '../src/edge/state-store/decoded-page-cache.js';
+import { createLogger } from '../src/edge/runtime/logger.js';
+import { KeyedTaskQueue } from '../src/edge/workers/keyed-task-queue.js';
+import { jobKey, pageKey, encodeJob, encodePage } from '../src/wire/records.js';
+import type { KeyChange, ReplicaEntry, StateStore } from '../src/edge/state-store/state-store.js';
 import { Subject } from 'rxjs';
 import { CoreFleet } from './standins/core-fleet.js';
 import { spec } from './player.js';
@@ -132,13 +132,13 @@
 
 /** A followed copy without a state service. */
 class Copy {
-  readonly copy = new Map<string, Entry>();
-  readonly changes = new Subject<Change>();
+  readonly replica = new Map<string, ReplicaEntry>();
+  readonly changes = new Subject<KeyChange>();
   private stamp = 0;
 
   put(key: string, value: unknown): void {
-    const entry = { value, stamp: ++this.stamp };
-    this.copy.set(key, entry);
+    const entry = { value, modRevision: ++this.stamp };
+    this.replica.set(key, entry);
     this.changes.next({ key, entry });
   }
 }
@@ -146,15 +146,15 @@
 test('images are remembered of as many machines as there are, and forgotten with time', () => {
   const copy = new Copy();
   let clock = 0n;
-  const images = new ImagesSeen(
-    copy as unknown as Store,
-    makeLog('test'),
-    new DecodedPages(),
+  const images = new ImageCacheObserver(
+    copy as unknown as StateStore,
+    createLogger('test'),
+    new DecodedPageCache(),
     () => false,
     () => clock,
   );
   const following = images.start();
-  copy.put(jobKey('req-1'), writeJob({ spec: spec('req-1'), submittedAt: new Date(0), status: 'open' }));
+  copy.put(jobKey('req-1'), encodeJob({ spec: spec('req-1'), submittedAt: new Date(0), status: 'open' }));
   const seen = (from: number, to: number): void => {
     const intents = Array.from({ length: to - from }, (_, n) => ({
       ...{ taskIndex: n, attempt: 1, machineName: `n-${from + n}`, agentEpoch: 1, zone: 'east' },
@@ -166,21 +166,21 @@
         record: { highestAttempt: 1, completedTasks: [], assignments: intents },
       },
     ];
-    copy.put(pageKey('all', 0), writePage(entries, ['east']));
+    copy.put(pageKey('all', 0), encodePage(entries, ['east']));
   };
   for (let n = 0; n < 100; n++) seen(100 * n, 100 * n + 100);
-  assert.equal(images.machines, 10_000);
+  assert.equal(images.machineCount, 10_000);
   clock += 19n * 60n * 1_000_000_000n;
   seen(0, 100);
   clock += 2n * 60n * 1_000_000_000n;
   seen(100, 200);
-  assert.equal(images.machines, 200, 'those not seen for twenty minutes are gone');
-  assert.equal(images.likely(1).length, 200);
+  assert.equal(images.machineCount, 200, 'those not seen for twenty minutes are gone');
+  assert.equal(images.likelyCached(1).length, 200);
   following.unsubscribe();
 });
 
 test('tasks of one key run in order, those of others beside them, and idle keys take nothing', async () => {
-  const tasks = new SerialTasks();
+  const tasks = new KeyedTaskQueue();
   const running = tasks.start();
   const order: string[] = [];
   const waits = (name: string, ms: number) => async (): Promise<void> => {
--- a/test/limits-next.test.ts
+++ b/test/limits-next.test.ts
@@ -9,11 +9,15 @@
 import { seconds, type Timestamp } from '../src/core/model/time.js';
 import { DEFAULT_SETTINGS } from '../src/edge/config/operator-settings.js';
 import { CommitLoop } from '../src/edge/leadership/commit-loop.js';
-import { makeLog } from '../src/edge/runtime/logger.js';
-import { OwnedKey } from '../src/edge/leadership/leader-key.js';
+import { createLogger } from '../src/edge/runtime/logger.js';
+import { LeaderKey } from '../src/edge/leadership/leader-key.js';
 import type { TermContext } from '../src/edge/leadership/term-context.js';
-import { SettingsError, factsOf, readPlatform } from '../src/edge/config/platform-settings.js';
-import { readPage, writePage } from '../src/wire/records.js';
+import {
+  SettingsError,
+  clusterConfigFrom,
+  readPlatformSettings,
+} from '../src/edge/config/platform-settings.js';
+import { decodePage, encodePage } from '../src/wire/records.js';
 import { FACTS, TYPE, spec } from './player.js';
 import { ownAddress, platform } from './standins/site.js';
 
@@ -57,7 +61,7 @@
 test('pages from before a lower limit are split in one transaction each, and nothing is ever unrecorded', () => {
   const owner = newOwner(SMALL);
   const ids = [1, 2, 3];
-  const committed = new Map(ids.map((id) => [id, writePage(largePage(id), FACTS.zones)]));
+  const committed = new Map(ids.map((id) => [id, encodePage(largePage(id), FACTS.zones)]));
   for (const text of committed.values()) assert.ok(text.length > 2048);
   for (const { jobId: id } of ids.flatMap(largePage)) {
     const record = { spec: spec(id, { taskCount: 9 }), submittedAt: at(0).wall, status: 'open' as const };
@@ -71,8 +75,8 @@
     const transaction = owner.nextTransaction(at(5));
     if (transaction === null) break;
     assert.ok(transaction.pages.length <= 4);
-    for (const page of transaction.pages) committed.set(page.id, writePage(page.entries, FACTS.zones));
-    const places = [...committed.values()].flatMap(readPage).flatMap((entry) => entry.record.assignments);
+    for (const page of transaction.pages) committed.set(page.id, encodePage(page.entries, FACTS.zones));
+    const places = [...committed.values()].flatMap(decodePage).flatMap((entry) => entry.record.assignments);
     assert.equal(places.length, ids.length * JOBS * 9);
     owner.handle({ kind: 'transaction-committed', transaction, modRevision: ++stamp }, at(5));
   }
@@ -87,7 +91,9 @@
   const read = (next: unknown): { readonly txnOps: number; readonly valueBytes: number } => {
     const p = platform('one', ownAddress(), ownAddress(), { addr: ownAddress() });
     writeFileSync(file, JSON.stringify({ ...p, facts: { ...p.facts, state: { ...p.facts.state, next } } }));
-    const { maxTransactionOperations: txnOps, maxValueBytes: valueBytes } = factsOf(readPlatform(file));
+    const { maxTransactionOperations: txnOps, maxValueBytes: valueBytes } = clusterConfigFrom(
+      readPlatformSettings(file),
+    );
     return { txnOps, valueBytes };
   };
   assert.deepEqual(read({ value_kb: 2, txn_ops: 3, write_rps: 10 }), { txnOps: 3, valueBytes: 2048 });
@@ -112,9 +118,9 @@
   const secondCommitAfter = async (nextWriteRps: number): Promise<number> => {
     const sent: number[] = [];
     const answers = [
-      { kind: 'refused', why: 'status 429' },
-      { kind: 'ok', rev: 1 },
-      { kind: 'ok', rev: 2 },
+      { kind: 'refused', reason: 'status 429' },
+      { kind: 'committed', revision: 1 },
+      { kind: 'committed', revision: 2 },
     ];
     const pages = Array.from({ length: 8 }, (_, id) => ({
       id,
@@ -133,15 +139,22 @@
     const store = {
       commit: () => {
         sent.push(performance.now());
-        return Promise.resolve(answers[sent.length - 1] ?? { kind: 'ok', rev: 3 });
+        return Promise.resolve(answers[sent.length - 1] ?? { kind: 'committed', revision: 3 });
       },
     };
     const context = {
-      dependencies: { store, facts, part: 'all', writeRps: 18, nextWriteRps, log: makeLog('test') },
-      owner: { nextTransaction: () => transaction, state: { jobs: new Map() } },
-      event: () => undefined,
+      dependencies: {
+        stateStore: store,
+        config: facts,
+        partition: 'all',
+        maxWritesPerSecond: 18,
+        announcedMaxWritesPerSecond: nextWriteRps,
+        logger: createLogger('test'),
+      },
+      scheduler: { nextTransaction: () => transaction, state: { term: {}, jobs: { byId: new Map() } } },
+      dispatch: () => undefined,
     } as unknown as TermContext;
-    const loop = new CommitLoop(context, new OwnedKey(context)).start();
+    const loop = new CommitLoop(context, new LeaderKey(context)).start();
     while (sent.length < 3) await new Promise((done) => setTimeout(done, 20));
     loop.unsubscribe();
     return ((sent[2] ?? 0) - (sent[1] ?? 0)) / 1000;
