--- a/measure/memory.ts
+++ b/measure/memory.ts
@@ -71,13 +71,13 @@
   }
 }
 
-const owner = new ClusterScheduler(FACTS, DEFAULT_SETTINGS, {
+const scheduler = new ClusterScheduler(FACTS, DEFAULT_SETTINGS, {
   fencingToken: 1,
   startedAt: at(0).monotonic,
   confirmedAt: at(0).monotonic,
   previousLeadersDeadline: previousLeadersDeadlineFrom(FACTS, at(0).monotonic),
 });
-owner.handle({ kind: 'machine-types', types: [TYPE] }, at(0));
+scheduler.handle({ kind: 'machine-types', types: [TYPE] }, at(0));
 
 const nameOf = (n: number): string => `n-${String(n).padStart(6, '0')}`;
 
@@ -133,10 +133,11 @@
   console.log(
     `engine and program (compiled by tsx): resident ${megabytes(last.rss)} MB, heap ${megabytes(last.heap)} MB`,
   );
-  for (let n = 0; n < machines; n++) owner.handle({ kind: 'heartbeat', heartbeat: reportOf(n, 1) }, at(0));
+  for (let n = 0; n < machines; n++)
+    scheduler.handle({ kind: 'heartbeat', heartbeat: reportOf(n, 1) }, at(0));
   tell(`${machines} machine records`);
   for (let n = 0; n < openJobs; n++)
-    owner.handle(
+    scheduler.handle(
       { kind: 'job-changed', id: `req-${n}`, record: recordOf(n, 'open'), modRevision: n + 1 },
       at(1),
     );
--- a/measure/peer-link.ts
+++ b/measure/peer-link.ts
@@ -15,7 +15,7 @@
     collect();
     return process.memoryUsage().heapUsed;
   };
-  const log = createLogger('peer-link');
+  const logger = createLogger('peer-link');
   const addresses = [ownAddress(), ownAddress()] as const;
   const link = (own: 0 | 1): PeerLinks => {
     const other = own === 0 ? 1 : 0;
@@ -25,7 +25,7 @@
       addresses[own],
       known,
       () => ({ label, isLeader: false, stateStoreContactMs: 0, fencingToken: 0n }),
-      log,
+      logger,
     );
   };
   const before = used();
--- a/packages/zone-recovery/src/index.ts
+++ b/packages/zone-recovery/src/index.ts
@@ -50,10 +50,10 @@
         replicasMissing: seen.replicasMissing,
         startTakes: seen.slowestStart,
       };
-      const { health, why } = nextHealth(before, zone, around, this.timing, now.monotonic);
+      const { health, why: reason } = nextHealth(before, zone, around, this.timing, now.monotonic);
       this.zones.set(zone.zone, health);
       this.admit(zone, health);
-      if (why !== null) changes.push({ zone: zone.zone, from: before.phase, to: health.phase, reason: why });
+      if (reason !== null) changes.push({ zone: zone.zone, from: before.phase, to: health.phase, reason });
     }
     this.noteRecord(now);
     return changes;
--- a/packages/zone-recovery/src/zone-health.ts
+++ b/packages/zone-recovery/src/zone-health.ts
@@ -83,13 +83,13 @@
 const silentShare = (seen: ZoneObservation): number =>
   seen.known === 0 ? 1 : 1 - seen.responsive / seen.known;
 
-const moved = (health: ZoneHealth, phase: ZonePhase, now: MonotonicTime, why: string): ZoneStep => ({
+const moved = (health: ZoneHealth, phase: ZonePhase, now: MonotonicTime, reason: string): ZoneStep => ({
   health: { ...health, phase, since: now },
-  why,
+  why: reason,
 });
 
-function lose(health: ZoneHealth, now: MonotonicTime, why: string): ZoneStep {
-  return moved({ ...health, losses: health.losses + 1, countedAt: now, admitted: 0 }, 'lost', now, why);
+function lose(health: ZoneHealth, now: MonotonicTime, reason: string): ZoneStep {
+  return moved({ ...health, losses: health.losses + 1, countedAt: now, admitted: 0 }, 'lost', now, reason);
 }
 
 function comeBack(
@@ -111,8 +111,13 @@
 
 const firstStep = (seen: ZoneObservation): number => Math.max(1, Math.ceil(seen.responsive * FIRST_SHARE));
 
-function beginReturn(health: ZoneHealth, seen: ZoneObservation, now: MonotonicTime, why: string): ZoneStep {
-  return moved({ ...health, admitted: firstStep(seen), steppedAt: now }, 'returning', now, why);
+function beginReturn(
+  health: ZoneHealth,
+  seen: ZoneObservation,
+  now: MonotonicTime,
+  reason: string,
+): ZoneStep {
+  return moved({ ...health, admitted: firstStep(seen), steppedAt: now }, 'returning', now, reason);
 }
 
 /** A step of the return goes on once its starts should be done and services are up, or after two leases in any case. */
--- a/packages/zone-recovery/test/zone-world.ts
+++ b/packages/zone-recovery/test/zone-world.ts
@@ -90,7 +90,7 @@
 export class ZoneWorld {
   at = 0;
   readonly record: Entry[] = [];
-  private owner: ClusterScheduler;
+  private scheduler: ClusterScheduler;
   private machines: SimulatedMachine[] = [];
   private readonly jobs = new Map<string, { record: JobRecord; modRevision: number }>();
   private readonly pages = new Map<number, { entries: readonly PageEntry[]; modRevision: number }>();
@@ -104,7 +104,7 @@
     private readonly withRecovery: boolean,
     private random: () => number,
   ) {
-    this.owner = this.takeOver();
+    this.scheduler = this.takeOver();
     for (const zone of ZONES) for (let n = 0; n < machinesPerZone; n++) this.addMachine(zone, 0);
   }
 
@@ -121,14 +121,14 @@
       confirmedAt: began,
       previousLeadersDeadline: previousLeadersDeadlineFrom(WORLD_FACTS, began),
     };
-    this.owner = new ClusterScheduler(WORLD_FACTS, DEFAULT_SETTINGS, term, policy);
+    this.scheduler = new ClusterScheduler(WORLD_FACTS, DEFAULT_SETTINGS, term, policy);
     this.event({ kind: 'machine-types', types: [WORLD_TYPE] });
     this.event({ kind: 'instance-inventory', machines: [], requestedAt: began });
     for (const [id, job] of this.jobs) this.event({ kind: 'job-changed', id, ...job });
     for (const [id, page] of this.pages) this.event({ kind: 'page-loaded', id, ...page });
     this.event({ kind: 'load-completed' });
     policy?.restore(this.kept, this.now());
-    return this.owner;
+    return this.scheduler;
   }
 
   submit(id: string, over: Partial<JobSpec>): void {
@@ -206,12 +206,12 @@
     // Not all at the same moment.
     const due = Math.round(this.at / STEP_S + machine.name.charCodeAt(machine.name.length - 1)) % 4 === 0;
     if (!machine.reachable || !due) return;
-    const report = machine.report();
-    this.event({ kind: 'heartbeat', heartbeat: report });
-    const orders = this.owner.answerHeartbeat(report, this.now());
-    machine.token = Math.max(machine.token, this.owner.state.term.fencingToken);
+    const heartbeat = machine.report();
+    this.event({ kind: 'heartbeat', heartbeat });
+    const commands = this.scheduler.answerHeartbeat(heartbeat, this.now());
+    machine.token = Math.max(machine.token, this.scheduler.state.term.fencingToken);
     machine.renewed = this.at;
-    this.carryOut(machine, orders);
+    this.carryOut(machine, commands);
   }
 
   private progress(machine: SimulatedMachine): void {
@@ -250,18 +250,20 @@
     return known.record.spec;
   }
 
-  private carryOut(machine: SimulatedMachine, orders: readonly WorkerCommand[]): void {
-    for (const order of orders) {
+  private carryOut(machine: SimulatedMachine, commands: readonly WorkerCommand[]): void {
+    for (const command of commands) {
       const at = machine.held.findIndex(
         (each) =>
-          each.jobId === order.jobId && each.taskIndex === order.taskIndex && each.attempt === order.attempt,
+          each.jobId === command.jobId &&
+          each.taskIndex === command.taskIndex &&
+          each.attempt === command.attempt,
       );
       const held = machine.held[at];
-      if (order.op === 'start' && held === undefined) this.startTask(machine, order);
-      if (order.op === 'forget' && held !== undefined) machine.held.splice(at, 1);
-      if (order.op !== 'stop' || held === undefined || held.state === 'exited') continue;
+      if (command.op === 'start' && held === undefined) this.startTask(machine, command);
+      if (command.op === 'forget' && held !== undefined) machine.held.splice(at, 1);
+      if (command.op !== 'stop' || held === undefined || held.state === 'exited') continue;
       if (held.state === 'running') {
-        const task = `${order.jobId}/${order.taskIndex}`;
+        const task = `${command.jobId}/${command.taskIndex}`;
         this.record.push({ kind: 'stopped', at: this.at, task, machine: machine.name });
         this.noteEnd(machine, held);
       }
@@ -269,13 +271,13 @@
     }
   }
 
-  private startTask(machine: SimulatedMachine, order: WorkerCommand): void {
-    const { kind, image, imageGb, estimatedDuration: estimate } = this.specOf(order.jobId);
+  private startTask(machine: SimulatedMachine, command: WorkerCommand): void {
+    const { kind, image, imageGb, estimatedDuration: estimate } = this.specOf(command.jobId);
     const cached = machine.images.has(image);
     if (!cached) this.record.push({ kind: 'fetch', at: this.at, machine: machine.name });
     const ready = this.at + (cached ? 0 : imageGb / WORLD_TYPE.fetchGbPerS) * (0.8 + 0.4 * this.random());
     const runs = kind === 'service' ? Infinity : toSeconds(estimate) * (0.7 + 0.6 * this.random());
-    const { jobId: job, taskIndex: task, attempt } = order;
+    const { jobId: job, taskIndex: task, attempt } = command;
     machine.held.push({
       jobId: job,
       taskIndex: task,
@@ -289,7 +291,7 @@
   }
 
   private event(event: Event): void {
-    for (const effect of this.owner.handle(event, this.now())) this.effect(effect);
+    for (const effect of this.scheduler.handle(event, this.now())) this.effect(effect);
   }
 
   private effect(effect: Effect): void {
@@ -320,19 +322,19 @@
     });
   }
 
-  private direct(name: string, session: number, orders: readonly WorkerCommand[]): void {
-    const token = this.owner.state.term.fencingToken;
-    const owner = this.owner;
-    const answer = (outcome: 'executed' | 'refused' | 'unknown', report: Heartbeat | null): void => {
-      if (owner === this.owner)
+  private direct(name: string, session: number, commands: readonly WorkerCommand[]): void {
+    const token = this.scheduler.state.term.fencingToken;
+    const scheduler = this.scheduler;
+    const answer = (outcome: 'executed' | 'refused' | 'unknown', heartbeat: Heartbeat | null): void => {
+      if (scheduler === this.scheduler)
         this.event({
           kind: 'commands-answered',
           machineName: name,
           agentEpoch: session,
           fencingToken: token,
-          commands: orders,
+          commands,
           outcome,
-          heartbeat: report,
+          heartbeat,
         });
     };
     const machine = this.machines.find((each) => each.name === name && this.at >= each.up);
@@ -342,14 +344,17 @@
     }
     const accepted = token >= machine.token && session === machine.session;
     machine.token = Math.max(machine.token, token);
-    if (accepted) this.carryOut(machine, orders);
-    const report = machine.report();
-    this.later.push({ due: this.at + STEP_S, run: () => answer(accepted ? 'executed' : 'refused', report) });
+    if (accepted) this.carryOut(machine, commands);
+    const heartbeat = machine.report();
+    this.later.push({
+      due: this.at + STEP_S,
+      run: () => answer(accepted ? 'executed' : 'refused', heartbeat),
+    });
   }
 
   private commit(): void {
     for (;;) {
-      const transaction = this.owner.nextTransaction(this.now());
+      const transaction = this.scheduler.nextTransaction(this.now());
       if (transaction === null) return;
       this.stamp += 1;
       const stamp = this.stamp;
--- a/src/core/assignments/assignments.ts
+++ b/src/core/assignments/assignments.ts
@@ -22,7 +22,7 @@
   const chunk = chunkOf(job, task);
   chunk.highestAttempt = Math.max(chunk.highestAttempt, attempt);
   markChunkChanged(state, job, chunk, true, now);
-  const intent: Assignment = {
+  const assignment: Assignment = {
     jobId: job.spec.id,
     taskIndex: task,
     attempt,
@@ -37,56 +37,56 @@
     startSentAt: null,
     runningSince: null,
   };
-  chunk.assignments.set(task, intent);
+  chunk.assignments.set(task, assignment);
   job.unassignedTasks.delete(task);
   if (job.unassignedTasks.size === 0) state.jobs.pending.delete(job.spec.id);
   job.assignedCount += 1;
   state.jobs.quotas.acquire(job.spec);
-  machine.assignments.set(taskKey(job.spec.id, task), intent);
+  machine.assignments.set(taskKey(job.spec.id, task), assignment);
   machine.resources = null;
   machine.idleSince = null;
-  return intent;
+  return assignment;
 }
 
 /** Ends an intent on proof that the task is not on the machine and cannot come there. */
 export function endAssignment(
   state: ClusterState,
-  intent: Assignment,
+  assignment: Assignment,
   completed: boolean,
-  why: string,
+  reason: string,
   now: MonotonicTime,
 ): void {
-  const job = state.jobs.byId.get(intent.jobId);
+  const job = state.jobs.byId.get(assignment.jobId);
   if (job === undefined) return;
-  const chunk = chunkOf(job, intent.taskIndex);
-  if (chunk.assignments.get(intent.taskIndex) !== intent) return;
-  chunk.assignments.delete(intent.taskIndex);
-  const machine = state.machines.byName.get(intent.machineName);
+  const chunk = chunkOf(job, assignment.taskIndex);
+  if (chunk.assignments.get(assignment.taskIndex) !== assignment) return;
+  chunk.assignments.delete(assignment.taskIndex);
+  const machine = state.machines.byName.get(assignment.machineName);
   if (machine !== undefined) {
-    machine.assignments.delete(taskKey(intent.jobId, intent.taskIndex));
+    machine.assignments.delete(taskKey(assignment.jobId, assignment.taskIndex));
     machine.resources = null;
   }
   job.assignedCount -= 1;
   state.jobs.quotas.release(job.spec);
-  if (completed && !chunk.completedTasks.has(intent.taskIndex)) {
-    chunk.completedTasks.add(intent.taskIndex);
+  if (completed && !chunk.completedTasks.has(assignment.taskIndex)) {
+    chunk.completedTasks.add(assignment.taskIndex);
     job.completedCount += 1;
-  } else if (!completed && job.status === 'open' && !chunk.completedTasks.has(intent.taskIndex)) {
-    job.unassignedTasks.add(intent.taskIndex);
-    state.jobs.pending.add(intent.jobId);
+  } else if (!completed && job.status === 'open' && !chunk.completedTasks.has(assignment.taskIndex)) {
+    job.unassignedTasks.add(assignment.taskIndex);
+    state.jobs.pending.add(assignment.jobId);
     if (job.spec.kind === 'service') job.replicaLostAt = now;
   }
   markChunkChanged(state, job, chunk, false, now);
   releaseFinishedChunks(job);
   state.scheduling.cycleNeeded = true;
   emitLog(state, 'place ended', {
-    task: taskKey(intent.jobId, intent.taskIndex),
-    attempt: intent.attempt,
-    machine: intent.machineName,
-    why,
-    ...(intent.runningSince === null
+    task: taskKey(assignment.jobId, assignment.taskIndex),
+    attempt: assignment.attempt,
+    machine: assignment.machineName,
+    why: reason,
+    ...(assignment.runningSince === null
       ? {}
-      : { ran: toSeconds(now - intent.runningSince), expected: toSeconds(job.spec.estimatedDuration) }),
+      : { ran: toSeconds(now - assignment.runningSince), expected: toSeconds(job.spec.estimatedDuration) }),
   });
   if (job.completedCount === job.spec.taskCount) requestCompletion(state, job, now);
 }
@@ -119,26 +119,26 @@
 }
 
 /** An intent of this term whose `run` never left can be ended at once: nobody else could have sent it. */
-export const startNeverSent = (state: ClusterState, intent: Assignment): boolean =>
-  intent.startSentInSequence === null && !startMayStillArrive(state.commands, intent);
+export const startNeverSent = (state: ClusterState, assignment: Assignment): boolean =>
+  assignment.startSentInSequence === null && !startMayStillArrive(state.commands, assignment);
 
 /** Has a task stopped, or its place ended at once if its start never left. */
 export function stopAssignment(
   state: ClusterState,
-  intent: Assignment,
+  assignment: Assignment,
   grace: number,
-  why: string,
+  reason: string,
   now: MonotonicTime,
 ): void {
-  if (startNeverSent(state, intent)) {
-    endAssignment(state, intent, false, `never sent: ${why}`, now);
+  if (startNeverSent(state, assignment)) {
+    endAssignment(state, assignment, false, `never sent: ${reason}`, now);
     return;
   }
-  if (intent.stopRequest !== null && intent.stopRequest.grace <= grace) return;
-  intent.stopRequest = { grace, reason: why, requestedAt: now };
-  const machine = state.machines.byName.get(intent.machineName);
+  if (assignment.stopRequest !== null && assignment.stopRequest.grace <= grace) return;
+  assignment.stopRequest = { grace, reason, requestedAt: now };
+  const machine = state.machines.byName.get(assignment.machineName);
   if (machine !== undefined) machine.resources = null;
-  if (machine === undefined || machine.agentEpoch !== intent.agentEpoch || !machine.fenced) return;
+  if (machine === undefined || machine.agentEpoch !== assignment.agentEpoch || !machine.fenced) return;
   // The answer to its next report carries it too.
   if (isOverloaded(state.term)) return;
   state.effects.push({
@@ -148,9 +148,9 @@
     commands: [
       {
         op: 'stop',
-        jobId: intent.jobId,
-        taskIndex: intent.taskIndex,
-        attempt: intent.attempt,
+        jobId: assignment.jobId,
+        taskIndex: assignment.taskIndex,
+        attempt: assignment.attempt,
         gracePeriodS: grace,
       },
     ],
@@ -161,12 +161,13 @@
 export function stopAllAssignments(
   state: ClusterState,
   job: Job,
-  why: string,
+  reason: string,
   now: MonotonicTime,
   grace = 0,
 ): void {
   for (const chunk of job.chunks.values())
-    for (const intent of [...chunk.assignments.values()]) stopAssignment(state, intent, grace, why, now);
+    for (const assignment of [...chunk.assignments.values()])
+      stopAssignment(state, assignment, grace, reason, now);
 }
 
 /** All possible places of a job’s tasks. */
@@ -180,8 +181,8 @@
 export function assignmentsByZone(job: Job): Map<string, number> {
   const taken = new Map<string, number>();
   for (const chunk of job.chunks.values())
-    for (const intent of chunk.assignments.values())
-      taken.set(intent.zone, (taken.get(intent.zone) ?? 0) + 1);
+    for (const assignment of chunk.assignments.values())
+      taken.set(assignment.zone, (taken.get(assignment.zone) ?? 0) + 1);
   return taken;
 }
 
--- a/src/core/capacity/demand-forecast.ts
+++ b/src/core/capacity/demand-forecast.ts
@@ -75,8 +75,11 @@
   const estimate = estimatedSeconds(state, job);
   let n = 0;
   for (const chunk of job.chunks.values())
-    for (const intent of chunk.assignments.values())
-      if (intent.runningSince !== null && estimate - toSeconds(now.monotonic - intent.runningSince) < within)
+    for (const assignment of chunk.assignments.values())
+      if (
+        assignment.runningSince !== null &&
+        estimate - toSeconds(now.monotonic - assignment.runningSince) < within
+      )
         n += 1;
   return n;
 }
--- a/src/core/capacity/scale-in.ts
+++ b/src/core/capacity/scale-in.ts
@@ -93,12 +93,12 @@
 /** How hard a machine is to empty: replicas stay for good, gangs for long, arrays end soon. */
 function heldFor(state: ClusterState, machine: Machine, now: Timestamp): number {
   let held = 0;
-  for (const intent of machine.assignments.values()) {
-    const job = state.jobs.byId.get(intent.jobId);
+  for (const assignment of machine.assignments.values()) {
+    const job = state.jobs.byId.get(assignment.jobId);
     if (job === undefined) continue;
     const left = Math.max(
       estimatedSeconds(state, job) -
-        (intent.runningSince === null ? 0 : toSeconds(now.monotonic - intent.runningSince)),
+        (assignment.runningSince === null ? 0 : toSeconds(now.monotonic - assignment.runningSince)),
       0,
     );
     held = Math.max(held, job.spec.kind === 'service' ? 3 : left > LONG_S ? 2 : 0);
@@ -122,13 +122,13 @@
       machine.idleSince = null;
       continue;
     }
-    const why = uselessBecause(state, machine, many, now) ?? idleBecause(state, machine, now);
-    if (why !== null) by.set(why, [...(by.get(why) ?? []), machine.name]);
+    const reason = uselessBecause(state, machine, many, now) ?? idleBecause(state, machine, now);
+    if (reason !== null) by.set(reason, [...(by.get(reason) ?? []), machine.name]);
   }
-  return [...by].flatMap(([why, names]) => {
+  return [...by].flatMap(([reason, names]) => {
     const calls: { names: string[]; why: string }[] = [];
     for (let n = 0; n < names.length; n += RETURN_AT_ONCE)
-      calls.push({ names: names.slice(n, n + RETURN_AT_ONCE), why });
+      calls.push({ names: names.slice(n, n + RETURN_AT_ONCE), why: reason });
     return calls;
   });
 }
--- a/src/core/capacity/scale-out.ts
+++ b/src/core/capacity/scale-out.ts
@@ -54,16 +54,19 @@
   const out: Turnover[] = [];
   for (const machine of state.machines.byName.values()) {
     if (!isUsable(state, machine, now.monotonic)) continue;
-    for (const intent of machine.assignments.values()) {
-      const job = state.jobs.byId.get(intent.jobId);
+    for (const assignment of machine.assignments.values()) {
+      const job = state.jobs.byId.get(assignment.jobId);
       if (
         job === undefined ||
         job.spec.kind !== 'array' ||
-        intent.runningSince === null ||
-        intent.stopRequest !== null
+        assignment.runningSince === null ||
+        assignment.stopRequest !== null
       )
         continue;
-      const left = Math.max(estimatedSeconds(state, job) - toSeconds(now.monotonic - intent.runningSince), 1);
+      const left = Math.max(
+        estimatedSeconds(state, job) - toSeconds(now.monotonic - assignment.runningSince),
+        1,
+      );
       out.push({ zone: machine.zone, type: machine.type, spot: machine.spot, left, job, used: false });
     }
   }
@@ -202,10 +205,10 @@
     if (openSlot(state, sample, types, new Map(), orders, now) === null) return;
 }
 
-function inCalls(order: ScaleOutRequest): ScaleOutRequest[] {
+function inCalls(request: ScaleOutRequest): ScaleOutRequest[] {
   const out: ScaleOutRequest[] = [];
-  for (let left = order.count; left > 0; left -= RENT_AT_ONCE)
-    out.push({ ...order, count: Math.min(left, RENT_AT_ONCE) });
+  for (let left = request.count; left > 0; left -= RENT_AT_ONCE)
+    out.push({ ...request, count: Math.min(left, RENT_AT_ONCE) });
   return out;
 }
 
@@ -268,16 +271,16 @@
 }
 
 /** Remembers that the cloud had no such machine. */
-export function onScaleOutRefused(state: ClusterState, order: ScaleOutRequest, now: Timestamp): void {
-  state.scaling.refusedAt.set(slotKey(order), now.monotonic);
+export function onScaleOutRefused(state: ClusterState, request: ScaleOutRequest, now: Timestamp): void {
+  state.scaling.refusedAt.set(slotKey(request), now.monotonic);
 }
 
 /** Tells of a rental in the log. */
-export function logScaleOut(state: ClusterState, order: ScaleOutRequest): void {
+export function logScaleOut(state: ClusterState, request: ScaleOutRequest): void {
   emitLog(
     state,
     'renting',
-    { type: order.type, zone: order.zone, spot: order.spot, count: order.count },
+    { type: request.type, zone: request.zone, spot: request.spot, count: request.count },
     'info',
   );
 }
--- a/src/core/cluster-scheduler.ts
+++ b/src/core/cluster-scheduler.ts
@@ -118,12 +118,12 @@
   private lookedAt: MonotonicTime = 0n;
 
   constructor(
-    facts: ClusterConfig,
+    config: ClusterConfig,
     settings: OperatorSettings,
     term: LeadershipTerm,
     zonePolicy: ZonePolicy | null = null,
   ) {
-    this.state = newClusterState(facts, settings, term, zonePolicy);
+    this.state = newClusterState(config, settings, term, zonePolicy);
   }
 
   handle(event: Event, now: Timestamp): Effect[] {
@@ -226,8 +226,8 @@
   }
 
   /** The answer to a report that was just taken in. */
-  answerHeartbeat(report: Heartbeat, now: Timestamp): WorkerCommand[] {
-    return commandsFor(this.state, report.machineName, now, report);
+  answerHeartbeat(heartbeat: Heartbeat, now: Timestamp): WorkerCommand[] {
+    return commandsFor(this.state, heartbeat.machineName, now, heartbeat);
   }
 
   nextTransaction(now: Timestamp): Transaction | null {
@@ -237,10 +237,10 @@
   private onTick(now: Timestamp): void {
     const state = this.state;
     if (now.monotonic - this.sweptAt >= SWEEP) this.sweep(now);
-    const why = tokenAdvanceReason(state, now);
-    if (why !== null) {
+    const reason = tokenAdvanceReason(state, now);
+    if (reason !== null) {
       state.term.tokenAdvancedAt = now.monotonic;
-      state.effects.push({ kind: 'advance-token', reason: why });
+      state.effects.push({ kind: 'advance-token', reason });
     }
     if (
       now.monotonic - this.fleetAt > (isOverloaded(state.term) ? FLEET_BEHIND : FLEET_EVERY) &&
@@ -280,20 +280,20 @@
     const state = this.state;
     const blocked = runSchedulingCycle(state, now);
     chooseDrainingMachines(state, blocked, now);
-    for (const order of planScaleOut(state, [...displacedJobs(state, now), ...blocked], now)) {
-      logScaleOut(state, order);
-      state.effects.push({ kind: 'scale-out', request: order });
+    for (const request of planScaleOut(state, [...displacedJobs(state, now), ...blocked], now)) {
+      logScaleOut(state, request);
+      state.effects.push({ kind: 'scale-out', request });
     }
     for (const r of machinesToRelease(state, now)) this.giveBack(r.names, r.why);
   }
 
-  private giveBack(names: readonly string[], why: string): void {
+  private giveBack(names: readonly string[], reason: string): void {
     if (names.length === 0) return;
     for (const n of names) {
       const machine = this.state.machines.byName.get(n);
       if (machine !== undefined) machine.releasing = true;
     }
-    this.state.effects.push({ kind: 'scale-in', machineNames: names, reason: why });
+    this.state.effects.push({ kind: 'scale-in', machineNames: names, reason });
   }
 
   /** How things stand, for those who read the log. */
@@ -364,13 +364,13 @@
   }
 
   /** A machine that refused the token for its session has told its session: it is asked again at once. */
-  private refence(machine: string): void {
-    const m = this.state.machines.byName.get(machine);
-    if (m === undefined || m.fenced || m.agentEpoch === 0) return;
+  private refence(machineName: string): void {
+    const machine = this.state.machines.byName.get(machineName);
+    if (machine === undefined || machine.fenced || machine.agentEpoch === 0) return;
     this.state.effects.push({
       kind: 'send-commands',
-      machineName: machine,
-      agentEpoch: m.agentEpoch,
+      machineName,
+      agentEpoch: machine.agentEpoch,
       commands: [],
     });
   }
--- a/src/core/commands/worker-commands.ts
+++ b/src/core/commands/worker-commands.ts
@@ -18,25 +18,30 @@
 /** What became of a direct command. Unknown: a copy may still arrive and be carried out. */
 export function onCommandsAnswered(
   state: ClusterState,
-  machine: string,
-  session: number,
-  token: number,
-  orders: readonly WorkerCommand[],
+  machineName: string,
+  agentEpoch: number,
+  fencingToken: number,
+  commands: readonly WorkerCommand[],
   outcome: 'executed' | 'refused' | 'unknown',
   /** The worker itself answered. */
   reached: boolean,
 ): void {
-  const m = state.machines.byName.get(machine);
-  if (outcome !== 'unknown' && reached && m !== undefined) markReachable(state, m);
-  for (const order of orders) {
-    if (order.op !== 'start') continue;
-    const key = attemptKey(order.jobId, order.taskIndex, order.attempt);
-    const flying = getOrCreateMap(state.commands.startsInFlight, machine);
+  const machine = state.machines.byName.get(machineName);
+  if (outcome !== 'unknown' && reached && machine !== undefined) markReachable(state, machine);
+  for (const command of commands) {
+    if (command.op !== 'start') continue;
+    const key = attemptKey(command.jobId, command.taskIndex, command.attempt);
+    const flying = getOrCreateMap(state.commands.startsInFlight, machineName);
     const left = (flying.get(key) ?? 1) - 1;
     if (left > 0) flying.set(key, left);
     else flying.delete(key);
-    if (outcome === 'unknown' && m !== undefined && m.agentEpoch === session && m.fencingToken <= token)
-      getOrCreateMap(state.commands.unresolvedStarts, machine).set(key, token);
+    if (
+      outcome === 'unknown' &&
+      machine !== undefined &&
+      machine.agentEpoch === agentEpoch &&
+      machine.fencingToken <= fencingToken
+    )
+      getOrCreateMap(state.commands.unresolvedStarts, machineName).set(key, fencingToken);
   }
 }
 
@@ -52,58 +57,69 @@
   state: ClusterState,
   name: string,
   now: Timestamp,
-  report: Heartbeat | null = null,
+  heartbeat: Heartbeat | null = null,
 ): WorkerCommand[] {
   const machine = state.machines.byName.get(name);
   if (machine === undefined) return [];
-  if (report !== null && report.agentEpoch === machine.agentEpoch) {
-    if (machine.answeredSequences.includes(report.sequence)) return [];
+  if (heartbeat !== null && heartbeat.agentEpoch === machine.agentEpoch) {
+    if (machine.answeredSequences.includes(heartbeat.sequence)) return [];
     // A worker has one report under way at a time: what is older than all of these is no original either.
-    if (machine.answeredSequences.length === ASKED && report.sequence < (machine.answeredSequences[0] ?? 0))
+    if (
+      machine.answeredSequences.length === ASKED &&
+      heartbeat.sequence < (machine.answeredSequences[0] ?? 0)
+    )
       return [];
-    machine.answeredSequences.push(report.sequence);
+    machine.answeredSequences.push(heartbeat.sequence);
     if (machine.answeredSequences.length > ASKED) machine.answeredSequences.shift();
   }
   machine.lastAcknowledgedAt = now.monotonic;
-  if (report !== null && (report.agentEpoch !== machine.agentEpoch || report.sequence !== machine.sequence))
+  if (
+    heartbeat !== null &&
+    (heartbeat.agentEpoch !== machine.agentEpoch || heartbeat.sequence !== machine.sequence)
+  )
     return [];
-  const orders: WorkerCommand[] = [];
-  for (const intent of machine.assignments.values()) {
-    const seen = machine.reportedTasks.get(taskKey(intent.jobId, intent.taskIndex));
-    const there = seen !== undefined && seen.attempt === intent.attempt;
-    if (intent.stopRequest !== null) {
+  const commands: WorkerCommand[] = [];
+  for (const assignment of machine.assignments.values()) {
+    const seen = machine.reportedTasks.get(taskKey(assignment.jobId, assignment.taskIndex));
+    const there = seen !== undefined && seen.attempt === assignment.attempt;
+    if (assignment.stopRequest !== null) {
       if (there)
-        orders.push({
+        commands.push({
           op: 'stop',
-          jobId: intent.jobId,
-          taskIndex: intent.taskIndex,
-          attempt: intent.attempt,
-          gracePeriodS: graceNow(state, intent, now.monotonic),
+          jobId: assignment.jobId,
+          taskIndex: assignment.taskIndex,
+          attempt: assignment.attempt,
+          gracePeriodS: graceNow(state, assignment, now.monotonic),
         });
-    } else if (!there && isStartable(state, machine, intent, now.monotonic)) {
-      intent.startSentInSequence = machine.sequence;
-      intent.startSentAt ??= now.monotonic;
-      orders.push({ op: 'start', jobId: intent.jobId, taskIndex: intent.taskIndex, attempt: intent.attempt });
+    } else if (!there && isStartable(state, machine, assignment, now.monotonic)) {
+      assignment.startSentInSequence = machine.sequence;
+      assignment.startSentAt ??= now.monotonic;
+      commands.push({
+        op: 'start',
+        jobId: assignment.jobId,
+        taskIndex: assignment.taskIndex,
+        attempt: assignment.attempt,
+      });
     }
   }
-  orders.push(...stopsForStrays(state, machine));
+  commands.push(...stopsForStrays(state, machine));
   for (const forget of state.commands.pendingForgets.get(name)?.values() ?? [])
     if (mayForget(state, name, forget))
-      orders.push({
+      commands.push({
         op: 'forget',
         jobId: forget.jobId,
         taskIndex: forget.taskIndex,
         attempt: forget.attempt,
       });
-  return orders;
+  return commands;
 }
 
 /** A task that was told to save but does not end is ended, once it had twice its time. */
-function graceNow(state: ClusterState, intent: Assignment, now: MonotonicTime): number {
-  const grace = intent.stopRequest?.grace ?? 0;
-  if (intent.stopRequest === null || grace === 0) return 0;
+function graceNow(state: ClusterState, assignment: Assignment, now: MonotonicTime): number {
+  const grace = assignment.stopRequest?.grace ?? 0;
+  if (assignment.stopRequest === null || grace === 0) return 0;
   const allowed = seconds(grace * 2) + state.config.gangPeerTimeout + state.config.heartbeatInterval * 2n;
-  return now - intent.stopRequest.requestedAt > allowed ? 0 : grace;
+  return now - assignment.stopRequest.requestedAt > allowed ? 0 : grace;
 }
 
 /** Tasks on the machine that no intent covers: they were given up with proof once, so whatever this is, it ends. */
@@ -111,8 +127,8 @@
   const out: WorkerCommand[] = [];
   if (!machine.fenced) return out;
   for (const [key, task] of machine.reportedTasks) {
-    const intent = machine.assignments.get(key);
-    if (intent !== undefined && intent.attempt === task.attempt) continue;
+    const assignment = machine.assignments.get(key);
+    if (assignment !== undefined && assignment.attempt === task.attempt) continue;
     emitLog(
       state,
       'stopping a task that no place is recorded for',
@@ -146,11 +162,11 @@
 }
 
 /** Drops forgets that the newest report shows as carried out. */
-export function dropCompletedForgets(state: ClusterState, report: Heartbeat): void {
-  const map = state.commands.pendingForgets.get(report.machineName);
+export function dropCompletedForgets(state: ClusterState, heartbeat: Heartbeat): void {
+  const map = state.commands.pendingForgets.get(heartbeat.machineName);
   if (map === undefined) return;
   const exited = new Set(
-    report.tasks
+    heartbeat.tasks
       .filter((task) => task.state === 'exited')
       .map((task) => attemptKey(task.jobId, task.taskIndex, task.attempt)),
   );
@@ -162,19 +178,20 @@
 export function isStartable(
   state: ClusterState,
   machine: Machine,
-  intent: Assignment,
+  assignment: Assignment,
   now: MonotonicTime,
 ): boolean {
-  const job = state.jobs.byId.get(intent.jobId);
-  if (job === undefined || job.status !== 'open' || intent.stopRequest !== null) return false;
-  if (state.jobs.dependencies.isWaiting(intent.jobId)) return false;
-  if (intent.agentEpoch !== machine.agentEpoch || !machine.fenced || intent.phase !== 'placed') return false;
-  if (!isAssignmentCommitted(job, intent) || !mayStartTasks(state.term.confirmedAt, now)) return false;
+  const job = state.jobs.byId.get(assignment.jobId);
+  if (job === undefined || job.status !== 'open' || assignment.stopRequest !== null) return false;
+  if (state.jobs.dependencies.isWaiting(assignment.jobId)) return false;
+  if (assignment.agentEpoch !== machine.agentEpoch || !machine.fenced || assignment.phase !== 'placed')
+    return false;
+  if (!isAssignmentCommitted(job, assignment) || !mayStartTasks(state.term.confirmedAt, now)) return false;
   // A gang starts as one: no member before all are committed.
   if (job.spec.kind === 'gang')
     for (const chunk of job.chunks.values())
       for (const other of chunk.assignments.values()) if (!isAssignmentCommitted(job, other)) return false;
-  return job.spec.kind !== 'gang' || inStep(state, job, machine, intent, now);
+  return job.spec.kind !== 'gang' || inStep(state, job, machine, assignment, now);
 }
 
 /** Share of the time that a gang's tasks wait for one another which is planned with; fetches take a third more or less. */
@@ -189,7 +206,7 @@
   state: ClusterState,
   job: Job,
   machine: Machine,
-  intent: Assignment,
+  assignment: Assignment,
   now: MonotonicTime,
 ): boolean {
   const fetch = (at: Machine | undefined): number => {
@@ -201,7 +218,7 @@
   let last = 0;
   for (const chunk of job.chunks.values())
     for (const other of chunk.assignments.values()) {
-      if (other === intent || (other.phase !== 'placed' && other.phase !== 'fetching')) continue;
+      if (other === assignment || (other.phase !== 'placed' && other.phase !== 'fetching')) continue;
       const passed = other.startSentAt === null ? 0 : toSeconds(now - other.startSentAt);
       last = Math.max(last, fetch(state.machines.byName.get(other.machineName)) - passed);
     }
@@ -212,41 +229,41 @@
  * Sends the `run`s that a commit made allowed, straight to the machines. While the process is behind they are left to
  * the answers to the machines' next reports, which carry them anyway.
  */
-export function sendStarts(state: ClusterState, intents: Iterable<Assignment>, now: Timestamp): void {
+export function sendStarts(state: ClusterState, assignments: Iterable<Assignment>, now: Timestamp): void {
   if (isOverloaded(state.term)) return;
   const byMachine = new Map<string, Assignment[]>();
-  for (const intent of intents) {
-    const machine = state.machines.byName.get(intent.machineName);
+  for (const assignment of assignments) {
+    const machine = state.machines.byName.get(assignment.machineName);
     if (
       machine === undefined ||
-      intent.startSentInSequence !== null ||
-      startMayStillArrive(state.commands, intent) ||
-      !isStartable(state, machine, intent, now.monotonic)
+      assignment.startSentInSequence !== null ||
+      startMayStillArrive(state.commands, assignment) ||
+      !isStartable(state, machine, assignment, now.monotonic)
     )
       continue;
-    const list = byMachine.get(intent.machineName) ?? [];
-    list.push(intent);
-    byMachine.set(intent.machineName, list);
+    const list = byMachine.get(assignment.machineName) ?? [];
+    list.push(assignment);
+    byMachine.set(assignment.machineName, list);
   }
   for (const [name, list] of byMachine) {
     const machine = state.machines.byName.get(name);
     if (machine === undefined) continue;
     const flying = getOrCreateMap(state.commands.startsInFlight, name);
-    for (const intent of list) {
-      const key = attemptKey(intent.jobId, intent.taskIndex, intent.attempt);
+    for (const assignment of list) {
+      const key = attemptKey(assignment.jobId, assignment.taskIndex, assignment.attempt);
       flying.set(key, (flying.get(key) ?? 0) + 1);
-      intent.startSentInSequence = 0;
-      intent.startSentAt ??= now.monotonic;
+      assignment.startSentInSequence = 0;
+      assignment.startSentAt ??= now.monotonic;
     }
     state.effects.push({
       kind: 'send-commands',
       machineName: name,
       agentEpoch: machine.agentEpoch,
-      commands: list.map((intent) => ({
+      commands: list.map((assignment) => ({
         op: 'start',
-        jobId: intent.jobId,
-        taskIndex: intent.taskIndex,
-        attempt: intent.attempt,
+        jobId: assignment.jobId,
+        taskIndex: assignment.taskIndex,
+        attempt: assignment.attempt,
       })),
     });
   }
--- a/src/core/jobs/dependencies.ts
+++ b/src/core/jobs/dependencies.ts
@@ -23,13 +23,13 @@
 export function onJobFinished(
   state: ClusterState,
   id: string,
-  standing: 'done' | 'cancelled',
+  status: 'done' | 'cancelled',
   now: Timestamp,
 ): void {
   state.jobs.deadlines.delete(id);
   const job = state.jobs.byId.get(id);
-  apply(state, state.jobs.dependencies.markFinished(id, standing), now);
-  if (standing === 'cancelled' && job !== undefined) withdrawUrgency(state, job);
+  apply(state, state.jobs.dependencies.markFinished(id, status), now);
+  if (status === 'cancelled' && job !== undefined) withdrawUrgency(state, job);
 }
 
 function apply(state: ClusterState, change: GraphChange, now: Timestamp): void {
@@ -136,9 +136,9 @@
     state.jobs.deadlines.delete(id);
     const job = state.jobs.byId.get(id);
     if (job === undefined) continue;
-    const { status: standing, pendingReason: waitReason, completedCount: doneCount } = job;
+    const { status, pendingReason: waitReason, completedCount: doneCount } = job;
     const about = { job: id, class: job.spec.class, tasks: job.spec.taskCount, done: doneCount };
-    const waits = standing === 'open' && job.assignedCount === 0 ? { because: waitReason } : {};
+    const waits = status === 'open' && job.assignedCount === 0 ? { because: waitReason } : {};
     emitLog(state, 'deadline missed', { ...about, ...waits }, 'info');
   }
 }
--- a/src/core/machines/free-resources.ts
+++ b/src/core/machines/free-resources.ts
@@ -50,17 +50,17 @@
     from.gpus -= spec.gpus;
     from.memory -= spec.memory;
   };
-  for (const intent of machine.assignments.values()) {
-    const job = state.jobs.byId.get(intent.jobId);
+  for (const assignment of machine.assignments.values()) {
+    const job = state.jobs.byId.get(assignment.jobId);
     if (job === undefined) continue;
     take(free, job.spec);
-    if (intent.stopRequest === null) take(projected, job.spec);
+    if (assignment.stopRequest === null) take(projected, job.spec);
   }
   if (machine.hasOrphanedTasks)
     for (const [key, task] of machine.reportedTasks) {
-      const intent = machine.assignments.get(key);
+      const assignment = machine.assignments.get(key);
       const job = state.jobs.byId.get(task.jobId);
-      if (job === undefined || (intent !== undefined && intent.attempt === task.attempt)) continue;
+      if (job === undefined || (assignment !== undefined && assignment.attempt === task.attempt)) continue;
       take(free, job.spec);
       take(projected, job.spec);
     }
--- a/src/core/persistence/recovery.ts
+++ b/src/core/persistence/recovery.ts
@@ -16,7 +16,7 @@
   state: ClusterState,
   id: string,
   record: JobRecord,
-  stamp: number,
+  modRevision: number,
   now: Timestamp,
 ): void {
   const known = state.jobs.byId.get(id);
@@ -25,7 +25,7 @@
       spec: record.spec,
       submittedAt: record.submittedAt,
       status: record.status,
-      modRevision: stamp,
+      modRevision,
       chunks: new Map(),
       completedCount: 0,
       assignedCount: 0,
@@ -53,8 +53,8 @@
     }
     return;
   }
-  if (stamp <= known.modRevision) return;
-  known.modRevision = stamp;
+  if (modRevision <= known.modRevision) return;
+  known.modRevision = modRevision;
   if (record.status !== 'open') state.records.unrecordedCancellations.delete(id);
   if (record.status === known.status) return;
   known.status = record.status;
@@ -76,13 +76,13 @@
   state: ClusterState,
   id: number,
   entries: readonly PageEntry[],
-  stamp: number,
+  modRevision: number,
   now: Timestamp,
 ): void {
   const page: RecordPage = {
     id,
     pool: 'passing',
-    modRevision: stamp,
+    modRevision,
     version: 0,
     committedVersion: 0,
     chunks: new Set(),
@@ -108,7 +108,7 @@
   job.completedCount += chunk.completedTasks.size;
   for (const t of chunk.completedTasks) job.unassignedTasks.delete(t);
   for (const i of img.assignments) {
-    const intent: Assignment = {
+    const assignment: Assignment = {
       ...i,
       jobId: id,
       recordVersion: 0,
@@ -120,12 +120,12 @@
       startSentAt: null,
       runningSince: null,
     };
-    chunk.assignments.set(i.taskIndex, intent);
+    chunk.assignments.set(i.taskIndex, assignment);
     job.unassignedTasks.delete(i.taskIndex);
     job.assignedCount += 1;
     state.jobs.quotas.acquire(job.spec);
     const machine = getOrAddMachine(state, i.machineName, now.monotonic);
-    machine.assignments.set(taskKey(id, i.taskIndex), intent);
+    machine.assignments.set(taskKey(id, i.taskIndex), assignment);
     machine.resources = null;
   }
   if (job.unassignedTasks.size === 0) state.jobs.pending.delete(id);
--- a/src/core/persistence/transactions.ts
+++ b/src/core/persistence/transactions.ts
@@ -56,8 +56,8 @@
     if (chunk.version <= chunk.committedVersion) continue;
     const job = state.jobs.byId.get(chunk.jobId);
     if (job === undefined || job.status !== 'open') continue;
-    for (const intent of chunk.assignments.values())
-      if (intent.recordVersion > chunk.committedVersion) {
+    for (const assignment of chunk.assignments.values())
+      if (assignment.recordVersion > chunk.committedVersion) {
         out.push(job);
         break;
       }
@@ -187,13 +187,13 @@
 export function onCommitted(
   state: ClusterState,
   transaction: Transaction,
-  stamp: number,
+  modRevision: number,
   now: Timestamp,
 ): void {
   for (const p of transaction.pages) {
     const page = state.records.pages.get(p.id);
     if (page === undefined) continue;
-    page.modRevision = stamp;
+    page.modRevision = modRevision;
     page.committedVersion = Math.max(page.committedVersion, p.version);
     const since = state.records.dirtyPages.get(p.id);
     state.records.dirtyPages.delete(p.id);
@@ -208,13 +208,13 @@
   for (const id of transaction.cancelledJobs) {
     state.records.unrecordedCancellations.delete(id);
     const job = state.jobs.byId.get(id);
-    if (job !== undefined) job.modRevision = Math.max(job.modRevision, stamp);
+    if (job !== undefined) job.modRevision = Math.max(job.modRevision, modRevision);
   }
   for (const id of transaction.completedJobs) {
     const job = state.jobs.byId.get(id);
     if (job === undefined) continue;
     job.status = 'done';
-    job.modRevision = Math.max(job.modRevision, stamp);
+    job.modRevision = Math.max(job.modRevision, modRevision);
     state.records.jobsToComplete.delete(id);
     job.unassignedTasks.clear();
     state.jobs.pending.delete(id);
--- a/src/core/reconciliation/failure-detector.ts
+++ b/src/core/reconciliation/failure-detector.ts
@@ -15,7 +15,7 @@
 
 const holdsReplica = (state: ClusterState, machine: Machine): boolean =>
   [...machine.assignments.values()].some(
-    (intent) => state.jobs.byId.get(intent.jobId)?.spec.kind === 'service',
+    (assignment) => state.jobs.byId.get(assignment.jobId)?.spec.kind === 'service',
   );
 
 const known = (state: ClusterState): Machine[] =>
@@ -127,12 +127,12 @@
   for (const machine of state.machines.byName.values()) {
     if (machine.preemptionAt === null || !machine.fenced) continue;
     const left = toSeconds(machine.preemptionAt - now.monotonic);
-    for (const intent of [...machine.assignments.values()]) {
-      const job = state.jobs.byId.get(intent.jobId);
-      if (job === undefined || intent.stopRequest !== null) continue;
-      const ran = intent.runningSince === null ? 0 : toSeconds(now.monotonic - intent.runningSince);
+    for (const assignment of [...machine.assignments.values()]) {
+      const job = state.jobs.byId.get(assignment.jobId);
+      if (job === undefined || assignment.stopRequest !== null) continue;
+      const ran = assignment.runningSince === null ? 0 : toSeconds(now.monotonic - assignment.runningSince);
       const ends =
-        intent.runningSince !== null &&
+        assignment.runningSince !== null &&
         job.spec.kind !== 'service' &&
         estimatedSeconds(state, job) - ran < left - 2;
       const grace = gracePeriod(job);
@@ -141,12 +141,12 @@
       emitLog(
         state,
         'stopped ahead of a spot notice',
-        { task: `${intent.jobId}/${intent.taskIndex}`, machine: machine.name, left },
+        { task: `${assignment.jobId}/${assignment.taskIndex}`, machine: machine.name, left },
         'info',
       );
       if (job.spec.kind === 'gang')
         for (const other of assignmentsOf(job)) stopAssignment(state, other, grace, 'notice', now.monotonic);
-      else stopAssignment(state, intent, grace, 'notice', now.monotonic);
+      else stopAssignment(state, assignment, grace, 'notice', now.monotonic);
     }
   }
 }
--- a/src/core/reconciliation/fencing.ts
+++ b/src/core/reconciliation/fencing.ts
@@ -74,11 +74,11 @@
     for (const forget of state.commands.pendingForgets.get(name)?.values() ?? [])
       if (loose.has(attemptKey(forget.jobId, forget.taskIndex, forget.attempt)))
         return `a result on ${name} cannot be forgotten`;
-    for (const intent of machine.assignments.values())
+    for (const assignment of machine.assignments.values())
       if (
-        intent.stopRequest !== null &&
-        !machine.reportedTasks.has(taskKey(intent.jobId, intent.taskIndex)) &&
-        !startNeverSent(state, intent)
+        assignment.stopRequest !== null &&
+        !machine.reportedTasks.has(taskKey(assignment.jobId, assignment.taskIndex)) &&
+        !startNeverSent(state, assignment)
       )
         return `a stop on ${name} cannot be proven`;
   }
--- a/src/core/reconciliation/heartbeats.ts
+++ b/src/core/reconciliation/heartbeats.ts
@@ -16,9 +16,9 @@
 import { type Timestamp, type MonotonicTime, laterOf, seconds, toSeconds } from '../model/time.js';
 
 /** A report is newer than what is known if its (session, sequence) is larger; late ones say nothing about now. */
-const isNewer = (machine: Machine, report: Heartbeat): boolean =>
-  report.agentEpoch > machine.agentEpoch ||
-  (report.agentEpoch === machine.agentEpoch && report.sequence > machine.sequence);
+const isNewer = (machine: Machine, heartbeat: Heartbeat): boolean =>
+  heartbeat.agentEpoch > machine.agentEpoch ||
+  (heartbeat.agentEpoch === machine.agentEpoch && heartbeat.sequence > machine.sequence);
 
 /** A machine found its way to us by itself: it is not in need of being asked. */
 export function onFirstHeartbeat(state: ClusterState, name: string, now: Timestamp): void {
@@ -29,52 +29,56 @@
 }
 
 /** Takes in a report, whichever way it came. Exits count even in old ones; absence counts only in new ones. */
-export function onHeartbeat(state: ClusterState, report: Heartbeat, now: Timestamp): void {
-  if (report.fencingToken > state.term.fencingToken) {
-    state.effects.push({ kind: 'superseded', fencingToken: report.fencingToken });
+export function onHeartbeat(state: ClusterState, heartbeat: Heartbeat, now: Timestamp): void {
+  if (heartbeat.fencingToken > state.term.fencingToken) {
+    state.effects.push({ kind: 'superseded', fencingToken: heartbeat.fencingToken });
     return;
   }
-  if (state.machines.terminated.has(report.machineName)) {
+  if (state.machines.terminated.has(heartbeat.machineName)) {
     emitLog(state, 'a copy from a machine that is gone', {
-      machine: report.machineName,
-      seq: report.sequence,
+      machine: heartbeat.machineName,
+      seq: heartbeat.sequence,
     });
     return;
   }
-  const machine = getOrAddMachine(state, report.machineName, now.monotonic);
-  for (const task of report.tasks) if (task.state === 'exited') onExit(state, machine, report, task, now);
-  if (!isNewer(machine, report)) {
+  const machine = getOrAddMachine(state, heartbeat.machineName, now.monotonic);
+  for (const task of heartbeat.tasks)
+    if (task.state === 'exited') onExit(state, machine, heartbeat, task, now);
+  if (!isNewer(machine, heartbeat)) {
     emitLog(state, 'late report', {
-      machine: report.machineName,
-      session: report.agentEpoch,
-      seq: report.sequence,
+      machine: heartbeat.machineName,
+      session: heartbeat.agentEpoch,
+      seq: heartbeat.sequence,
     });
     return;
   }
   const wasUsable = isUsable(state, machine, now.monotonic);
-  machine.endpoint = report.endpoint;
-  if (machine.type !== report.type) machine.resources = null;
-  machine.type = report.type;
-  machine.zone = report.zone;
-  machine.spot = report.spot;
+  machine.endpoint = heartbeat.endpoint;
+  if (machine.type !== heartbeat.type) machine.resources = null;
+  machine.type = heartbeat.type;
+  machine.zone = heartbeat.zone;
+  machine.spot = heartbeat.spot;
   state.machines.booting.delete(machine.name);
-  if (report.agentEpoch > machine.agentEpoch) newSession(state, machine, report.agentEpoch, now.monotonic);
-  machine.sequence = report.sequence;
-  machine.fencingToken = report.fencingToken;
+  if (heartbeat.agentEpoch > machine.agentEpoch)
+    newSession(state, machine, heartbeat.agentEpoch, now.monotonic);
+  machine.sequence = heartbeat.sequence;
+  machine.fencingToken = heartbeat.fencingToken;
   machine.lastHeartbeatAt = now.monotonic;
-  machine.preemptionAt = report.preemptionNotice === null ? null : now.monotonic + report.preemptionNotice;
-  if (report.fencingToken >= state.term.firstFencingToken) machine.fenced = true;
+  machine.preemptionAt =
+    heartbeat.preemptionNotice === null ? null : now.monotonic + heartbeat.preemptionNotice;
+  if (heartbeat.fencingToken >= state.term.firstFencingToken) machine.fenced = true;
   const loose = state.commands.unresolvedStarts.get(machine.name);
   // A copy carrying a lower token than the worker has seen is refused there.
-  if (loose !== undefined) for (const [k, token] of loose) if (report.fencingToken > token) loose.delete(k);
+  if (loose !== undefined)
+    for (const [k, fencingToken] of loose) if (heartbeat.fencingToken > fencingToken) loose.delete(k);
   const listed = new Set<string>();
   machine.reportedTasks.clear();
-  for (const task of report.tasks) {
+  for (const task of heartbeat.tasks) {
     listed.add(attemptKey(task.jobId, task.taskIndex, task.attempt));
     if (task.state !== 'exited') machine.reportedTasks.set(taskKey(task.jobId, task.taskIndex), task);
   }
-  for (const intent of [...machine.assignments.values()])
-    onListed(state, machine, report, intent, listed, now);
+  for (const assignment of [...machine.assignments.values()])
+    onListed(state, machine, heartbeat, assignment, listed, now);
   if (machine.unacknowledgedStarts >= UNHEEDED) markDeaf(state, machine, now.monotonic);
   const strayed = machine.hasOrphanedTasks;
   machine.hasOrphanedTasks = false;
@@ -105,86 +109,92 @@
   state.scheduling.cycleNeeded = true;
 }
 
-function newSession(state: ClusterState, machine: Machine, session: number, now: MonotonicTime): void {
+function newSession(state: ClusterState, machine: Machine, agentEpoch: number, now: MonotonicTime): void {
   // Its lease was over although we answered within it: nothing of what we send reaches it.
   // (The last answers before a machine hangs are lost too: those alone say nothing.)
   const sure = leaseExpiry(state, machine) - state.config.heartbeatInterval * 4n;
   if (machine.agentEpoch > 0 && machine.lastExpiredEpoch < machine.agentEpoch && machine.fenced && now < sure)
     markDeaf(state, machine, now);
-  machine.agentEpoch = session;
+  machine.agentEpoch = agentEpoch;
   machine.sequence = 0;
   machine.answeredSequences = [];
   machine.unacknowledgedStarts = 0;
   // The lease of a session runs from its beginning, also where no report of it was answered yet. Counting from an
   // older answer would call it over while the worker holds it, and a `run` under way would start what was given up.
   machine.lastAcknowledgedAt = laterOf(machine.lastAcknowledgedAt, now);
-  machine.lastExpiredEpoch = Math.max(machine.lastExpiredEpoch, session - 1);
+  machine.lastExpiredEpoch = Math.max(machine.lastExpiredEpoch, agentEpoch - 1);
   // The worker killed and forgot everything with its old session, and refuses commands for it.
   state.commands.unresolvedStarts.delete(machine.name);
   state.commands.pendingForgets.delete(machine.name);
-  for (const intent of [...machine.assignments.values()])
-    if (intent.agentEpoch < session) endAssignment(state, intent, false, 'newer session', now);
+  for (const assignment of [...machine.assignments.values()])
+    if (assignment.agentEpoch < agentEpoch) endAssignment(state, assignment, false, 'newer session', now);
   state.scheduling.cycleNeeded = true;
 }
 
 function onListed(
   state: ClusterState,
   machine: Machine,
-  report: Heartbeat,
-  intent: Assignment,
+  heartbeat: Heartbeat,
+  assignment: Assignment,
   listed: ReadonlySet<string>,
   now: Timestamp,
 ): void {
-  if (intent.agentEpoch !== report.agentEpoch) return;
-  const job = state.jobs.byId.get(intent.jobId);
-  const seen = machine.reportedTasks.get(taskKey(intent.jobId, intent.taskIndex));
-  if (seen !== undefined && seen.attempt === intent.attempt) {
-    if (seen.state !== 'exited') intent.phase = seen.state;
+  if (assignment.agentEpoch !== heartbeat.agentEpoch) return;
+  const job = state.jobs.byId.get(assignment.jobId);
+  const seen = machine.reportedTasks.get(taskKey(assignment.jobId, assignment.taskIndex));
+  if (seen !== undefined && seen.attempt === assignment.attempt) {
+    if (seen.state !== 'exited') assignment.phase = seen.state;
     machine.unacknowledgedStarts = 0;
-    if (seen.state === 'running' && intent.runningSince === null) intent.runningSince = now.monotonic;
-    if (intent.startSentInSequence === null) intent.startSentInSequence = 0;
+    if (seen.state === 'running' && assignment.runningSince === null) assignment.runningSince = now.monotonic;
+    if (assignment.startSentInSequence === null) assignment.startSentInSequence = 0;
     if (seen.state !== 'fetching' && job !== undefined)
       recordImageUse(state, machine, job.spec, now.monotonic);
     return;
   }
-  if (listed.has(attemptKey(intent.jobId, intent.taskIndex, intent.attempt))) return;
+  if (listed.has(attemptKey(assignment.jobId, assignment.taskIndex, assignment.attempt))) return;
   // Absent. That proves something only if the worker has our token and no copy of the `run` can still come.
-  if (!machine.fenced || startMayStillArrive(state.commands, intent)) return;
-  const answeredBefore = intent.startSentInSequence === null || report.sequence > intent.startSentInSequence;
+  if (!machine.fenced || startMayStillArrive(state.commands, assignment)) return;
+  const answeredBefore =
+    assignment.startSentInSequence === null || heartbeat.sequence > assignment.startSentInSequence;
   if (!answeredBefore) return;
   // One report that shows nothing of several `run`s counts once.
   if (
-    intent.phase === 'placed' &&
-    intent.startSentInSequence !== null &&
-    intent.startSentInSequence > 0 &&
-    machine.unacknowledgedSequence !== report.sequence
+    assignment.phase === 'placed' &&
+    assignment.startSentInSequence !== null &&
+    assignment.startSentInSequence > 0 &&
+    machine.unacknowledgedSequence !== heartbeat.sequence
   ) {
     machine.unacknowledgedStarts += 1;
-    machine.unacknowledgedSequence = report.sequence;
+    machine.unacknowledgedSequence = heartbeat.sequence;
   }
-  if (intent.phase !== 'placed') endAssignment(state, intent, false, 'gone from the report', now.monotonic);
-  else if (intent.stopRequest !== null)
-    endAssignment(state, intent, false, `not there: ${intent.stopRequest.reason}`, now.monotonic);
+  if (assignment.phase !== 'placed')
+    endAssignment(state, assignment, false, 'gone from the report', now.monotonic);
+  else if (assignment.stopRequest !== null)
+    endAssignment(state, assignment, false, `not there: ${assignment.stopRequest.reason}`, now.monotonic);
 }
 
 function onExit(
   state: ClusterState,
   machine: Machine,
-  report: Heartbeat,
+  heartbeat: Heartbeat,
   task: ReportedTask,
   now: Timestamp,
 ): void {
-  const intent = machine.assignments.get(taskKey(task.jobId, task.taskIndex));
-  if (intent !== undefined && intent.attempt === task.attempt && intent.agentEpoch === report.agentEpoch) {
+  const assignment = machine.assignments.get(taskKey(task.jobId, task.taskIndex));
+  if (
+    assignment !== undefined &&
+    assignment.attempt === task.attempt &&
+    assignment.agentEpoch === heartbeat.agentEpoch
+  ) {
     const job = state.jobs.byId.get(task.jobId);
     const completed = task.exitReason === 'done';
     if (job !== undefined && !completed) onFailure(state, job, machine, task, now);
-    if (intent.runningSince !== null && completed && job !== undefined)
-      learnPace(state, job, now.monotonic - intent.runningSince);
-    endAssignment(state, intent, completed, task.exitReason ?? 'exited', now.monotonic);
+    if (assignment.runningSince !== null && completed && job !== undefined)
+      learnPace(state, job, now.monotonic - assignment.runningSince);
+    endAssignment(state, assignment, completed, task.exitReason ?? 'exited', now.monotonic);
     if (job !== undefined && job.spec.kind === 'gang') onGangExit(state, job, task, completed, now);
   }
-  if (report.agentEpoch === machine.agentEpoch || machine.agentEpoch === 0)
+  if (heartbeat.agentEpoch === machine.agentEpoch || machine.agentEpoch === 0)
     requestForget(state, machine.name, task.jobId, task.taskIndex, task.attempt, now.monotonic);
 }
 
@@ -198,9 +208,9 @@
 ): void {
   if (completed) return;
   for (const chunk of job.chunks.values())
-    for (const intent of [...chunk.assignments.values()])
-      if (intent.attempt === task.attempt && intent.stopRequest === null)
-        stopAssignment(state, intent, 0, `gang lost a task: ${task.exitReason}`, now.monotonic);
+    for (const assignment of [...chunk.assignments.values()])
+      if (assignment.attempt === task.attempt && assignment.stopRequest === null)
+        stopAssignment(state, assignment, 0, `gang lost a task: ${task.exitReason}`, now.monotonic);
 }
 
 function onFailure(
--- a/src/core/reconciliation/instance-inventory.ts
+++ b/src/core/reconciliation/instance-inventory.ts
@@ -75,8 +75,8 @@
     { machine: machine.name, tasks: machine.assignments.size },
     'info',
   );
-  for (const intent of [...machine.assignments.values()])
-    endAssignment(state, intent, false, 'machine gone', now.monotonic);
+  for (const assignment of [...machine.assignments.values()])
+    endAssignment(state, assignment, false, 'machine gone', now.monotonic);
   dropMachine(state, machine.name, now.monotonic);
 }
 
@@ -85,8 +85,8 @@
   for (const name of names) {
     const machine = state.machines.byName.get(name);
     if (machine === undefined) continue;
-    for (const intent of [...machine.assignments.values()])
-      endAssignment(state, intent, false, 'machine returned', now.monotonic);
+    for (const assignment of [...machine.assignments.values()])
+      endAssignment(state, assignment, false, 'machine returned', now.monotonic);
     dropMachine(state, name, now.monotonic);
   }
   state.scheduling.cycleNeeded = true;
--- a/src/core/reconciliation/worker-leases.ts
+++ b/src/core/reconciliation/worker-leases.ts
@@ -21,7 +21,7 @@
   for (const machine of state.machines.byName.values()) {
     if (machine.assignments.size === 0 || now.monotonic < leaseExpiry(state, machine)) continue;
     let over = machine.agentEpoch;
-    for (const intent of machine.assignments.values()) over = Math.max(over, intent.agentEpoch);
+    for (const assignment of machine.assignments.values()) over = Math.max(over, assignment.agentEpoch);
     machine.lastExpiredEpoch = Math.max(machine.lastExpiredEpoch, over);
     emitLog(
       state,
@@ -29,8 +29,8 @@
       { machine: machine.name, session: over, tasks: machine.assignments.size },
       'info',
     );
-    for (const intent of [...machine.assignments.values()])
-      endAssignment(state, intent, false, 'lease over', now.monotonic);
+    for (const assignment of [...machine.assignments.values()])
+      endAssignment(state, assignment, false, 'lease over', now.monotonic);
     machine.reportedTasks.clear();
     machine.hasOrphanedTasks = false;
     machine.resources = null;
--- a/src/core/records/chunks.ts
+++ b/src/core/records/chunks.ts
@@ -59,12 +59,12 @@
   chunk.cachedRecord ??= {
     highestAttempt: chunk.highestAttempt,
     completedTasks: [...chunk.completedTasks].sort((a, b) => a - b),
-    assignments: [...chunk.assignments.values()].map((intent) => ({
-      taskIndex: intent.taskIndex,
-      attempt: intent.attempt,
-      machineName: intent.machineName,
-      agentEpoch: intent.agentEpoch,
-      zone: intent.zone,
+    assignments: [...chunk.assignments.values()].map((assignment) => ({
+      taskIndex: assignment.taskIndex,
+      attempt: assignment.attempt,
+      machineName: assignment.machineName,
+      agentEpoch: assignment.agentEpoch,
+      zone: assignment.zone,
     })),
   };
   return chunk.cachedRecord;
@@ -97,5 +97,5 @@
 }
 
 /** Whether the record that holds the intent is committed. */
-export const isAssignmentCommitted = (job: Job, intent: Assignment): boolean =>
-  chunkOf(job, intent.taskIndex).committedVersion >= intent.recordVersion;
+export const isAssignmentCommitted = (job: Job, assignment: Assignment): boolean =>
+  chunkOf(job, assignment.taskIndex).committedVersion >= assignment.recordVersion;
--- a/src/core/scheduling/preemption.ts
+++ b/src/core/scheduling/preemption.ts
@@ -36,9 +36,10 @@
   let floor = Infinity;
   for (const candidate of open) {
     let least = Infinity;
-    for (const intent of candidate.machine.assignments.values()) {
-      const job = state.jobs.byId.get(intent.jobId);
-      if (job !== undefined && intent.stopRequest === null) least = Math.min(least, schedulingPriority(job));
+    for (const assignment of candidate.machine.assignments.values()) {
+      const job = state.jobs.byId.get(assignment.jobId);
+      if (job !== undefined && assignment.stopRequest === null)
+        least = Math.min(least, schedulingPriority(job));
     }
     lowest.set(candidate.machine, least);
     floor = Math.min(floor, least);
@@ -54,12 +55,12 @@
  * saving. A task that is still fetching or has hardly begun loses all its waiting too. Without that it looked the
  * cheapest, and the same job was stopped again and again before it ever ran.
  */
-function lossOf(intent: Assignment, job: Job, now: Timestamp): number {
-  const ran = intent.runningSince === null ? 0 : toSeconds(now.monotonic - intent.runningSince);
+function lossOf(assignment: Assignment, job: Job, now: Timestamp): number {
+  const ran = assignment.runningSince === null ? 0 : toSeconds(now.monotonic - assignment.runningSince);
   const each = Math.max(job.spec.gpus, job.spec.cpus / 16);
   const size = job.spec.kind === 'gang' ? job.spec.taskCount : 1;
   const work = job.spec.checkpointInterval > 0n ? Math.min(ran, toSeconds(job.spec.checkpointDuration)) : ran;
-  const waited = ran < SETTLED_S ? toSeconds(now.monotonic - intent.createdAt) + SETTLED_S : 0;
+  const waited = ran < SETTLED_S ? toSeconds(now.monotonic - assignment.createdAt) + SETTLED_S : 0;
   return (
     (schedulingPriority(job) * 10_000 + work + waited + job.preemptionCount * SETTLED_S + 1) * each * size
   );
@@ -94,7 +95,7 @@
 export function preemptFor(
   state: ClusterState,
   job: Job,
-  board: SchedulingSnapshot,
+  snapshot: SchedulingSnapshot,
   now: Timestamp,
   cachedOnly: boolean,
 ): boolean {
@@ -103,9 +104,9 @@
   const want = all && !state.jobs.quotas.allows(job.spec, job.spec.taskCount) ? 0 : job.unassignedTasks.size;
   if (want === 0) return false;
   const own = schedulingPriority(job);
-  const allowed = board.candidates.filter(
+  const allowed = snapshot.candidates.filter(
     (candidate) =>
-      (own > (board.lowestPriority.get(candidate.machine) ?? Infinity) ||
+      (own > (snapshot.lowestPriority.get(candidate.machine) ?? Infinity) ||
         fits(job.spec, candidate.projected)) &&
       isMachineAllowed(job.spec, candidate.machine) &&
       zoneAdmits(state, job, candidate.machine, now) &&
@@ -140,16 +141,16 @@
     const cost = offers.reduce((sum, offer) => sum + offer.cost, 0) / offers.length;
     if (cost < bestCost) [best, bestCost] = [offers, cost];
   }
-  if (best.length === 0 && all) reserveForGang(state, job, board, free, want, now);
+  if (best.length === 0 && all) reserveForGang(state, job, snapshot, free, want, now);
   for (const offer of best) reserve(state, job, offer, 1);
   if (best.length > 0) state.scheduling.jobsWithReservations.add(job.spec.id);
-  for (const offer of best) for (const intent of offer.victims) stopVictim(state, intent, job, now);
+  for (const offer of best) for (const assignment of offer.victims) stopVictim(state, assignment, job, now);
   return best.length > 0;
 }
 
 /** Two replicas of one service on a machine are lost together. */
 const holdsOf = (machine: Machine, job: Job): boolean =>
-  [...machine.assignments.values()].some((intent) => intent.jobId === job.spec.id);
+  [...machine.assignments.values()].some((assignment) => assignment.jobId === job.spec.id);
 
 /** The zones that are planned one by one; null: all at once. */
 export const zoneOptions = (job: Job, open: readonly Candidate[]): (string | null)[] =>
@@ -180,7 +181,7 @@
     }
     if (best === null) break;
     reserve(state, job, best, 1);
-    for (const intent of best.victims) victims.add(intent);
+    for (const assignment of best.victims) victims.add(assignment);
     taken.set(best.candidate.machine.zone, (taken.get(best.candidate.machine.zone) ?? 0) + 1);
     booked.push(best);
     offers[at] = offerWithFetch(state, job, best.candidate, victims, now);
@@ -203,21 +204,21 @@
 /** Books an offer in the candidate's room, or takes that back. */
 export function reserve(state: ClusterState, job: Job, offer: PreemptionPlan, sign: 1 | -1): void {
   addResources(offer.candidate.projected, job, sign === 1 ? -1 : 1);
-  for (const intent of offer.victims) {
-    const job = state.jobs.byId.get(intent.jobId);
+  for (const assignment of offer.victims) {
+    const job = state.jobs.byId.get(assignment.jobId);
     if (job !== undefined) addResources(offer.candidate.projected, job, sign);
   }
 }
 
-function stopVictim(state: ClusterState, intent: Assignment, by: Job, now: Timestamp): void {
-  const job = state.jobs.byId.get(intent.jobId);
-  if (job === undefined || intent.stopRequest !== null) return;
+function stopVictim(state: ClusterState, assignment: Assignment, by: Job, now: Timestamp): void {
+  const job = state.jobs.byId.get(assignment.jobId);
+  if (job === undefined || assignment.stopRequest !== null) return;
   emitLog(
     state,
     'stopped to make room',
     {
-      task: `${intent.jobId}/${intent.taskIndex}`,
-      machine: intent.machineName,
+      task: `${assignment.jobId}/${assignment.taskIndex}`,
+      machine: assignment.machineName,
       class: job.spec.class,
       by: by.spec.id,
       byClass: by.spec.class,
@@ -233,7 +234,7 @@
   job.preemptionCount += 1;
   if (job.spec.kind === 'gang')
     for (const other of assignmentsOf(job)) stopAssignment(state, other, grace, 'preempted', now.monotonic);
-  else stopAssignment(state, intent, grace, 'preempted', now.monotonic);
+  else stopAssignment(state, assignment, grace, 'preempted', now.monotonic);
 }
 
 /** Seconds in which the job's class should have started, by its objective. */
@@ -257,10 +258,11 @@
 ): PreemptionPlan | null {
   if (fits(job.spec, at.projected)) return { candidate: at, victims: [], cost: 0 };
   const open: { i: Assignment; job: Job; cost: number }[] = [];
-  for (const intent of at.machine.assignments.values()) {
-    const j = state.jobs.byId.get(intent.jobId);
-    if (j === undefined || intent.stopRequest !== null || used.has(intent) || !mayPreempt(job, j)) continue;
-    open.push({ i: intent, job: j, cost: lossOf(intent, j, now) });
+  for (const assignment of at.machine.assignments.values()) {
+    const j = state.jobs.byId.get(assignment.jobId);
+    if (j === undefined || assignment.stopRequest !== null || used.has(assignment) || !mayPreempt(job, j))
+      continue;
+    open.push({ i: assignment, job: j, cost: lossOf(assignment, j, now) });
   }
   open.sort((a, b) => a.cost - b.cost);
   const r = { ...at.projected };
--- a/src/core/scheduling/scheduling-cycle.ts
+++ b/src/core/scheduling/scheduling-cycle.ts
@@ -77,7 +77,7 @@
     const r = { ...view.free };
     const room = { ...view.projected };
     out.push({
-      machine: machine,
+      machine,
       type,
       free: r,
       projected: room,
@@ -120,13 +120,13 @@
   now: Timestamp,
 ): Map<string, number> {
   const pulls = new Map<string, number>();
-  for (const intent of machine.assignments.values()) {
-    if (intent.phase !== 'placed' && intent.phase !== 'fetching') continue;
-    const job = state.jobs.byId.get(intent.jobId);
+  for (const assignment of machine.assignments.values()) {
+    if (assignment.phase !== 'placed' && assignment.phase !== 'fetching') continue;
+    const job = state.jobs.byId.get(assignment.jobId);
     if (job === undefined || machine.cachedImages.has(job.spec.image)) continue;
     const rest = Math.max(
       0,
-      job.spec.imageGb - toSeconds(now.monotonic - intent.createdAt) * type.fetchGbPerS,
+      job.spec.imageGb - toSeconds(now.monotonic - assignment.createdAt) * type.fetchGbPerS,
     );
     pulls.set(job.spec.image, Math.min(pulls.get(job.spec.image) ?? Infinity, rest));
   }
@@ -145,23 +145,24 @@
     return [];
   }
   chooseStarvedGang(state, now);
-  const board = newSnapshot(state, schedulableCandidates(state, now));
+  const snapshot = newSnapshot(state, schedulableCandidates(state, now));
   const displaced = displacedReplicas(state, now);
   let keepsRoom = displaced.length > 0;
   const blocked: Job[] = [];
   for (const job of pendingJobsInOrder(state, now)) {
     // What waits already at the same level comes before what may turn out to be lost.
     if (keepsRoom && displaced.some((each) => schedulingPriority(each.job) > schedulingPriority(job))) {
-      reserveForDisplaced(displaced, board.candidates);
+      reserveForDisplaced(displaced, snapshot.candidates);
       keepsRoom = false;
     }
     const before = job.unassignedTasks.size;
-    if (job.spec.kind === 'gang') passGang(state, job, board, now);
-    else passSingly(state, job, board, now);
+    if (job.spec.kind === 'gang') passGang(state, job, snapshot, now);
+    else passSingly(state, job, snapshot, now);
     if (job.unassignedTasks.size > 0) {
       blocked.push(job);
       // Here, in the order of the queue: what is promised to this job is not given to the ones after it.
-      if (!state.scheduling.jobsWithReservations.has(job.spec.id)) preemptFor(state, job, board, now, false);
+      if (!state.scheduling.jobsWithReservations.has(job.spec.id))
+        preemptFor(state, job, snapshot, now, false);
     }
     if (job.unassignedTasks.size < before)
       emitLog(state, 'placed', {
@@ -192,32 +193,37 @@
 }
 
 /** The machines with room for a task of the job; none if a job that asks no more found none in this pass. */
-function fittingFor(state: ClusterState, board: SchedulingSnapshot, job: Job, now: Timestamp): Candidate[] {
-  if (board.unsatisfiable.some((s) => needsAtLeast(job.spec, s))) return [];
+function fittingFor(
+  state: ClusterState,
+  snapshot: SchedulingSnapshot,
+  job: Job,
+  now: Timestamp,
+): Candidate[] {
+  if (snapshot.unsatisfiable.some((s) => needsAtLeast(job.spec, s))) return [];
   const list: Candidate[] = [];
   let any = false;
-  for (const candidate of board.candidates) {
+  for (const candidate of snapshot.candidates) {
     if (!fits(job.spec, candidate.free) || !isMachineAllowed(job.spec, candidate.machine)) continue;
     any = true;
     if (fits(job.spec, candidate.projected) && zoneAdmits(state, job, candidate.machine, now))
       list.push(candidate);
   }
-  if (!any) board.unsatisfiable.push(job.spec);
+  if (!any) snapshot.unsatisfiable.push(job.spec);
   return list;
 }
 
-function passSingly(state: ClusterState, job: Job, board: SchedulingSnapshot, now: Timestamp): void {
+function passSingly(state: ClusterState, job: Job, snapshot: SchedulingSnapshot, now: Timestamp): void {
   if (!state.jobs.quotas.allows(job.spec)) {
     job.pendingReason = 'team limit';
     return;
   }
-  const fitting = fittingFor(state, board, job, now);
+  const fitting = fittingFor(state, snapshot, job, now);
   if (
     fitting.length > 0 &&
-    board.candidates.length >= WHOLE_MACHINES_KEPT * 8 &&
+    snapshot.candidates.length >= WHOLE_MACHINES_KEPT * 8 &&
     hasDeadlineSlack(state, job, now)
   )
-    keepMachinesWhole(fitting, board.candidates);
+    keepMachinesWhole(fitting, snapshot.candidates);
   if (fitting.length === 0) {
     job.pendingReason = NO_CAPACITY;
     return;
@@ -245,7 +251,7 @@
       choice.length > 0 &&
       isUrgent(state, job, now) &&
       !choice.some((row) => row.candidate.machine.cachedImages.has(job.spec.image)) &&
-      preemptFor(state, job, board, now, true)
+      preemptFor(state, job, snapshot, now, true)
     ) {
       job.pendingReason = PREEMPTION_IN_PROGRESS;
       return;
@@ -255,18 +261,18 @@
       job.pendingReason = rows.length === 0 ? NO_CAPACITY : 'zone rules';
       return;
     }
-    const { candidate: cand } = chosen;
+    const { candidate } = chosen;
     const attempt = chunkOf(job, task).highestAttempt + 1;
-    assignTask(state, job, task, attempt, cand.machine, now.monotonic);
-    taken.set(cand.machine.zone, (taken.get(cand.machine.zone) ?? 0) + 1);
-    book(cand, job);
-    if (fits(job.spec, cand.free) && fits(job.spec, cand.projected))
-      Object.assign(chosen, scoreCandidate(job.spec, cand, state.settings, one));
+    assignTask(state, job, task, attempt, candidate.machine, now.monotonic);
+    taken.set(candidate.machine.zone, (taken.get(candidate.machine.zone) ?? 0) + 1);
+    book(candidate, job);
+    if (fits(job.spec, candidate.free) && fits(job.spec, candidate.projected))
+      Object.assign(chosen, scoreCandidate(job.spec, candidate, state.settings, one));
     else rows = rows.filter((row) => row !== chosen);
   }
 }
 
-function passGang(state: ClusterState, job: Job, board: SchedulingSnapshot, now: Timestamp): void {
+function passGang(state: ClusterState, job: Job, snapshot: SchedulingSnapshot, now: Timestamp): void {
   if (job.completedCount > 0) return completeGang(state, job, now.monotonic);
   if (job.assignedCount > 0 || job.unassignedTasks.size !== job.spec.taskCount) {
     job.pendingReason = 'tasks of the last attempt are not all gone';
@@ -276,7 +282,7 @@
     job.pendingReason = 'team limit';
     return;
   }
-  const fitting = fittingFor(state, board, job, now);
+  const fitting = fittingFor(state, snapshot, job, now);
   const kept = fitting.filter((candidate) => !candidate.machine.draining);
   const placed =
     assignGang(state, job, kept, now.monotonic, tieBreakScore) ??
@@ -287,8 +293,8 @@
       job.failuresByMachine.clear();
     return;
   }
-  for (const intent of placed) {
-    const candidate = fitting.find((candidate) => candidate.machine.name === intent.machineName);
+  for (const assignment of placed) {
+    const candidate = fitting.find((candidate) => candidate.machine.name === assignment.machineName);
     if (candidate !== undefined) book(candidate, job);
   }
 }
--- a/src/core/scheduling/scoring.ts
+++ b/src/core/scheduling/scoring.ts
@@ -49,32 +49,37 @@
  * bandwidth (ours; the paper's network delay takes the bandwidth that is free), and one that is under way already has
  * only its rest to come.
  */
-export function imageFetchDelay(spec: JobSpec, cand: Candidate, settings: OperatorSettings): number {
-  if (cand.machine.cachedImages.has(spec.image)) return 0;
-  const bandwidth = Math.max(settings.bandwidth ?? cand.type.fetchGbPerS, EPSILON);
-  const rest = cand.imagePulls.get(spec.image);
-  const sharers = cand.imagePulls.size + (rest === undefined ? 1 : 0);
+export function imageFetchDelay(spec: JobSpec, candidate: Candidate, settings: OperatorSettings): number {
+  if (candidate.machine.cachedImages.has(spec.image)) return 0;
+  const bandwidth = Math.max(settings.bandwidth ?? candidate.type.fetchGbPerS, EPSILON);
+  const rest = candidate.imagePulls.get(spec.image);
+  const sharers = candidate.imagePulls.size + (rest === undefined ? 1 : 0);
   return ((rest ?? spec.imageGb) * sharers) / bandwidth;
 }
 
 /** Ω in seconds for running `c` on the candidate. */
-export function placementCost(spec: JobSpec, cand: Candidate, settings: OperatorSettings): number {
-  const granted = grantedCpu(spec.cpus, cand.free.cpus, settings.phi);
+export function placementCost(spec: JobSpec, candidate: Candidate, settings: OperatorSettings): number {
+  const granted = grantedCpu(spec.cpus, candidate.free.cpus, settings.phi);
   const processing =
     granted > 0
       ? (toSeconds(spec.estimatedDuration) * spec.cpus) / granted
       : toSeconds(spec.estimatedDuration);
-  const network = imageFetchDelay(spec, cand, settings);
+  const network = imageFetchDelay(spec, candidate, settings);
   return (
-    settings.alpha * processing + (1 - settings.alpha) * network + contentionCost(cand.taskCount, settings)
+    settings.alpha * processing +
+    (1 - settings.alpha) * network +
+    contentionCost(candidate.taskCount, settings)
   );
 }
 
 const share = (part: number, whole: number): number => (whole > 0 ? part / whole : 1);
 
 /** The smaller of the free CPU and free memory shares. */
-export function freeShare(cand: Candidate): number {
-  return Math.min(share(cand.free.cpus, cand.type.cpus), share(cand.free.memory, cand.type.memory));
+export function freeShare(candidate: Candidate): number {
+  return Math.min(
+    share(candidate.free.cpus, candidate.type.cpus),
+    share(candidate.free.memory, candidate.type.memory),
+  );
 }
 
 /** A candidate with what decides between it and the others. It is counted anew only when something is placed there. */
@@ -88,15 +93,15 @@
 /** Scores a machine for a request. */
 export function scoreCandidate(
   spec: JobSpec,
-  cand: Candidate,
+  candidate: Candidate,
   settings: OperatorSettings,
-  steer: (cand: Candidate) => number,
+  steer: (candidate: Candidate) => number,
 ): ScoredCandidate {
   return {
-    candidate: cand,
-    cost: placementCost(spec, cand, settings),
-    freeShare: freeShare(cand),
-    tieBreak: steer(cand),
+    candidate,
+    cost: placementCost(spec, candidate, settings),
+    freeShare: freeShare(candidate),
+    tieBreak: steer(candidate),
   };
 }
 
--- a/src/core/scheduling/starved-gangs.ts
+++ b/src/core/scheduling/starved-gangs.ts
@@ -47,7 +47,7 @@
 export function reserveForGang(
   state: ClusterState,
   job: Job,
-  board: SchedulingSnapshot,
+  snapshot: SchedulingSnapshot,
   free: ReadonlyMap<string | null, readonly PreemptionPlan[]>,
   want: number,
   now: Timestamp,
@@ -59,7 +59,7 @@
   )
     return;
   state.scheduling.gangHoldingCapacity ??= job.spec.id;
-  const open = board.candidates.filter(
+  const open = snapshot.candidates.filter(
     (candidate) =>
       isMachineAllowed(job.spec, candidate.machine) &&
       zoneAdmits(state, job, candidate.machine, now) &&
@@ -139,14 +139,14 @@
 /** Seconds until a machine should be empty; null: replicas stay for good. */
 function emptyIn(state: ClusterState, machine: Machine, now: Timestamp): number | null {
   let left = 0;
-  for (const intent of machine.assignments.values()) {
-    const job = state.jobs.byId.get(intent.jobId);
+  for (const assignment of machine.assignments.values()) {
+    const job = state.jobs.byId.get(assignment.jobId);
     if (job === undefined) continue;
     if (job.spec.kind === 'service') return null;
-    const ran = intent.runningSince === null ? 0 : toSeconds(now.monotonic - intent.runningSince);
+    const ran = assignment.runningSince === null ? 0 : toSeconds(now.monotonic - assignment.runningSince);
     left = Math.max(
       left,
-      intent.stopRequest === null ? Math.max(toSeconds(job.spec.estimatedDuration) - ran, 1) : 0,
+      assignment.stopRequest === null ? Math.max(toSeconds(job.spec.estimatedDuration) - ran, 1) : 0,
     );
   }
   return left;
--- a/src/core/scheduling/tie-breaking.ts
+++ b/src/core/scheduling/tie-breaking.ts
@@ -28,10 +28,10 @@
   if (job.spec.allowSpot) return (candidate.machine.spot ? 0 : 2) + breaks;
   if (job.spec.kind !== 'service') return breaks;
   let mates = 0;
-  for (const intent of candidate.machine.assignments.values()) {
+  for (const assignment of candidate.machine.assignments.values()) {
     // Two replicas of one service on a machine are lost together.
-    if (intent.jobId === job.spec.id) return 2;
-    if (state.jobs.byId.get(intent.jobId)?.spec.kind === 'service') mates += 1;
+    if (assignment.jobId === job.spec.id) return 2;
+    if (state.jobs.byId.get(assignment.jobId)?.spec.kind === 'service') mates += 1;
   }
   return 1 / (1 + mates);
 }
--- a/src/core/scheduling/zone-availability.ts
+++ b/src/core/scheduling/zone-availability.ts
@@ -56,7 +56,7 @@
 /** A machine that has not reported in this term is known by the places that are recorded on it. */
 function zoneOf(machine: Machine): string {
   if (machine.zone !== '') return machine.zone;
-  for (const intent of machine.assignments.values()) return intent.zone;
+  for (const assignment of machine.assignments.values()) return assignment.zone;
   return '';
 }
 
@@ -68,9 +68,9 @@
   for (const machine of state.machines.byName.values()) {
     const rate = state.machines.types.get(machine.type)?.fetchGbPerS ?? 0;
     if (rate <= 0) continue;
-    for (const intent of machine.assignments.values()) {
-      if (intent.phase !== 'placed' && intent.phase !== 'fetching') continue;
-      const job = state.jobs.byId.get(intent.jobId);
+    for (const assignment of machine.assignments.values()) {
+      if (assignment.phase !== 'placed' && assignment.phase !== 'fetching') continue;
+      const job = state.jobs.byId.get(assignment.jobId);
       if (job !== undefined && !machine.cachedImages.has(job.spec.image))
         slowest = Math.max(slowest, job.spec.imageGb / rate);
     }
@@ -140,17 +140,17 @@
   const byJob = new Map<Job, Set<number>>();
   for (const machine of state.machines.byName.values()) {
     if (!policy.isEvacuating(zoneOf(machine)) || isHeard(state, machine, now)) continue;
-    for (const intent of machine.assignments.values()) addDisplaced(state, byJob, intent);
+    for (const assignment of machine.assignments.values()) addDisplaced(state, byJob, assignment);
   }
   return [...byJob].map(([job, tasks]) => ({ job, tasks }));
 }
 
-function addDisplaced(state: ClusterState, byJob: Map<Job, Set<number>>, intent: Assignment): void {
-  const job = state.jobs.byId.get(intent.jobId);
+function addDisplaced(state: ClusterState, byJob: Map<Job, Set<number>>, assignment: Assignment): void {
+  const job = state.jobs.byId.get(assignment.jobId);
   if (job === undefined || job.spec.kind !== 'service' || job.status !== 'open') return;
   const tasks = byJob.get(job);
-  if (tasks === undefined) byJob.set(job, new Set([intent.taskIndex]));
-  else tasks.add(intent.taskIndex);
+  if (tasks === undefined) byJob.set(job, new Set([assignment.taskIndex]));
+  else tasks.add(assignment.taskIndex);
 }
 
 /**
@@ -178,8 +178,8 @@
 
 function zoneOfTask(job: Job, task: number): string | null {
   for (const chunk of job.chunks.values()) {
-    const intent = chunk.assignments.get(task);
-    if (intent !== undefined) return intent.zone;
+    const assignment = chunk.assignments.get(task);
+    if (assignment !== undefined) return assignment.zone;
   }
   return null;
 }
--- a/src/core/state/dependency-graph.ts
+++ b/src/core/state/dependency-graph.ts
@@ -61,9 +61,9 @@
   }
 
   /** Takes in that a job ended. `derived`: through a dependency, so that it is told among the cancelled. */
-  markFinished(id: string, standing: 'done' | 'cancelled', derived = false): GraphChange {
+  markFinished(id: string, status: 'done' | 'cancelled', derived = false): GraphChange {
     if (this.ended.has(id)) return NOTHING;
-    if (standing === 'done') return { ready: this.markDone(id), cancelled: [] };
+    if (status === 'done') return { ready: this.markDone(id), cancelled: [] };
     const cancelled: string[] = derived ? [id] : [];
     const stack = [id];
     for (let next = stack.pop(); next !== undefined; next = stack.pop()) {
--- a/src/core/state/leadership-timing.ts
+++ b/src/core/state/leadership-timing.ts
@@ -7,24 +7,24 @@
  * another controller right after our last contact; from then on every task must be gone within `cancel`. A report
  * answered at the last moment keeps its worker's lease for `lease` more, so both together must fit.
  */
-export function acknowledgementWindow(facts: ClusterConfig): Duration {
+export function acknowledgementWindow(config: ClusterConfig): Duration {
   const margin = seconds(2);
-  const span = facts.cancellationDeadline - withClockDrift(facts.workerLease) - margin;
+  const span = config.cancellationDeadline - withClockDrift(config.workerLease) - margin;
   return span > 0n ? span : 0n;
 }
 
 /** From when on no earlier owner answers: each lost contact before our term began. */
-export function previousLeadersDeadlineFrom(facts: ClusterConfig, began: MonotonicTime): MonotonicTime {
-  return began + withClockDrift(acknowledgementWindow(facts)) + seconds(0.5);
+export function previousLeadersDeadlineFrom(config: ClusterConfig, began: MonotonicTime): MonotonicTime {
+  return began + withClockDrift(acknowledgementWindow(config)) + seconds(0.5);
 }
 
 /** Whether an owner with such a last contact may still answer reports. */
 export function mayAcknowledgeHeartbeats(
-  facts: ClusterConfig,
+  config: ClusterConfig,
   contact: MonotonicTime,
   now: MonotonicTime,
 ): boolean {
-  return now - contact <= acknowledgementWindow(facts);
+  return now - contact <= acknowledgementWindow(config);
 }
 
 /** Starting anything needs a recent word from the state service: an owner cut from it starts nothing. */
--- a/src/edge/cloud/cloud-client.ts
+++ b/src/edge/cloud/cloud-client.ts
@@ -25,7 +25,7 @@
   constructor(
     addr: string,
     rps: number,
-    private readonly log: Logger,
+    private readonly logger: Logger,
   ) {
     this.client = new HttpClient(addr, 4);
     this.allowance = new RateLimiter(rps * 0.7, Math.max(1, rps));
@@ -57,9 +57,9 @@
   }
 
   /** Rents under a name that is never used for anything else; repeated until the answer is known or time is up. */
-  async scaleOut(name: string, order: ScaleOutRequest, signal: AbortSignal): Promise<string[] | null> {
+  async scaleOut(name: string, request: ScaleOutRequest, signal: AbortSignal): Promise<string[] | null> {
     for (let n = 0; n < 4 && !signal.aborted; n++) {
-      const outcome = await this.call('POST', CLOUD_PATHS.machines, encodeScaleOut(name, order), signal);
+      const outcome = await this.call('POST', CLOUD_PATHS.machines, encodeScaleOut(name, request), signal);
       if (outcome.kind === 'answer' && outcome.status === 200) {
         const r = schemas.rented.safeParse(outcome.body);
         return r.success ? r.data.rigs : this.unread('a rental without names');
@@ -89,8 +89,8 @@
     return false;
   }
 
-  private unread(why: string): null {
-    warnRateLimited(this.log, { why }, 'the cloud sent what cannot be read');
+  private unread(reason: string): null {
+    warnRateLimited(this.logger, { why: reason }, 'the cloud sent what cannot be read');
     return null;
   }
 
--- a/src/edge/cloud/cloud-poller.ts
+++ b/src/edge/cloud/cloud-poller.ts
@@ -13,9 +13,9 @@
 
   /** Runs until unsubscribed. */
   start(): Subscription {
-    const { logger: log } = this.term.dependencies;
-    const routines = supervise('machine list', log, (signal) => this.pollList(signal));
-    routines.add(supervise('machine types', log, (signal) => this.pollTypes(signal)));
+    const { logger } = this.term.dependencies;
+    const routines = supervise('machine list', logger, (signal) => this.pollList(signal));
+    routines.add(supervise('machine types', logger, (signal) => this.pollTypes(signal)));
     return routines;
   }
 
--- a/src/edge/config/feature-loader.ts
+++ b/src/edge/config/feature-loader.ts
@@ -15,8 +15,8 @@
 }
 
 /** What makes the policy for lost and returning zones, anew for each term; null: the feature is off. */
-export function zonePolicyFor(features: Features, facts: ClusterConfig): (() => ZonePolicy) | null {
+export function zonePolicyFor(features: Features, config: ClusterConfig): (() => ZonePolicy) | null {
   if (!features.has('zone-recovery')) return null;
   const { ZoneRecovery } = loadFeature('zone-recovery') as typeof ZoneRecoveryPackage;
-  return () => new ZoneRecovery({ lease: facts.workerLease, report: facts.heartbeatInterval });
+  return () => new ZoneRecovery({ lease: config.workerLease, report: config.heartbeatInterval });
 }
--- a/src/edge/config/sexpr.ts
+++ b/src/edge/config/sexpr.ts
@@ -12,8 +12,8 @@
 }
 
 /** Tells of a mistake at a form. */
-export function failAt(node: Node, name: string, why: string): never {
-  throw new SettingsError(`${name}:${node.location.start.line}: ${why}`);
+export function failAt(node: Node, name: string, reason: string): never {
+  throw new SettingsError(`${name}:${node.location.start.line}: ${reason}`);
 }
 
 /** What a list holds. */
--- a/src/edge/http/http-server.ts
+++ b/src/edge/http/http-server.ts
@@ -35,7 +35,7 @@
   readonly coreShare: number;
   readonly isLeader: () => boolean;
   /** The owner's answer to a report; null if we are not the owner or may not answer. */
-  readonly onHeartbeat: (report: Heartbeat) => HeartbeatAnswer | null;
+  readonly onHeartbeat: (heartbeat: Heartbeat) => HeartbeatAnswer | null;
   readonly leaderLabel: () => string | null;
 }
 
@@ -155,17 +155,18 @@
   return app;
 }
 
-function refuseReport(dependencies: HttpServerDependencies, why: string): HeartbeatResponse {
-  warnRateLimited(dependencies.logger, { why }, 'a report cannot be read');
-  return { status: 400, body: encode({ error: why }) };
+function refuseReport(dependencies: HttpServerDependencies, reason: string): HeartbeatResponse {
+  warnRateLimited(dependencies.logger, { why: reason }, 'a report cannot be read');
+  return { status: 400, body: encode({ error: reason }) };
 }
 
 /** The answers to workers' reports. Most carry no orders and differ by the token alone: those are written once for each. */
 function reportAnswers(dependencies: HttpServerDependencies): (raw: Buffer) => HeartbeatResponse {
   let plain: { readonly token: number; readonly body: Buffer } | null = null;
-  const write = (token: number, list: readonly WorkerCommand[]): Buffer => {
-    if (list.length > 0) return encode(encodeCommands(token, list));
-    if (plain?.token !== token) plain = { token, body: encode(encodeCommands(token, [])) };
+  const write = (fencingToken: number, list: readonly WorkerCommand[]): Buffer => {
+    if (list.length > 0) return encode(encodeCommands(fencingToken, list));
+    if (plain?.token !== fencingToken)
+      plain = { token: fencingToken, body: encode(encodeCommands(fencingToken, [])) };
     return plain.body;
   };
   return (raw) => {
--- a/src/edge/http/inbound-connections.ts
+++ b/src/edge/http/inbound-connections.ts
@@ -17,7 +17,7 @@
 
   constructor(
     private readonly shares: ConnectionLimits,
-    private readonly log: Logger,
+    private readonly logger: Logger,
     private readonly clock: () => bigint = monotonicNow,
   ) {}
 
@@ -55,7 +55,7 @@
     const now = this.clock();
     if (this.count > this.shares.rotateWorkersAbove) {
       if (this.shortAt === null)
-        this.log.warn(
+        this.logger.warn(
           { open: this.count, sockets: this.shares.inbound },
           'more workers than sockets: their connections are closed after each answer',
         );
--- a/src/edge/http/request-handler.ts
+++ b/src/edge/http/request-handler.ts
@@ -49,23 +49,23 @@
   types: readonly MachineType[] = [];
 
   constructor(
-    private readonly store: StateStore,
-    private readonly facts: Pick<ClusterConfig, 'teams' | 'maxValueBytes'>,
+    private readonly stateStore: StateStore,
+    private readonly config: Pick<ClusterConfig, 'teams' | 'maxValueBytes'>,
     private readonly versions: Pick<ControllerVersions, 'allSupport'>,
-    private readonly log: Logger,
+    private readonly logger: Logger,
     /** So little memory is left that nobody more is let in. */
     private readonly tight: () => boolean,
   ) {
-    this.counts = new TaskCounts(store);
-    this.dependencies = new DependencyIndex(store);
+    this.counts = new TaskCounts(stateStore);
+    this.dependencies = new DependencyIndex(stateStore);
   }
 
   get ready(): boolean {
-    return this.store.loaded && this.types.length > 0;
+    return this.stateStore.loaded && this.types.length > 0;
   }
 
   view(id: string): JobView | null {
-    const entry = this.store.replica.get(jobKey(id));
+    const entry = this.stateStore.replica.get(jobKey(id));
     if (entry === undefined) return null;
     const job = jobSummaryOf(entry.value);
     // Cancelled by the fact that a job that it needs was; it had no task then, and has none since.
@@ -73,8 +73,8 @@
       return { id, status: 'cancelled', done: 0, running: 0 };
     const { completed: done, assigned: placed } =
       job.status === 'done' ? { completed: job.taskCount, assigned: 0 } : this.counts.of(id);
-    const standing = job.status === 'open' ? (placed + done > 0 ? 'running' : 'pending') : job.status;
-    return { id, status: standing, done, running: placed };
+    const status = job.status === 'open' ? (placed + done > 0 ? 'running' : 'pending') : job.status;
+    return { id, status, done, running: placed };
   }
 
   /** A job's state: at once if final, else from a copy as fresh as the asking. */
@@ -85,9 +85,12 @@
     if (this.inside >= ROOM || this.tight()) return busy;
     this.inside += 1;
     try {
-      if (!this.store.loaded || !(await this.store.syncReplica(limitMs))) return cut;
+      if (!this.stateStore.loaded || !(await this.stateStore.syncReplica(limitMs))) return cut;
       const view = this.view(id);
-      this.log.debug({ job: id, standing: view?.status ?? 'absent', rev: this.store.revision }, 'looked at');
+      this.logger.debug(
+        { job: id, standing: view?.status ?? 'absent', rev: this.stateStore.revision },
+        'looked at',
+      );
       return view === null ? { kind: 'not-found' } : ok(view);
     } finally {
       this.inside -= 1;
@@ -96,9 +99,9 @@
 
   /** Takes a job in. `spec` is null if the body was wrong; a known job gets its state all the same. */
   async submit(id: string, spec: JobSpec | string): Promise<RequestResult<JobView>> {
-    if (this.store.replica.has(jobKey(id))) return this.status(id, SUBMIT_LIMIT_MS);
-    const why = typeof spec === 'string' ? spec : (this.neverRuns(spec) ?? this.tooLarge(spec));
-    if (why !== null) return this.never(id, why);
+    if (this.stateStore.replica.has(jobKey(id))) return this.status(id, SUBMIT_LIMIT_MS);
+    const reason = typeof spec === 'string' ? spec : (this.neverRuns(spec) ?? this.tooLarge(spec));
+    if (reason !== null) return this.never(id, reason);
     if (typeof spec === 'string') return { kind: 'rejected', reason: spec };
     if (this.cutOff()) return cut;
     if (!this.ready)
@@ -131,15 +134,15 @@
 
   /** A job that another waits for: from the copy, or, if it was accepted elsewhere a moment ago, past it. */
   private async findDependency(id: string): Promise<ReadResult> {
-    const entry = this.store.replica.get(jobKey(id));
+    const entry = this.stateStore.replica.get(jobKey(id));
     if (entry !== undefined) return { kind: 'found', value: entry.value };
-    return this.store.read(jobKey(id), POLL_LIMIT_MS);
+    return this.stateStore.read(jobKey(id), POLL_LIMIT_MS);
   }
 
   /** Refuses a submission for good, unless it repeats one that was accepted. */
-  private async never(id: string, why: string): Promise<RequestResult<JobView>> {
+  private async never(id: string, reason: string): Promise<RequestResult<JobView>> {
     const answer = await this.status(id, SUBMIT_LIMIT_MS);
-    return answer.kind === 'not-found' ? { kind: 'rejected', reason: why } : answer;
+    return answer.kind === 'not-found' ? { kind: 'rejected', reason } : answer;
   }
 
   private async write(spec: JobSpec): Promise<RequestResult<JobView>> {
@@ -147,14 +150,19 @@
     const record: JobRecord = { spec, submittedAt: new Date(), status: 'open' };
     const key = jobKey(spec.id);
     for (let n = 0; ; n++) {
-      const result = await this.store.commit(
+      const result = await this.stateStore.commit(
         [{ key, modRevision: 0 }],
         [{ write: key, value: encodeJob(record) }],
       );
       if (result.kind === 'committed')
         return { kind: 'ok', created: true, value: { id: spec.id, status: 'pending', done: 0, running: 0 } };
       if (result.kind === 'conflict') {
-        if (!(await this.store.waitForRevision(result.revision, SUBMIT_LIMIT_MS - millisecondsSince(began))))
+        if (
+          !(await this.stateStore.waitForRevision(
+            result.revision,
+            SUBMIT_LIMIT_MS - millisecondsSince(began),
+          ))
+        )
           return cut;
         return this.status(spec.id, 1000);
       }
@@ -172,18 +180,18 @@
       const seen = this.view(id);
       if (seen !== null && (seen.status === 'done' || seen.status === 'cancelled')) return ok(seen);
       if (this.cutOff()) return cut;
-      const e = this.store.replica.get(jobKey(id));
+      const e = this.stateStore.replica.get(jobKey(id));
       if (e === undefined || n > 0) {
         const answer = await this.status(id, 1500);
         if (answer.kind !== 'ok' || answer.value.status === 'done' || answer.value.status === 'cancelled')
           return answer;
       }
-      const entry = this.store.replica.get(jobKey(id));
+      const entry = this.stateStore.replica.get(jobKey(id));
       if (entry === undefined) continue;
       // It ended a moment ago: the next round finds that.
       if (entry.value instanceof FinishedJobSummary) continue;
       const record: JobRecord = { ...decodeJob(entry.value), status: 'cancelled' };
-      const result = await this.store.commit(
+      const result = await this.stateStore.commit(
         [{ key: jobKey(id), modRevision: entry.modRevision }],
         [{ write: jobKey(id), value: encodeJob(record) }],
       );
@@ -196,7 +204,7 @@
 
   /** Nothing has been heard of the state service for so long that a user would only wait in vain. */
   private cutOff(): boolean {
-    return millisecondsSince(this.store.lastSyncedAt) > CUT_MS;
+    return millisecondsSince(this.stateStore.lastSyncedAt) > CUT_MS;
   }
 
   /**
@@ -206,12 +214,12 @@
   private tooLarge(spec: JobSpec): string | null {
     const longest: JobRecord = { spec, submittedAt: new Date(), status: 'cancelled' };
     const bytes = Buffer.byteLength(JSON.stringify(encodeJob(longest)));
-    return bytes > this.facts.maxValueBytes ? 'too large for a record, with the jobs to wait for' : null;
+    return bytes > this.config.maxValueBytes ? 'too large for a record, with the jobs to wait for' : null;
   }
 
   private neverRuns(spec: JobSpec): string | null {
-    if (!this.facts.teams.some((team) => team.name === spec.team)) return `unknown team ${spec.team}`;
-    if (!fitsQuota(spec, this.facts.teams)) return 'more than the limit of its team';
+    if (!this.config.teams.some((team) => team.name === spec.team)) return `unknown team ${spec.team}`;
+    if (!fitsQuota(spec, this.config.teams)) return 'more than the limit of its team';
     if (this.types.length === 0) return null;
     const fits = this.types.some(
       (type) =>
@@ -226,7 +234,7 @@
 
   jobCount(): number {
     let n = 0;
-    for (const key of this.store.replica.keys())
+    for (const key of this.stateStore.replica.keys())
       if (key.startsWith(KEY_PREFIX) && parseKey(key).kind === 'job') n += 1;
     return n;
   }
--- a/src/edge/leadership/commit-loop.ts
+++ b/src/edge/leadership/commit-loop.ts
@@ -36,11 +36,11 @@
     private readonly term: TermContext,
     private readonly key: LeaderKey,
   ) {
-    const { config: facts, maxWritesPerSecond: writeRps } = term.dependencies;
+    const { config, maxWritesPerSecond: writeRps } = term.dependencies;
     this.writeRps = writeRps;
     this.budget = new RateLimiter(
       writeRps * MOST_SHARE,
-      Math.max(facts.maxTransactionOperations, writeRps * 0.5),
+      Math.max(config.maxTransactionOperations, writeRps * 0.5),
     );
   }
 
@@ -57,8 +57,8 @@
   }
 
   /** Has the token raised before the next transaction. */
-  requestTokenAdvance(why: string): void {
-    this.raise = why;
+  requestTokenAdvance(reason: string): void {
+    this.raise = reason;
     this.wake();
   }
 
@@ -92,9 +92,9 @@
   }
 
   /** More changes than it takes: from now on it takes what was announced, if that is less. */
-  private heedRefusal(why: string): void {
+  private heedRefusal(reason: string): void {
     const next = this.term.dependencies.announcedMaxWritesPerSecond;
-    if (why !== TOO_MANY || next >= this.writeRps) return;
+    if (reason !== TOO_MANY || next >= this.writeRps) return;
     this.writeRps = next;
     this.share();
   }
@@ -121,12 +121,12 @@
 
   /** Sends a transaction until its fate is known. Its guards make repeats harmless. */
   private async commit(transaction: Transaction, signal: AbortSignal): Promise<void> {
-    const { stateStore: store } = this.term.dependencies;
+    const { stateStore } = this.term.dependencies;
     const guards: CompareCondition[] = [
       { key: leaderKey(this.term.dependencies.partition), modRevision: transaction.fencingToken },
     ];
     const writes: WriteOperation[] = [];
-    for (const [id, stamp] of transaction.guardedJobs) guards.push({ key: jobKey(id), modRevision: stamp });
+    for (const [id, modRevision] of transaction.guardedJobs) guards.push({ key: jobKey(id), modRevision });
     for (const page of transaction.pages) {
       const key = pageKey(this.term.dependencies.partition, page.id);
       guards.push({ key, modRevision: page.modRevision });
@@ -136,12 +136,12 @@
     for (const id of transaction.cancelledJobs) writes.push(...this.endOf(id, 'cancelled'));
     let doubtful = false;
     for (let n = 0; !signal.aborted; n++) {
-      const result = await store.commit(guards, writes);
+      const result = await stateStore.commit(guards, writes);
       if (isAborted(signal)) return;
       if (result.kind === 'committed')
         return this.term.dispatch({
           kind: 'transaction-committed',
-          transaction: transaction,
+          transaction,
           modRevision: result.revision,
         });
       if (result.kind === 'conflict') return this.onConflict(transaction, result, doubtful, signal);
@@ -153,11 +153,11 @@
   }
 
   /** The record of a job that is over; none if the job is not known any more. */
-  private endOf(id: string, standing: 'done' | 'cancelled'): WriteOperation[] {
+  private endOf(id: string, status: 'done' | 'cancelled'): WriteOperation[] {
     const job = this.term.scheduler.state.jobs.byId.get(id);
     if (job === undefined) return [];
     const { spec, submittedAt: submitted } = job;
-    return [{ write: jobKey(id), value: encodeJob({ spec, submittedAt: submitted, status: standing }) }];
+    return [{ write: jobKey(id), value: encodeJob({ spec, submittedAt: submitted, status }) }];
   }
 
   /** How a job stands by the followed copy; null if it is not there. */
@@ -172,22 +172,22 @@
     doubtful: boolean,
     signal: AbortSignal,
   ): Promise<void> {
-    const { stateStore: store } = this.term.dependencies;
+    const { stateStore } = this.term.dependencies;
     const { failedKeys: failed } = conflict;
     // What the conflict means can only be read from a copy that holds it: an older one still shows the stamps that the
     // transaction was guarded by, and taking those for what it left behind would fail every later write of the page.
-    while (!(await store.waitForRevision(conflict.revision, 2000))) if (isAborted(signal)) return;
+    while (!(await stateStore.waitForRevision(conflict.revision, 2000))) if (isAborted(signal)) return;
     if (!(await this.key.stillLeader())) return this.term.end('the part has changed hands');
     const moved = transaction.pages.find((page) =>
       failed.includes(pageKey(this.term.dependencies.partition, page.id)),
     );
     // Pages have one writer: a page that moved on was moved by an earlier copy of this very transaction.
     if (moved !== undefined) {
-      const entry = store.replica.get(pageKey(this.term.dependencies.partition, moved.id));
+      const entry = stateStore.replica.get(pageKey(this.term.dependencies.partition, moved.id));
       if (doubtful && entry !== undefined)
         return this.term.dispatch({
           kind: 'transaction-committed',
-          transaction: transaction,
+          transaction,
           modRevision: entry.modRevision,
         });
       return this.term.end('a page was written by somebody else');
@@ -199,8 +199,8 @@
       if (carriedOut)
         return this.term.dispatch({
           kind: 'transaction-committed',
-          transaction: transaction,
-          modRevision: store.revision,
+          transaction,
+          modRevision: stateStore.revision,
         });
     }
     this.term.dependencies.logger.info({ failed }, 'transaction refused by its guards; planned anew');
--- a/src/edge/leadership/leader-election.ts
+++ b/src/edge/leadership/leader-election.ts
@@ -96,7 +96,7 @@
     this.begin(result.revision, sent, lease, ttlMs);
   }
 
-  private begin(token: number, claimed: bigint, lease: number, ttlMs: number): void {
+  private begin(fencingToken: number, claimed: bigint, lease: number, ttlMs: number): void {
     const term = new LeaderTerm(
       {
         ...this.dependencies,
@@ -110,7 +110,7 @@
           this.wake.wake();
         },
       },
-      token,
+      fencingToken,
       claimed,
       lease,
       ttlMs / 4,
--- a/src/edge/leadership/leader-term.ts
+++ b/src/edge/leadership/leader-term.ts
@@ -36,7 +36,7 @@
  * subscription, which ends with the term.
  */
 export class LeaderTerm {
-  private readonly owner: ClusterScheduler;
+  private readonly scheduler: ClusterScheduler;
   private readonly routines = new Subscription();
   private readonly workers: WorkerCommandSender;
   private readonly commits: CommitLoop;
@@ -51,7 +51,7 @@
 
   constructor(
     private readonly dependencies: TermDependencies,
-    token: number,
+    fencingToken: number,
     /** When the claim was sent that made us the owner: the first moment at which the state service surely knew us. */
     claimed: bigint,
     private readonly lease: number,
@@ -61,21 +61,21 @@
     setMaxListeners(0, this.stop.signal);
     const t = currentTime();
     const term = {
-      fencingToken: token,
+      fencingToken,
       startedAt: t.monotonic,
       confirmedAt: claimed,
       previousLeadersDeadline: previousLeadersDeadlineFrom(dependencies.config, t.monotonic),
     };
     const zonePolicy = dependencies.newZonePolicy?.() ?? null;
-    this.owner = new ClusterScheduler(dependencies.config, dependencies.settings, term, zonePolicy);
+    this.scheduler = new ClusterScheduler(dependencies.config, dependencies.settings, term, zonePolicy);
     this.profile = new TermStartupProfile(t.monotonic, dependencies.logger);
     const context: TermContext = {
       dependencies,
-      scheduler: this.owner,
+      scheduler: this.scheduler,
       leaseId: lease,
       renewIntervalMs: renewMs,
       dispatch: (event) => this.event(event),
-      end: (why) => this.end(why),
+      end: (reason) => this.end(reason),
     };
     const key = new LeaderKey(context);
     this.commits = new CommitLoop(context, key);
@@ -84,10 +84,10 @@
     this.zones = new ZoneRecordWriter(context, key);
     this.workers = new WorkerCommandSender(
       dependencies.maxWorkerConnections,
-      () => this.owner.state.term.fencingToken,
-      (order) =>
-        mayStartTasks(this.owner.state.term.confirmedAt, monotonicNow()) &&
-        this.owner.state.jobs.byId.get(order.jobId)?.status === 'open',
+      () => this.scheduler.state.term.fencingToken,
+      (command) =>
+        mayStartTasks(this.scheduler.state.term.confirmedAt, monotonicNow()) &&
+        this.scheduler.state.jobs.byId.get(command.jobId)?.status === 'open',
       (result) =>
         this.event({
           kind: 'commands-answered',
@@ -102,33 +102,33 @@
   }
 
   get fencingToken(): number {
-    return this.owner.state.term.fencingToken;
+    return this.scheduler.state.term.fencingToken;
   }
 
   /** It is late with what workers ask. */
   get overloaded(): boolean {
-    return isOverloaded(this.owner.state.term);
+    return isOverloaded(this.scheduler.state.term);
   }
 
   start(): void {
-    const { stateStore: store } = this.dependencies;
+    const { stateStore } = this.dependencies;
     this.load();
     this.routines.add(this.workers.start());
     this.routines.add(() => this.stop.abort());
-    this.routines.add(store.changes.subscribe((change) => this.onChange(change)));
+    this.routines.add(stateStore.changes.subscribe((change) => this.onChange(change)));
     this.routines.add(interval(TICK_MS).subscribe(() => this.tick()));
     this.routines.add(this.contact.start());
     this.routines.add(this.commits.start());
     this.routines.add(this.polling.start());
-    if (this.owner.state.zonePolicy !== null) this.routines.add(this.zones.start());
+    if (this.scheduler.state.zonePolicy !== null) this.routines.add(this.zones.start());
   }
 
-  end(why: string): void {
+  end(reason: string): void {
     if (this.over) return;
     this.over = true;
-    this.dependencies.logger.info({ fencingToken: this.fencingToken, why }, 'term over');
+    this.dependencies.logger.info({ fencingToken: this.fencingToken, why: reason }, 'term over');
     this.routines.unsubscribe();
-    this.dependencies.onEnd(why);
+    this.dependencies.onEnd(reason);
   }
 
   private isOver(): boolean {
@@ -136,24 +136,28 @@
   }
 
   /** The answer to a worker's report, or null if we may no longer answer. */
-  onHeartbeat(report: Heartbeat): HeartbeatAnswer | null {
+  onHeartbeat(heartbeat: Heartbeat): HeartbeatAnswer | null {
     if (
       this.over ||
-      !mayAcknowledgeHeartbeats(this.dependencies.config, this.owner.state.term.confirmedAt, monotonicNow())
+      !mayAcknowledgeHeartbeats(
+        this.dependencies.config,
+        this.scheduler.state.term.confirmedAt,
+        monotonicNow(),
+      )
     )
       return null;
-    this.event({ kind: 'heartbeat', heartbeat: report });
+    this.event({ kind: 'heartbeat', heartbeat });
     if (this.isOver()) return null;
     const began = currentTime();
-    const commands = this.owner.answerHeartbeat(report, began);
+    const commands = this.scheduler.answerHeartbeat(heartbeat, began);
     if (this.profile.active) this.profile.add('reports', monotonicNow() - began.monotonic);
     return { fencingToken: this.fencingToken, commands };
   }
 
-  private loadJob(id: string, { value, modRevision: stamp }: ReplicaEntry): void {
+  private loadJob(id: string, { value, modRevision }: ReplicaEntry): void {
     // Of a job that has ended and of which nothing is placed only others may want to know.
     if (value instanceof FinishedJobSummary) this.event({ kind: 'job-finished', id, status: value.status });
-    else this.event({ kind: 'job-changed', id, record: decodeJob(value), modRevision: stamp });
+    else this.event({ kind: 'job-changed', id, record: decodeJob(value), modRevision });
   }
 
   private load(): void {
@@ -173,9 +177,9 @@
       });
     this.event({ kind: 'load-completed' });
     const zones = this.dependencies.stateStore.replica.get(zoneRecordKey(this.dependencies.partition));
-    if (zones !== undefined) this.owner.state.zonePolicy?.restore(zones.value, currentTime());
+    if (zones !== undefined) this.scheduler.state.zonePolicy?.restore(zones.value, currentTime());
     this.dependencies.logger.info(
-      { fencingToken: this.fencingToken, jobs: this.owner.state.jobs.byId.size, pages: pages.length },
+      { fencingToken: this.fencingToken, jobs: this.scheduler.state.jobs.byId.size, pages: pages.length },
       'term begins',
     );
   }
@@ -184,35 +188,38 @@
     const t = monotonicNow();
     const late = t - this.tickedAt - BigInt(TICK_MS) * 1_000_000n;
     this.tickedAt = t;
-    this.owner.recordEventLoopLag(late > 0n ? late : 0n);
+    this.scheduler.recordEventLoopLag(late > 0n ? late : 0n);
     this.event({ kind: 'tick' });
     this.profile.tellWhenOver(t);
   }
 
   private event(event: Event): void {
     if (this.over) return;
-    const passed = this.owner.state.scheduling.lastCycleAt;
+    const passed = this.scheduler.state.scheduling.lastCycleAt;
     const began = currentTime();
-    const effects = this.owner.handle(event, began);
-    const hasPassed = this.owner.state.scheduling.lastCycleAt !== passed;
+    const effects = this.scheduler.handle(event, began);
+    const hasPassed = this.scheduler.state.scheduling.lastCycleAt !== passed;
     if (hasPassed || this.profile.active) {
       const took = monotonicNow() - began.monotonic;
-      if (hasPassed) this.owner.recordCycleDuration(took);
+      if (hasPassed) this.scheduler.recordCycleDuration(took);
       if (this.profile.active) this.profile.add(hasPassed ? 'passes' : stepOf(event), took);
     }
     for (const effect of effects) this.carryOut(effect);
-    if (this.owner.state.records.dirtyPages.size > 0 || this.owner.state.records.jobsToComplete.size > 0)
+    if (
+      this.scheduler.state.records.dirtyPages.size > 0 ||
+      this.scheduler.state.records.jobsToComplete.size > 0
+    )
       this.commits.wake();
   }
 
   private carryOut(effect: Effect): void {
-    const { logger: log } = this.dependencies;
+    const { logger } = this.dependencies;
     switch (effect.kind) {
       case 'log':
-        log[effect.level](effect.fields, effect.message);
+        logger[effect.level](effect.fields, effect.message);
         break;
       case 'send-commands': {
-        const endpoint = this.owner.state.machines.byName.get(effect.machineName)?.endpoint ?? '';
+        const endpoint = this.scheduler.state.machines.byName.get(effect.machineName)?.endpoint ?? '';
         const batch = {
           machineName: effect.machineName,
           endpoint,
@@ -246,25 +253,25 @@
     }
   }
 
-  private rent(order: ScaleOutRequest): void {
+  private rent(request: ScaleOutRequest): void {
     // The first token of a term is committed and belongs to this process alone: names made of it are never reused.
-    const name = `r-${this.owner.state.term.firstFencingToken}-${++this.rentals}`;
-    this.event({ kind: 'scale-out-started', name, request: order });
-    void this.dependencies.cloud.scaleOut(name, order, this.stop.signal).then((machines) => {
+    const name = `r-${this.scheduler.state.term.firstFencingToken}-${++this.rentals}`;
+    this.event({ kind: 'scale-out-started', name, request });
+    void this.dependencies.cloud.scaleOut(name, request, this.stop.signal).then((machines) => {
       this.dependencies.logger.info(
-        { name, wanted: order.count, got: machines?.length ?? 0 },
+        { name, wanted: request.count, got: machines?.length ?? 0 },
         'rental answered',
       );
       this.event({ kind: 'scale-out-answered', name, machines });
     });
   }
 
-  private giveBack(machines: readonly string[], why: string): void {
-    this.dependencies.logger.info({ machines, why }, 'returning machines');
+  private giveBack(machines: readonly string[], reason: string): void {
+    this.dependencies.logger.info({ machines, why: reason }, 'returning machines');
     void this.dependencies.cloud
       .scaleIn(
         machines,
-        () => mayStartTasks(this.owner.state.term.confirmedAt, monotonicNow()),
+        () => mayStartTasks(this.scheduler.state.term.confirmedAt, monotonicNow()),
         this.stop.signal,
       )
       .then((ok) => this.event({ kind: 'scale-in-answered', machines, succeeded: ok }));
@@ -285,7 +292,7 @@
       // Our own key may be followed late, but a key that is gone or another's is the end of the term.
       if (
         !mine &&
-        (change.entry === null || change.entry.modRevision > this.owner.state.term.firstFencingToken)
+        (change.entry === null || change.entry.modRevision > this.scheduler.state.term.firstFencingToken)
       )
         this.end('the part has another owner');
     }
--- a/src/edge/leadership/leadership-lease.ts
+++ b/src/edge/leadership/leadership-lease.ts
@@ -17,9 +17,9 @@
 
   /** Runs until unsubscribed. */
   start(): Subscription {
-    const { logger: log } = this.term.dependencies;
-    const routines = supervise('lease', log, (signal) => this.keepLease(signal));
-    routines.add(supervise('heartbeat', log, (signal) => this.heartbeat(signal)));
+    const { logger } = this.term.dependencies;
+    const routines = supervise('lease', logger, (signal) => this.keepLease(signal));
+    routines.add(supervise('heartbeat', logger, (signal) => this.heartbeat(signal)));
     return routines;
   }
 
--- a/src/edge/leadership/term-context.ts
+++ b/src/edge/leadership/term-context.ts
@@ -27,7 +27,7 @@
   readonly newZonePolicy: (() => ZonePolicy) | null;
   /** Connections straight to workers that may be open at once. */
   readonly maxWorkerConnections: number;
-  readonly onEnd: (why: string) => void;
+  readonly onEnd: (reason: string) => void;
   /** The part was given up for another controller to take. */
   readonly onStepDown: () => void;
 }
@@ -42,5 +42,5 @@
   /** Has the core take in what happened, and carries out what follows. */
   readonly dispatch: (event: Event) => void;
   /** Ends the term. */
-  readonly end: (why: string) => void;
+  readonly end: (reason: string) => void;
 }
--- a/src/edge/leadership/term-startup-profile.ts
+++ b/src/edge/leadership/term-startup-profile.ts
@@ -37,7 +37,7 @@
 
   constructor(
     private readonly began: bigint,
-    private readonly log: Logger,
+    private readonly logger: Logger,
   ) {}
 
   /** Still adding up: afterwards nothing need be measured. */
@@ -55,7 +55,7 @@
     this.told = true;
     const steps = [...this.spent].sort(([, a], [, b]) => (a < b ? 1 : -1));
     const ms = Object.fromEntries(steps.map(([step, span]) => [step, Math.round(Number(span) / 1e6)]));
-    this.log.info({ ms }, 'what the first 20 s of the term took, by step');
+    this.logger.info({ ms }, 'what the first 20 s of the term took, by step');
     this.spent.clear();
   }
 }
--- a/src/edge/leadership/zone-record-writer.ts
+++ b/src/edge/leadership/zone-record-writer.ts
@@ -37,9 +37,9 @@
       await this.wake.wait(EVERY_MS, signal);
       const next = this.newest;
       if (next === null || isAborted(signal)) continue;
-      const { stateStore: store, partition: part } = this.term.dependencies;
+      const { stateStore, partition: part } = this.term.dependencies;
       const write = { write: zoneRecordKey(part), value: next.value };
-      const result = await store.commit([this.key.condition()], [write]);
+      const result = await stateStore.commit([this.key.condition()], [write]);
       if (result.kind === 'committed' && this.newest === next) this.newest = null;
       await sleep(jittered(EVERY_MS), signal);
     }
--- a/src/edge/net/http-client.ts
+++ b/src/edge/net/http-client.ts
@@ -75,11 +75,11 @@
   }
 
   /** Ends the connection, and with it the request that it carries. */
-  fail(why: string): void {
+  fail(reason: string): void {
     const { call } = this;
     this.call = null;
     this.retire();
-    call?.settle({ kind: this.connected ? 'unknown' : 'unsent', why });
+    call?.settle({ kind: this.connected ? 'unknown' : 'unsent', why: reason });
   }
 
   /** Leaves the pool at once: nothing may be sent on a connection that is about to close. */
@@ -210,10 +210,10 @@
     if (next !== undefined) this.start(next);
   }
 
-  private giveUp(call: Call, why: string): void {
-    if (call.connection !== null) return call.connection.fail(why);
+  private giveUp(call: Call, reason: string): void {
+    if (call.connection !== null) return call.connection.fail(reason);
     const at = this.queue.indexOf(call);
     if (at >= 0) this.queue.splice(at, 1);
-    call.settle({ kind: 'unsent', why });
+    call.settle({ kind: 'unsent', why: reason });
   }
 }
--- a/src/edge/peers/peer-links.ts
+++ b/src/edge/peers/peer-links.ts
@@ -32,7 +32,7 @@
     private readonly addr: string,
     private readonly known: readonly Peer[],
     private readonly own: () => ControllerStatus,
-    private readonly log: Logger,
+    private readonly logger: Logger,
   ) {}
 
   /** How many other controllers there are. */
@@ -59,7 +59,7 @@
     const all = new Subscription();
     all.add(this.listen().subscribe());
     for (const peer of this.known)
-      all.add(supervise(`peer ${peer.label}`, this.log, (signal) => this.dial(peer, signal)));
+      all.add(supervise(`peer ${peer.label}`, this.logger, (signal) => this.dial(peer, signal)));
     return all;
   }
 
@@ -74,7 +74,7 @@
       server.maxConnections = 4 * Math.max(1, this.known.length);
       // Without the link we go on as one who hears no peer.
       server.on('error', (e) =>
-        this.log.warn({ error: errorMessage(e) }, 'cannot listen for other controllers'),
+        this.logger.warn({ error: errorMessage(e) }, 'cannot listen for other controllers'),
       );
       const at = parseTarget(this.addr);
       server.listen(at.port, at.host);
@@ -101,7 +101,7 @@
         try {
           for (const status of reader.push(data)) this.take(status);
         } catch (e) {
-          warnRateLimited(this.log, { error: errorMessage(e) }, 'a controller sent what cannot be read');
+          warnRateLimited(this.logger, { error: errorMessage(e) }, 'a controller sent what cannot be read');
           socket.destroy();
         }
       }),
--- a/src/edge/runtime/logger.ts
+++ b/src/edge/runtime/logger.ts
@@ -23,14 +23,14 @@
 const lately = new WeakMap<Logger, Map<string, { at: bigint; passedOver: number }>>();
 
 /** Warns of what may come in floods, such as messages that cannot be read: each text once in a while, with a count. */
-export function warnRateLimited(log: Logger, about: Record<string, unknown>, text: string): void {
-  const texts = lately.get(log) ?? new Map<string, { at: bigint; passedOver: number }>();
-  lately.set(log, texts);
+export function warnRateLimited(logger: Logger, about: Record<string, unknown>, text: string): void {
+  const texts = lately.get(logger) ?? new Map<string, { at: bigint; passedOver: number }>();
+  lately.set(logger, texts);
   const last = texts.get(text);
   if (last !== undefined && millisecondsSince(last.at) < SPARSE_MS) {
     last.passedOver += 1;
     return;
   }
-  log.warn(last === undefined ? about : { ...about, passedOver: last.passedOver }, text);
+  logger.warn(last === undefined ? about : { ...about, passedOver: last.passedOver }, text);
   texts.set(text, { at: monotonicNow(), passedOver: 0 });
 }
--- a/src/edge/runtime/memory-monitor.ts
+++ b/src/edge/runtime/memory-monitor.ts
@@ -54,7 +54,7 @@
 
   constructor(
     private readonly limitMb: number | null,
-    private readonly log: Logger,
+    private readonly logger: Logger,
   ) {}
 
   /** So little is left that users are better refused than the process ended. */
@@ -84,11 +84,11 @@
       this.collect?.();
       this.afterLast = this.held();
       step = memoryAction(this.afterLast, this.afterLast);
-      this.log.debug({ share: this.afterLast }, 'memory collected');
+      this.logger.debug({ share: this.afterLast }, 'memory collected');
     }
     const shed = step === 'shed';
     if (shed !== this.shedding) {
-      this.log.warn(
+      this.logger.warn(
         { share: this.held() },
         shed ? 'short of memory: users are refused' : 'memory is enough again',
       );
--- a/src/edge/runtime/supervised-task.ts
+++ b/src/edge/runtime/supervised-task.ts
@@ -28,7 +28,7 @@
  */
 export function supervise(
   name: string,
-  log: Logger,
+  logger: Logger,
   body: (signal: AbortSignal) => Promise<void>,
 ): Subscription {
   return new Observable<never>((subscriber) => {
@@ -42,7 +42,7 @@
     .pipe(
       retry({
         delay: (e) => {
-          warnRateLimited(log, { error: errorMessage(e) }, `task "${name}" failed and begins anew`);
+          warnRateLimited(logger, { error: errorMessage(e) }, `task "${name}" failed and begins anew`);
           return timer(250);
         },
       }),
--- a/src/edge/service.ts
+++ b/src/edge/service.ts
@@ -28,39 +28,39 @@
   p: PlatformSettings,
   settings: OperatorSettings,
   features: Features,
-  log: Logger,
-  onFatal: (why: string) => void,
+  logger: Logger,
+  onFatal: (reason: string) => void,
 ): Subscription {
-  const facts = clusterConfigFrom(p);
-  const store = new StateStore(p.external.state, log);
-  const cloud = new CloudClient(p.external.cloud, p.facts.cloud.rps, log);
-  const memory = new MemoryMonitor(p.facts.limits?.memory_mb ?? null, log);
+  const config = clusterConfigFrom(p);
+  const stateStore = new StateStore(p.external.state, logger);
+  const cloud = new CloudClient(p.external.cloud, p.facts.cloud.rps, logger);
+  const memory = new MemoryMonitor(p.facts.limits?.memory_mb ?? null, logger);
   const sockets = connectionLimitsFor(p.facts.limits?.max_sockets ?? null);
   const versions = new ControllerVersions(
-    store,
+    stateStore,
     p.label,
     p.known.map((peer) => peer.label),
-    log,
+    logger,
   );
-  const requests = new RequestHandler(store, facts, versions, log, () => memory.underPressure);
+  const requests = new RequestHandler(stateStore, config, versions, logger, () => memory.underPressure);
   const incarnation = `${p.label}-${new Date().getTime()}-${monotonicNow()}`;
   const pages = new DecodedPageCache();
-  const images = new ImageCacheObserver(store, log, pages, (): boolean => owner.currentTerm !== null);
+  const images = new ImageCacheObserver(stateStore, logger, pages, (): boolean => owner.currentTerm !== null);
   const owner: LeaderElection = new LeaderElection({
     partition: PART,
     label: p.label,
     incarnation,
-    config: facts,
+    config,
     settings,
-    stateStore: store,
+    stateStore,
     cloud,
-    logger: log,
+    logger,
     maxWritesPerSecond: p.facts.state.write_rps,
     announcedMaxWritesPerSecond: p.facts.state.next?.write_rps ?? Infinity,
     imageObserver: images,
     pageCache: pages,
     maxWorkerConnections: sockets.workerCommands,
-    newZonePolicy: zonePolicyFor(features, facts),
+    newZonePolicy: zonePolicyFor(features, config),
   });
 
   const peers = new PeerLinks(
@@ -69,15 +69,15 @@
     () => ({
       label: p.label,
       isLeader: owner.currentTerm !== null,
-      stateStoreContactMs: store.lastSyncedAt === 0n ? null : millisecondsSince(store.lastSyncedAt),
+      stateStoreContactMs: stateStore.lastSyncedAt === 0n ? null : millisecondsSince(stateStore.lastSyncedAt),
       fencingToken: BigInt(owner.currentTerm?.fencingToken ?? 0),
     }),
-    log,
+    logger,
   );
   const healthy = (): boolean =>
     isHealthy({
       ready: requests.ready,
-      replicaAgeMs: millisecondsSince(store.lastSyncedAt),
+      replicaAgeMs: millisecondsSince(stateStore.lastSyncedAt),
       isLeader: owner.currentTerm !== null,
       overloaded: owner.currentTerm?.overloaded === true,
       peerCount: peers.peerCount,
@@ -86,14 +86,14 @@
 
   const all = new Subscription();
   all.add(memory.start());
-  all.add(new FinishedJobCompactor(store, requests.counts).start());
+  all.add(new FinishedJobCompactor(stateStore, requests.counts).start());
   all.add(images.start());
-  all.add(store.start());
+  all.add(stateStore.start());
   all.add(peers.start());
   all.add(versions.start());
   all.add(owner.start());
   all.add(
-    supervise('types for users', log, async (signal) => {
+    supervise('types for users', logger, async (signal) => {
       while (!signal.aborted) {
         const types = await cloud.listMachineTypes(signal);
         if (types !== null) requests.types = types;
@@ -103,9 +103,10 @@
   );
   // A controller that is asked nothing still has to know whether the state service answers it.
   all.add(
-    supervise('contact', log, async (signal) => {
+    supervise('contact', logger, async (signal) => {
       while (!signal.aborted) {
-        if (store.loaded && millisecondsSince(store.lastSyncedAt) > 800) await store.syncReplica(1000);
+        if (stateStore.loaded && millisecondsSince(stateStore.lastSyncedAt) > 800)
+          await stateStore.syncReplica(1000);
         await sleep(500, signal);
       }
     }),
@@ -114,18 +115,18 @@
     startHttpServer({
       address: p.api_addr,
       requests,
-      logger: log,
+      logger,
       isHealthy: healthy,
       connectionLimits: sockets,
       coreShare: p.facts.limits?.core_share ?? 1,
       isLeader: () => owner.currentTerm !== null,
-      onHeartbeat: (report) => owner.currentTerm?.onHeartbeat(report) ?? null,
+      onHeartbeat: (heartbeat) => owner.currentTerm?.onHeartbeat(heartbeat) ?? null,
       leaderLabel: () => {
         const label = owner.leaderLabel();
         return label === p.label ? null : label;
       },
     }).subscribe({
-      next: ({ port }) => log.info({ port }, 'listening'),
+      next: ({ port }) => logger.info({ port }, 'listening'),
       error: (e: unknown) => onFatal(`cannot listen on ${p.api_addr}: ${errorMessage(e)}`),
     }),
   );
--- a/src/edge/state-store/controller-versions.ts
+++ b/src/edge/state-store/controller-versions.ts
@@ -21,10 +21,10 @@
  */
 export class ControllerVersions {
   constructor(
-    private readonly store: StateStore,
+    private readonly stateStore: StateStore,
     private readonly label: string,
     private readonly others: readonly string[],
-    private readonly log: Logger,
+    private readonly logger: Logger,
   ) {}
 
   /** Whether every controller's version can do it, as far as the followed copy knows. */
@@ -34,11 +34,11 @@
 
   /** Keeps what this version can do, until unsubscribed or done. */
   start(): Subscription {
-    return supervise('version', this.log, (signal) => this.register(signal));
+    return supervise('version', this.logger, (signal) => this.register(signal));
   }
 
   private featuresOf(label: string): readonly string[] {
-    const entry = this.store.replica.get(versionKey(label));
+    const entry = this.stateStore.replica.get(versionKey(label));
     return entry === undefined ? [] : decodeFeatures(entry.value);
   }
 
@@ -46,10 +46,10 @@
     const key = versionKey(this.label);
     const value: VersionRecord = { features: [...FEATURES] };
     while (!signal.aborted) {
-      if (this.store.loaded) {
+      if (this.stateStore.loaded) {
         if (FEATURES.every((feature) => this.featuresOf(this.label).includes(feature))) return;
-        const stamp = this.store.replica.get(key)?.modRevision ?? 0;
-        await this.store.commit([{ key, modRevision: stamp }], [{ write: key, value }]);
+        const modRevision = this.stateStore.replica.get(key)?.modRevision ?? 0;
+        await this.stateStore.commit([{ key, modRevision }], [{ write: key, value }]);
       }
       await sleep(jittered(RETRY_MS), signal);
     }
--- a/src/edge/state-store/dependency-index.ts
+++ b/src/edge/state-store/dependency-index.ts
@@ -7,9 +7,9 @@
 export class DependencyIndex {
   private readonly graph = new DependencyGraph();
 
-  constructor(store: Pick<ReplicaView, 'replica' | 'changes'>) {
-    for (const [key, entry] of store.replica) this.take(key, entry);
-    store.changes.subscribe(({ key, entry }) => this.take(key, entry));
+  constructor(stateStore: Pick<ReplicaView, 'replica' | 'changes'>) {
+    for (const [key, entry] of stateStore.replica) this.take(key, entry);
+    stateStore.changes.subscribe(({ key, entry }) => this.take(key, entry));
   }
 
   /** Whether the job was cancelled, by its user or through a dependency. */
@@ -24,8 +24,8 @@
       this.graph.markFinished(parsed.id, entry.value.status);
       return;
     }
-    const { spec, status: standing } = decodeJob(entry.value);
-    if (standing === 'open') this.graph.add(parsed.id, spec.dependencies);
-    else this.graph.markFinished(parsed.id, standing);
+    const { spec, status } = decodeJob(entry.value);
+    if (status === 'open') this.graph.add(parsed.id, spec.dependencies);
+    else this.graph.markFinished(parsed.id, status);
   }
 }
--- a/src/edge/state-store/finished-job-compactor.ts
+++ b/src/edge/state-store/finished-job-compactor.ts
@@ -28,13 +28,13 @@
   private readonly whole = new Set<string>();
 
   constructor(
-    private readonly store: ReplicaView,
+    private readonly stateStore: ReplicaView,
     private readonly counts: Pick<TaskCounts, 'of'>,
   ) {}
 
   /** Follows the copy until unsubscribed. */
   start(): Subscription {
-    const routines = this.store.changes.subscribe(({ key, entry }) => {
+    const routines = this.stateStore.changes.subscribe(({ key, entry }) => {
       const parsed = parseKey(key);
       if (parsed.kind !== 'job' || entry === null) return;
       if (decodeJob(entry.value).status !== 'open') this.whole.add(parsed.id);
@@ -45,16 +45,19 @@
 
   /** Abridges what may be abridged by now. */
   sweep(): void {
-    if (this.store.reloading) return;
+    if (this.stateStore.reloading) return;
     for (const id of this.whole) if (this.counts.of(id).assigned === 0) this.abridge(id);
   }
 
   private abridge(id: string): void {
     this.whole.delete(id);
-    const value = this.store.replica.get(jobKey(id))?.value;
+    const value = this.stateStore.replica.get(jobKey(id))?.value;
     if (value === undefined || value instanceof FinishedJobSummary) return;
-    const { spec, status: standing } = decodeJob(value);
-    if (standing !== 'open')
-      this.store.replaceWithSummary(jobKey(id), new FinishedJobSummary(standing, spec.kind, spec.taskCount));
+    const { spec, status } = decodeJob(value);
+    if (status !== 'open')
+      this.stateStore.replaceWithSummary(
+        jobKey(id),
+        new FinishedJobSummary(status, spec.kind, spec.taskCount),
+      );
   }
 }
--- a/src/edge/state-store/image-cache-observer.ts
+++ b/src/edge/state-store/image-cache-observer.ts
@@ -41,8 +41,8 @@
   private readonly byMachine = new Map<string, MachineImages>();
 
   constructor(
-    private readonly store: StateStore,
-    private readonly log: Logger,
+    private readonly stateStore: StateStore,
+    private readonly logger: Logger,
     private readonly pages: DecodedPageCache,
     /** A leader hears of images from the workers themselves. */
     private readonly leading: () => boolean,
@@ -55,12 +55,12 @@
   }
 
   start(): Subscription {
-    return this.store.changes.subscribe((change) => {
+    return this.stateStore.changes.subscribe((change) => {
       if (change.entry === null || this.leading() || parseKey(change.key).kind !== 'page') return;
       try {
         this.take(change.entry);
       } catch (e) {
-        warnRateLimited(this.log, { key: change.key, error: errorMessage(e) }, 'a page cannot be read');
+        warnRateLimited(this.logger, { key: change.key, error: errorMessage(e) }, 'a page cannot be read');
       }
     });
   }
@@ -80,10 +80,11 @@
     const now = this.clock();
     for (const entry of this.pages.of(page)) {
       if (entry.record.assignments.length === 0) continue;
-      const job = this.store.replica.get(jobKey(entry.jobId));
+      const job = this.stateStore.replica.get(jobKey(entry.jobId));
       if (job === undefined || job.value instanceof FinishedJobSummary) continue;
       const { image, imageGb } = decodeJob(job.value).spec;
-      for (const intent of entry.record.assignments) this.see(intent.machineName, image, imageGb, now);
+      for (const assignment of entry.record.assignments)
+        this.see(assignment.machineName, image, imageGb, now);
     }
     this.forgetOld(now);
   }
--- a/src/edge/state-store/state-store.ts
+++ b/src/edge/state-store/state-store.ts
@@ -79,14 +79,14 @@
 
   constructor(
     addr: string,
-    private readonly log: Logger,
+    private readonly logger: Logger,
   ) {
     this.client = new HttpClient(addr, 6);
     this.watchClient = new HttpClient(addr, 2);
   }
 
   start(): Subscription {
-    return supervise('follow', this.log, (signal) => this.watch(signal));
+    return supervise('follow', this.logger, (signal) => this.watch(signal));
   }
 
   get loaded(): boolean {
@@ -121,9 +121,9 @@
     return { kind: 'unknown', reason: `status ${outcome.status}` };
   }
 
-  private malformed(why: string): CommitResult {
-    warnRateLimited(this.log, { why }, 'the state service sent what cannot be read');
-    return { kind: 'unknown', reason: why };
+  private malformed(reason: string): CommitResult {
+    warnRateLimited(this.logger, { why: reason }, 'the state service sent what cannot be read');
+    return { kind: 'unknown', reason };
   }
 
   /** A key as the state service has it now, past the copy: for what was written elsewhere a moment ago. */
@@ -166,13 +166,13 @@
     if (read === null) return false;
     const ok = await this.waitForRevision(read.revision, limitMs);
     if (ok && read.sent > this.lastSyncedAt) this.lastSyncedAt = read.sent;
-    this.log.debug({ asked: read.revision, replica: this.revision, ok }, 'fresh read');
+    this.logger.debug({ asked: read.revision, replica: this.revision, ok }, 'fresh read');
     return ok;
   }
 
   /** Waits until the copy has come to a revision. */
-  waitForRevision(rev: number, limitMs: number): Promise<boolean> {
-    if (this.revision >= rev) return Promise.resolve(true);
+  waitForRevision(revision: number, limitMs: number): Promise<boolean> {
+    if (this.revision >= revision) return Promise.resolve(true);
     return new Promise((resolve) => {
       const timer = setTimeout(() => {
         const at = this.waiters.indexOf(waiter);
@@ -182,7 +182,7 @@
         resolve(false);
       }, limitMs);
       const waiter = {
-        revision: rev,
+        revision,
         resolve: (): void => {
           clearTimeout(timer);
           resolve(true);
@@ -259,7 +259,7 @@
     if (value === null || value === undefined) return this.remove(key);
     // Whoever follows the copy may rely on it: what cannot be read would end the process from within a listener.
     if (!isDecodable(key, value))
-      return warnRateLimited(this.log, { key }, 'the state service holds what cannot be read');
+      return warnRateLimited(this.logger, { key }, 'the state service holds what cannot be read');
     const entry: ReplicaEntry = { value, modRevision };
     this.replica.set(key, entry);
     this.changes.next({ key, entry });
@@ -275,8 +275,8 @@
     if (this.replica.delete(key)) this.changes.next({ key, entry: null });
   }
 
-  private advance(rev: number): void {
-    if (rev > this.revision) this.revision = rev;
+  private advance(revision: number): void {
+    if (revision > this.revision) this.revision = revision;
     for (let n = this.waiters.length - 1; n >= 0; n--) {
       const w = this.waiters[n];
       if (w !== undefined && w.revision <= this.revision) {
--- a/src/edge/state-store/task-counts.ts
+++ b/src/edge/state-store/task-counts.ts
@@ -14,9 +14,9 @@
   private readonly byJob = new Map<string, TaskCount>();
   private readonly byPage = new Map<string, readonly { job: string; done: number; placed: number }[]>();
 
-  constructor(store: StateStore) {
-    for (const [key, entry] of store.replica) this.take(key, entry.value);
-    store.changes.subscribe((change) => this.take(change.key, change.entry?.value));
+  constructor(stateStore: StateStore) {
+    for (const [key, entry] of stateStore.replica) this.take(key, entry.value);
+    stateStore.changes.subscribe((change) => this.take(change.key, change.entry?.value));
   }
 
   of(job: string): Readonly<TaskCount> {
--- a/src/edge/workers/worker-command-sender.ts
+++ b/src/edge/workers/worker-command-sender.ts
@@ -41,7 +41,7 @@
     private readonly most: number,
     private readonly token: () => number,
     /** Whether a start may still be sent: asked when a command is sent, which may be long after it was given. */
-    private readonly mayStart: (order: WorkerCommand) => boolean,
+    private readonly mayStart: (command: WorkerCommand) => boolean,
     private readonly result: (result: CommandResult) => void,
   ) {}
 
@@ -104,30 +104,27 @@
   }
 
   private async call(job: CommandBatch): Promise<CommandResult> {
-    const token = this.token();
+    const fencingToken = this.token();
     // A command may have waited behind a slow one, or we stood still meanwhile: nothing is started on an old word, nor
     // for a job that was cancelled in the meantime.
-    if (job.commands.some((order) => order.op === 'start' && !this.mayStart(order)))
-      return { batch: job, fencingToken: token, outcome: 'refused', heartbeat: null };
+    if (job.commands.some((command) => command.op === 'start' && !this.mayStart(command)))
+      return { batch: job, fencingToken, outcome: 'refused', heartbeat: null };
     const at = this.clientOf(job.endpoint);
     at.busy += 1;
     const outcome = await at.client.request(
       'POST',
       WORKER_PATHS.commands,
-      encodeCommands(token, job.commands, job.agentEpoch),
+      encodeCommands(fencingToken, job.commands, job.agentEpoch),
       LIMIT_MS,
     );
     at.busy -= 1;
-    if (outcome.kind === 'unsent')
-      return { batch: job, fencingToken: token, outcome: 'refused', heartbeat: null };
-    if (outcome.kind === 'unknown')
-      return { batch: job, fencingToken: token, outcome: 'unknown', heartbeat: null };
+    if (outcome.kind === 'unsent') return { batch: job, fencingToken, outcome: 'refused', heartbeat: null };
+    if (outcome.kind === 'unknown') return { batch: job, fencingToken, outcome: 'unknown', heartbeat: null };
     const r = parseHeartbeat(outcome.body);
-    const report = r.ok ? r.value : null;
-    if (outcome.status === 200)
-      return { batch: job, fencingToken: token, outcome: 'executed', heartbeat: report };
+    const heartbeat = r.ok ? r.value : null;
+    if (outcome.status === 200) return { batch: job, fencingToken, outcome: 'executed', heartbeat };
     if (outcome.status === 409 || outcome.status === 400)
-      return { batch: job, fencingToken: token, outcome: 'refused', heartbeat: report };
-    return { batch: job, fencingToken: token, outcome: 'unknown', heartbeat: null };
+      return { batch: job, fencingToken, outcome: 'refused', heartbeat };
+    return { batch: job, fencingToken, outcome: 'unknown', heartbeat: null };
   }
 }
--- a/src/main.ts
+++ b/src/main.ts
@@ -29,9 +29,9 @@
       process.stdout.write('settings are valid\n');
       return;
     }
-    const log = createLogger(platform.label);
-    const all = startService(platform, settings, features, log, (why) => {
-      process.stderr.write(`pumiceroad: ${why}\n`);
+    const logger = createLogger(platform.label);
+    const all = startService(platform, settings, features, logger, (reason) => {
+      process.stderr.write(`pumiceroad: ${reason}\n`);
       process.exit(1);
     });
     for (const s of ['SIGINT', 'SIGTERM'] as const)
--- a/src/wire/protocol.ts
+++ b/src/wire/protocol.ts
@@ -188,11 +188,11 @@
   return {
     baton: token,
     shift: session,
-    orders: list.map((order) => ({
-      verb: VERBS[order.op],
-      ticket: `${order.jobId}/${order.taskIndex}`,
-      try: order.attempt,
-      windDownS: order.op === 'stop' ? (order.gracePeriodS ?? 0) : undefined,
+    orders: list.map((command) => ({
+      verb: VERBS[command.op],
+      ticket: `${command.jobId}/${command.taskIndex}`,
+      try: command.attempt,
+      windDownS: command.op === 'stop' ? (command.gracePeriodS ?? 0) : undefined,
     })),
   };
 }
--- a/src/wire/records.ts
+++ b/src/wire/records.ts
@@ -117,7 +117,7 @@
   const at = submitted.toISOString();
   const { dependencies } = spec;
   if (dependencies.length === 0) return { st: standing, at, s };
-  return { st: standing, at, s: { ...s, dependencies: dependencies } };
+  return { st: standing, at, s: { ...s, dependencies } };
 }
 
 /** What is kept in memory of a job that is over and of which nothing is placed any more. */
--- a/test/behind.test.ts
+++ b/test/behind.test.ts
@@ -214,7 +214,7 @@
 
 /** An owner with machines that report, one of which holds a committed replica. */
 class Behind {
-  readonly owner = new ClusterScheduler(FACTS, DEFAULT_SETTINGS, {
+  readonly scheduler = new ClusterScheduler(FACTS, DEFAULT_SETTINGS, {
     fencingToken: 1,
     startedAt: at(0).monotonic,
     confirmedAt: at(0).monotonic,
@@ -225,18 +225,18 @@
   private stamp = 10;
 
   constructor(private readonly machines: number) {
-    this.owner.handle({ kind: 'machine-types', types: [TYPE] }, at(0));
+    this.scheduler.handle({ kind: 'machine-types', types: [TYPE] }, at(0));
   }
 
   late(s: number): void {
-    for (let n = 0; n < 20; n++) this.owner.recordEventLoopLag(seconds(s));
+    for (let n = 0; n < 20; n++) this.scheduler.recordEventLoopLag(seconds(s));
   }
 
   /** Each machine reports, with what it is told to hold; what its answer carries comes back. */
   report(s: number, token = 1, holds: Record<string, readonly string[]> = {}): WorkerCommand[] {
     this.seq += 1;
-    this.owner.handle({ kind: 'leadership-confirmed', confirmedAt: at(s).monotonic }, at(s));
-    const orders: WorkerCommand[] = [];
+    this.scheduler.handle({ kind: 'leadership-confirmed', confirmedAt: at(s).monotonic }, at(s));
+    const commands: WorkerCommand[] = [];
     for (let n = 0; n < this.machines; n++) {
       const tasks = (holds[`m${n}`] ?? []).map((job) => ({
         ...{
@@ -257,10 +257,10 @@
         preemptionNotice: null,
         tasks,
       };
-      this.owner.handle({ kind: 'heartbeat', heartbeat: whole }, at(s));
-      orders.push(...this.owner.answerHeartbeat(whole, at(s)));
+      this.scheduler.handle({ kind: 'heartbeat', heartbeat: whole }, at(s));
+      commands.push(...this.scheduler.answerHeartbeat(whole, at(s)));
     }
-    return orders;
+    return commands;
   }
 
   job(
@@ -270,19 +270,19 @@
     standing: 'open' | 'cancelled' = 'open',
   ): Effect[] {
     const record = { spec: spec(id, over), submittedAt: at(s).wall, status: standing };
-    return this.owner.handle({ kind: 'job-changed', id, record, modRevision: ++this.stamp }, at(s));
+    return this.scheduler.handle({ kind: 'job-changed', id, record, modRevision: ++this.stamp }, at(s));
   }
 
   commit(s: number): Effect[] {
-    const transaction = this.owner.nextTransaction(at(s)) as Transaction;
-    return this.owner.handle(
-      { kind: 'transaction-committed', transaction: transaction, modRevision: ++this.stamp },
+    const transaction = this.scheduler.nextTransaction(at(s)) as Transaction;
+    return this.scheduler.handle(
+      { kind: 'transaction-committed', transaction, modRevision: ++this.stamp },
       at(s),
     );
   }
 
   tick(s: number): Effect[] {
-    return this.owner.handle({ kind: 'tick' }, at(s));
+    return this.scheduler.handle({ kind: 'tick' }, at(s));
   }
 }
 
@@ -303,13 +303,13 @@
     assert.equal(direct(b.commit(4)).length, late === 0 ? 1 : 0);
     // The answer carries the start in both cases, until a report shows the task.
     assert.deepEqual(
-      b.report(5).map((order) => `${order.op} ${order.jobId}`),
+      b.report(5).map((command) => `${command.op} ${command.jobId}`),
       ['start req-1'],
     );
     b.report(6, 1, { m0: ['req-1'] });
     assert.equal(direct(b.job(7, 'req-1', {}, 'cancelled')).length, late === 0 ? 1 : 0);
     assert.deepEqual(
-      b.report(8, 1, { m0: ['req-1'] }).map((order) => `${order.op} ${order.jobId}`),
+      b.report(8, 1, { m0: ['req-1'] }).map((command) => `${command.op} ${command.jobId}`),
       ['stop req-1'],
     );
   }
@@ -322,7 +322,7 @@
     ...{ name, endpoint: `${name}:1`, type: 'big', zone: 'east', spot: false },
     ...{ state: 'running' as const, age: seconds(60) },
   }));
-  b.owner.handle({ kind: 'instance-inventory', machines, requestedAt: at(0).monotonic }, at(0));
+  b.scheduler.handle({ kind: 'instance-inventory', machines, requestedAt: at(0).monotonic }, at(0));
 }
 
 test('a new owner asks all machines that nobody hears for its token, but hardly any while it is behind', () => {
@@ -361,17 +361,17 @@
     b.report(0);
     b.job(0, 'req-1', { kind: 'service', priority: 'production', cpus: 8 });
     b.commit(0);
-    const [place] = [...b.owner.state.machines.byName.values()].filter(
+    const [place] = [...b.scheduler.state.machines.byName.values()].filter(
       (machine) => machine.assignments.size > 0,
     );
     assert.ok(place);
     b.late(late);
-    assert.equal(minCycleInterval(b.owner.state), late === 0 ? 0n : seconds(2));
+    assert.equal(minCycleInterval(b.scheduler.state), late === 0 ? 0n : seconds(2));
     const returned: Effect[] = [];
     for (let s = 1; s < 9; s++) {
       // All others go on reporting.
-      b.owner.handle({ kind: 'leadership-confirmed', confirmedAt: at(s).monotonic }, at(s));
-      for (const machine of b.owner.state.machines.byName.values())
+      b.scheduler.handle({ kind: 'leadership-confirmed', confirmedAt: at(s).monotonic }, at(s));
+      for (const machine of b.scheduler.state.machines.byName.values())
         if (machine !== place) machine.lastHeartbeatAt = at(s).monotonic;
       returned.push(...b.tick(s).filter((effect) => effect.kind === 'scale-in'));
     }
@@ -387,7 +387,7 @@
     for (const s of [1, 2, 3]) b.report(s);
     b.session = 2;
     b.report(4);
-    const machine = b.owner.state.machines.byName.get('m0');
+    const machine = b.scheduler.state.machines.byName.get('m0');
     assert.equal(machine?.unreachableSince === null, late === 1);
   }
 });
--- a/test/bounded.test.ts
+++ b/test/bounded.test.ts
@@ -38,9 +38,9 @@
     confirmedAt: began,
     previousLeadersDeadline: previousLeadersDeadlineFrom(FACTS, began),
   };
-  const owner = new ClusterScheduler(FACTS, DEFAULT_SETTINGS, term);
-  owner.handle({ kind: 'machine-types', types: [TYPE] }, at(0));
-  return owner;
+  const scheduler = new ClusterScheduler(FACTS, DEFAULT_SETTINGS, term);
+  scheduler.handle({ kind: 'machine-types', types: [TYPE] }, at(0));
+  return scheduler;
 }
 
 /** A followed copy without a state service. */
@@ -161,11 +161,11 @@
 });
 
 test('the owner lets go of jobs that have been over for a while', () => {
-  const owner = newOwner();
+  const scheduler = newOwner();
   for (let n = 0; n < 3000; n++) {
     const record = { spec: spec(`req-${n}`), submittedAt: at(n).wall, status: 'open' as const };
-    owner.handle({ kind: 'job-changed', id: `req-${n}`, record, modRevision: 2 * n + 1 }, at(n));
-    owner.handle(
+    scheduler.handle({ kind: 'job-changed', id: `req-${n}`, record, modRevision: 2 * n + 1 }, at(n));
+    scheduler.handle(
       {
         kind: 'job-changed',
         id: `req-${n}`,
@@ -174,15 +174,15 @@
       },
       at(n),
     );
-    owner.handle({ kind: 'leadership-confirmed', confirmedAt: at(n).monotonic }, at(n));
-    owner.handle({ kind: 'tick' }, at(n));
+    scheduler.handle({ kind: 'leadership-confirmed', confirmedAt: at(n).monotonic }, at(n));
+    scheduler.handle({ kind: 'tick' }, at(n));
   }
-  assert.ok(owner.state.jobs.byId.size <= 125, `${owner.state.jobs.byId.size} jobs are held`);
-  assert.equal(owner.state.jobs.byId.size, owner.state.jobs.finished.size);
+  assert.ok(scheduler.state.jobs.byId.size <= 125, `${scheduler.state.jobs.byId.size} jobs are held`);
+  assert.equal(scheduler.state.jobs.byId.size, scheduler.state.jobs.finished.size);
 });
 
 test('while nothing waits, passes look at no machine and no report brings one about', () => {
-  const owner = newOwner();
+  const scheduler = newOwner();
   const hello = (s: number): void => {
     for (let n = 0; n < 20; n++) {
       const machine = { machineName: `m${n}`, endpoint: `m${n}:1`, type: 'big', zone: 'east', spot: false };
@@ -194,17 +194,17 @@
         preemptionNotice: null,
         tasks: [],
       };
-      owner.handle({ kind: 'heartbeat', heartbeat: report }, at(s));
-      owner.answerHeartbeat(report, at(s));
+      scheduler.handle({ kind: 'heartbeat', heartbeat: report }, at(s));
+      scheduler.answerHeartbeat(report, at(s));
     }
-    owner.handle({ kind: 'leadership-confirmed', confirmedAt: at(s).monotonic }, at(s));
-    owner.handle({ kind: 'tick' }, at(s));
+    scheduler.handle({ kind: 'leadership-confirmed', confirmedAt: at(s).monotonic }, at(s));
+    scheduler.handle({ kind: 'tick' }, at(s));
   };
   for (let s = 0; s < 5; s++) hello(s);
-  const before = owner.state.machines.scanned;
+  const before = scheduler.state.machines.scanned;
   for (let s = 5; s < 25; s++) hello(s);
-  assert.equal(owner.state.machines.scanned, before);
+  assert.equal(scheduler.state.machines.scanned, before);
   const record = { spec: spec('req-1'), submittedAt: at(25).wall, status: 'open' as const };
-  owner.handle({ kind: 'job-changed', id: 'req-1', record, modRevision: 9 }, at(25));
-  assert.equal(owner.state.machines.scanned, before + 20, 'one pass for the new job');
+  scheduler.handle({ kind: 'job-changed', id: 'req-1', record, modRevision: 9 }, at(25));
+  assert.equal(scheduler.state.machines.scanned, before + 20, 'one pass for the new job');
 });
--- a/test/cancelled-dependents.test.ts
+++ b/test/cancelled-dependents.test.ts
@@ -38,11 +38,11 @@
       confirmedAt: began,
       previousLeadersDeadline: previousLeadersDeadlineFrom(FACTS, began),
     };
-    const owner = new ClusterScheduler(FACTS, DEFAULT_SETTINGS, term);
-    owner.handle({ kind: 'machine-types', types: [TYPE] }, at(s));
-    for (const [id, job] of this.jobs) owner.handle({ kind: 'job-changed', id, ...job }, at(s));
-    owner.handle({ kind: 'load-completed' }, at(s));
-    return owner;
+    const scheduler = new ClusterScheduler(FACTS, DEFAULT_SETTINGS, term);
+    scheduler.handle({ kind: 'machine-types', types: [TYPE] }, at(s));
+    for (const [id, job] of this.jobs) scheduler.handle({ kind: 'job-changed', id, ...job }, at(s));
+    scheduler.handle({ kind: 'load-completed' }, at(s));
+    return scheduler;
   }
 
   /** Carries a transaction out; false if one of its guards fails. */
@@ -64,12 +64,13 @@
   }
 }
 
-function commitNext(records: Records, owner: ClusterScheduler, s: number): boolean {
-  const transaction = owner.nextTransaction(at(s));
+function commitNext(records: Records, scheduler: ClusterScheduler, s: number): boolean {
+  const transaction = scheduler.nextTransaction(at(s));
   if (transaction === null) return false;
   assert.ok(operationCount(transaction) <= FACTS.maxTransactionOperations);
   const stamp = records.carryOut(transaction);
-  if (stamp !== null) owner.handle({ kind: 'transaction-committed', transaction, modRevision: stamp }, at(s));
+  if (stamp !== null)
+    scheduler.handle({ kind: 'transaction-committed', transaction, modRevision: stamp }, at(s));
   return true;
 }
 
@@ -101,13 +102,13 @@
   const records = new Records();
   records.put('req-0', 'cancelled');
   records.put('req-1', 'open', ['req-0']);
-  const owner = records.takeOver(0);
+  const scheduler = records.takeOver(0);
   for (const s of [1, 130, 260]) {
-    owner.handle({ kind: 'leadership-confirmed', confirmedAt: at(s).monotonic }, at(s));
-    owner.handle({ kind: 'tick' }, at(s));
+    scheduler.handle({ kind: 'leadership-confirmed', confirmedAt: at(s).monotonic }, at(s));
+    scheduler.handle({ kind: 'tick' }, at(s));
   }
-  assert.equal(owner.state.jobs.byId.get('req-1')?.status, 'cancelled');
-  assert.ok(commitNext(records, owner, 261));
+  assert.equal(scheduler.state.jobs.byId.get('req-1')?.status, 'cancelled');
+  assert.ok(commitNext(records, scheduler, 261));
   assert.equal(records.open, 0);
 });
 
@@ -116,15 +117,15 @@
   const records = new Records();
   records.put('req-0', 'cancelled');
   records.put('req-1', 'open', ['req-0']);
-  const owner = records.takeOver(0);
-  const transaction = owner.nextTransaction(at(1));
+  const scheduler = records.takeOver(0);
+  const transaction = scheduler.nextTransaction(at(1));
   assert.deepEqual(transaction?.cancelledJobs, ['req-1']);
   records.put('req-1', 'cancelled', ['req-0']);
   assert.equal(records.carryOut(transaction), null);
   const job = records.jobs.get('req-1');
   assert.ok(job !== undefined);
-  owner.handle({ kind: 'job-changed', id: 'req-1', ...job }, at(1));
-  assert.equal(owner.nextTransaction(at(2)), null);
+  scheduler.handle({ kind: 'job-changed', id: 'req-1', ...job }, at(1));
+  assert.equal(scheduler.nextTransaction(at(2)), null);
 });
 
 // Places of other jobs come first, but not so that these wait for as long as there is work.
@@ -133,21 +134,21 @@
   records.put('req-0', 'cancelled');
   records.put('req-1', 'open', ['req-0']);
   records.put('req-2', 'open');
-  const owner = records.takeOver(0);
+  const scheduler = records.takeOver(0);
   const machine = { machineName: 'm1', endpoint: 'm1:1', type: 'big', zone: 'east', spot: false };
   const report = {
     ...machine,
     agentEpoch: 1,
     sequence: 1,
-    fencingToken: owner.state.term.fencingToken,
+    fencingToken: scheduler.state.term.fencingToken,
     preemptionNotice: null,
     tasks: [],
   };
-  owner.handle({ kind: 'heartbeat', heartbeat: report }, at(1));
-  owner.handle({ kind: 'leadership-confirmed', confirmedAt: at(1).monotonic }, at(1));
-  owner.handle({ kind: 'tick' }, at(1));
-  assert.equal(owner.nextTransaction(at(1))?.pages.length, 1, 'the place of req-2');
-  assert.deepEqual(owner.nextTransaction(at(6))?.cancelledJobs, ['req-1']);
+  scheduler.handle({ kind: 'heartbeat', heartbeat: report }, at(1));
+  scheduler.handle({ kind: 'leadership-confirmed', confirmedAt: at(1).monotonic }, at(1));
+  scheduler.handle({ kind: 'tick' }, at(1));
+  assert.equal(scheduler.nextTransaction(at(1))?.pages.length, 1, 'the place of req-2');
+  assert.deepEqual(scheduler.nextTransaction(at(6))?.cancelledJobs, ['req-1']);
 });
 
 // A place of a job that waits should never come to be; if one did, by a fault elsewhere, it must still not be started.
@@ -155,8 +156,8 @@
   const records = new Records();
   records.put('req-0', 'open');
   records.put('req-1', 'open', ['req-0']);
-  const owner = records.takeOver(0);
-  const { state } = owner;
+  const scheduler = records.takeOver(0);
+  const { state } = scheduler;
   const about = { machineName: 'm1', endpoint: 'm1:1', type: 'big', zone: 'east', spot: false };
   const report = {
     ...about,
@@ -166,16 +167,16 @@
     preemptionNotice: null,
     tasks: [],
   };
-  owner.handle({ kind: 'leadership-confirmed', confirmedAt: at(1).monotonic }, at(1));
-  owner.handle({ kind: 'heartbeat', heartbeat: report }, at(1));
+  scheduler.handle({ kind: 'leadership-confirmed', confirmedAt: at(1).monotonic }, at(1));
+  scheduler.handle({ kind: 'heartbeat', heartbeat: report }, at(1));
   const machine = state.machines.byName.get('m1');
   const starts = (id: string): boolean => {
     const job = state.jobs.byId.get(id);
     assert.ok(job !== undefined && machine !== undefined);
-    const intent =
+    const assignment =
       job.chunks.get(0)?.assignments.get(0) ?? assignTask(state, job, 0, 1, machine, at(1).monotonic);
     chunkOf(job, 0).committedVersion = state.records.version;
-    return isStartable(state, machine, intent, at(1).monotonic);
+    return isStartable(state, machine, assignment, at(1).monotonic);
   };
   assert.equal(starts('req-0'), true);
   assert.equal(starts('req-1'), false);
--- a/test/fleet.test.ts
+++ b/test/fleet.test.ts
@@ -15,33 +15,33 @@
     monotonic: seconds(1000 + s),
     wall: new Date(wall.getTime() + s * 1000),
   });
-  const owner = new ClusterScheduler(FACTS, DEFAULT_SETTINGS, {
+  const scheduler = new ClusterScheduler(FACTS, DEFAULT_SETTINGS, {
     fencingToken: 1,
     startedAt: at(0).monotonic,
     confirmedAt: at(0).monotonic,
     previousLeadersDeadline: at(0).monotonic,
   });
-  owner.handle({ kind: 'machine-types', types: [TYPE] }, at(0));
-  owner.handle({ kind: 'instance-inventory', machines: [], requestedAt: at(0).monotonic }, at(0));
+  scheduler.handle({ kind: 'machine-types', types: [TYPE] }, at(0));
+  scheduler.handle({ kind: 'instance-inventory', machines: [], requestedAt: at(0).monotonic }, at(0));
   let n = 0;
   const submit = (s: number, count: number): void => {
     for (let k = 0; k < count; k++) {
       const record = { spec: spec(`req-${++n}`), submittedAt: at(s).wall, status: 'open' as const };
-      owner.handle({ kind: 'job-changed', id: `req-${n}`, record, modRevision: n + 1 }, at(s));
+      scheduler.handle({ kind: 'job-changed', id: `req-${n}`, record, modRevision: n + 1 }, at(s));
     }
   };
   // A day begins with much at once: nothing is said of a rate yet.
   submit(0, 100);
-  assert.equal(forecastDemand(owner.state, at(4)).arriving, 0);
+  assert.equal(forecastDemand(scheduler.state, at(4)).arriving, 0);
   // From then on one task a second, half a machine each, for the 30 s of a boot.
   for (let s = 1; s < 60; s++) submit(s, 1);
-  const { arriving: comes } = forecastDemand(owner.state, at(59));
+  const { arriving: comes } = forecastDemand(scheduler.state, at(59));
   assert.ok(comes > 13 && comes < 17, `${comes}`);
-  const rented = owner
+  const rented = scheduler
     .handle({ kind: 'leadership-confirmed', confirmedAt: at(59).monotonic }, at(59))
-    .concat(owner.handle({ kind: 'tick' }, at(59)))
+    .concat(scheduler.handle({ kind: 'tick' }, at(59)))
     .reduce((sum, effect) => sum + (effect.kind === 'scale-out' ? effect.request.count : 0), 0);
-  const waiting = [...owner.state.jobs.pending].length / 2;
+  const waiting = [...scheduler.state.jobs.pending].length / 2;
   assert.ok(rented > waiting + 10, `${rented} rented for ${waiting} that wait`);
 });
 
@@ -55,15 +55,15 @@
   });
   const threshold = seconds(5);
   const facts = { ...FACTS, objectives: [{ kind: 'wait', class: 'hasty', threshold, share: 0.9 }] };
-  const owner = new ClusterScheduler(facts, DEFAULT_SETTINGS, {
+  const scheduler = new ClusterScheduler(facts, DEFAULT_SETTINGS, {
     fencingToken: 1,
     startedAt: at(0).monotonic,
     confirmedAt: at(0).monotonic,
     previousLeadersDeadline: at(0).monotonic,
   });
-  owner.handle({ kind: 'machine-types', types: [TYPE] }, at(0));
+  scheduler.handle({ kind: 'machine-types', types: [TYPE] }, at(0));
   const reports = (s: number, seq: number): void => {
-    owner.handle({ kind: 'leadership-confirmed', confirmedAt: at(s).monotonic }, at(s));
+    scheduler.handle({ kind: 'leadership-confirmed', confirmedAt: at(s).monotonic }, at(s));
     for (let n = 0; n < 17; n++) {
       const report = {
         machineName: `m${n}`,
@@ -77,22 +77,22 @@
         preemptionNotice: null,
         tasks: [],
       };
-      owner.handle({ kind: 'heartbeat', heartbeat: report }, at(s));
-      owner.answerHeartbeat(report, at(s));
+      scheduler.handle({ kind: 'heartbeat', heartbeat: report }, at(s));
+      scheduler.answerHeartbeat(report, at(s));
     }
   };
   const submit = (id: string, over: Parameters<typeof spec>[1]): void => {
     const record = { spec: spec(id, over), submittedAt: wall, status: 'open' as const };
-    owner.handle({ kind: 'job-changed', id, record, modRevision: 5 }, at(0));
+    scheduler.handle({ kind: 'job-changed', id, record, modRevision: 5 }, at(0));
   };
   reports(0, 1);
   submit('req-1', { taskCount: 16, cpus: 5, kind: 'service', priority: 'production' });
   submit('req-2', { cpus: 5, deadline: seconds(2000) });
-  const placed = (): number => owner.state.jobs.byId.get('req-2')?.assignedCount ?? 0;
-  assert.equal(owner.state.jobs.byId.get('req-1')?.assignedCount, 16);
+  const placed = (): number => scheduler.state.jobs.byId.get('req-2')?.assignedCount ?? 0;
+  assert.equal(scheduler.state.jobs.byId.get('req-1')?.assignedCount, 16);
   for (let s = 1; s <= 90 && placed() === 0; s++) {
     reports(s, s + 1);
-    owner.handle({ kind: 'tick' }, at(s));
+    scheduler.handle({ kind: 'tick' }, at(s));
     assert.equal(placed(), s > 45 ? 1 : 0, `after ${s} s`);
   }
   assert.equal(placed(), 1);
@@ -101,20 +101,20 @@
 // Seen on 5 % of a core: passes with blocked gangs followed one another, and workers' leases ran out behind them.
 test('passes that take long are made further apart, but never too far', () => {
   const t = seconds(1000);
-  const owner = new ClusterScheduler(FACTS, DEFAULT_SETTINGS, {
+  const scheduler = new ClusterScheduler(FACTS, DEFAULT_SETTINGS, {
     fencingToken: 1,
     startedAt: t,
     confirmedAt: t,
     previousLeadersDeadline: t,
   });
-  assert.equal(minCycleInterval(owner.state), 0n);
-  for (let n = 0; n < 10; n++) owner.recordCycleDuration(seconds(0.1));
-  const gap = toSeconds(minCycleInterval(owner.state));
+  assert.equal(minCycleInterval(scheduler.state), 0n);
+  for (let n = 0; n < 10; n++) scheduler.recordCycleDuration(seconds(0.1));
+  const gap = toSeconds(minCycleInterval(scheduler.state));
   assert.ok(gap > 0.39 && gap <= 0.4, `${gap}`);
-  for (let n = 0; n < 10; n++) owner.recordCycleDuration(seconds(30));
-  assert.equal(minCycleInterval(owner.state), seconds(2));
-  for (let n = 0; n < 60; n++) owner.recordCycleDuration(0n);
-  assert.ok(minCycleInterval(owner.state) < seconds(0.001));
+  for (let n = 0; n < 10; n++) scheduler.recordCycleDuration(seconds(30));
+  assert.equal(minCycleInterval(scheduler.state), seconds(2));
+  for (let n = 0; n < 60; n++) scheduler.recordCycleDuration(0n);
+  assert.ok(minCycleInterval(scheduler.state) < seconds(0.001));
 });
 
 // Of work without GPUs on some machines and work that takes all GPUs of others, much fits together: room for what comes
@@ -131,8 +131,8 @@
     confirmedAt: at(0).monotonic,
     previousLeadersDeadline: at(0).monotonic,
   };
-  const owner = new ClusterScheduler(FACTS, DEFAULT_SETTINGS, term);
-  owner.handle({ kind: 'machine-types', types: [TYPE] }, at(0));
+  const scheduler = new ClusterScheduler(FACTS, DEFAULT_SETTINGS, term);
+  scheduler.handle({ kind: 'machine-types', types: [TYPE] }, at(0));
   for (let n = 0; n < 8; n++) {
     const about = { machineName: `m${n}`, endpoint: `m${n}:1`, type: 'big', zone: 'east', spot: false };
     const report = {
@@ -143,7 +143,7 @@
       preemptionNotice: null,
       tasks: [],
     };
-    owner.handle({ kind: 'heartbeat', heartbeat: report }, at(0));
+    scheduler.handle({ kind: 'heartbeat', heartbeat: report }, at(0));
   }
   const whole = { taskCount: 4, priority: 'low' as const };
   const submit = (id: string, over: Partial<JobSpec>): void => {
@@ -152,13 +152,13 @@
       submittedAt: at(0).wall,
       status: 'open' as const,
     };
-    owner.handle({ kind: 'job-changed', id, record, modRevision: 2 }, at(0));
+    scheduler.handle({ kind: 'job-changed', id, record, modRevision: 2 }, at(0));
   };
   submit('req-1', { cpus: 8, gpus: 0, memory: 1 });
   submit('req-2', { cpus: 0.5, gpus: 2, memory: 1 });
-  owner.handle({ kind: 'leadership-confirmed', confirmedAt: at(3).monotonic }, at(3));
-  owner.handle({ kind: 'tick' }, at(3));
-  const machines = [...owner.state.machines.byName.values()];
+  scheduler.handle({ kind: 'leadership-confirmed', confirmedAt: at(3).monotonic }, at(3));
+  scheduler.handle({ kind: 'tick' }, at(3));
+  const machines = [...scheduler.state.machines.byName.values()];
   assert.ok(
     machines.every((machine) => machine.assignments.size === 1),
     'each is in use',
--- a/test/golden-requests.test.ts
+++ b/test/golden-requests.test.ts
@@ -237,7 +237,7 @@
     'awBlYmF0b24AZ3RpY2tldHOA',
 };
 
-const report: Heartbeat = {
+const heartbeat: Heartbeat = {
   machineName: 'n-000231',
   endpoint: '10.1.0.232:9000',
   type: 'g8',
@@ -300,7 +300,7 @@
   ],
 };
 const quiet: Heartbeat = {
-  ...report,
+  ...heartbeat,
   spot: false,
   agentEpoch: 2,
   sequence: 0,
@@ -317,7 +317,7 @@
 
 test('a report is read the same by the short way and by the schema', () => {
   for (const [golden, expected] of [
-    [HELLO, report],
+    [HELLO, heartbeat],
     [QUIET, quiet],
   ] as const) {
     assert.deepEqual(valueOf(parseHeartbeat(valueIn(golden))), expected);
@@ -377,7 +377,7 @@
   routines.unsubscribe();
   worker.close();
   assert.equal(outcome, 'executed');
-  assert.deepEqual(told, report);
+  assert.deepEqual(told, heartbeat);
   assertRequest(worker.requests[0], 'POST /commands', IN_COMMAND);
 });
 
@@ -511,8 +511,8 @@
     const text = STORE_ANSWERS[line];
     return text === undefined ? null : { status: 200, body: JSON.parse(text) as unknown };
   });
-  const store = new StateStore(service.address, silent);
-  const owner = await store.read('main/part/all', 1000);
+  const stateStore = new StateStore(service.address, silent);
+  const owner = await stateStore.read('main/part/all', 1000);
   assert.deepEqual(
     encode(owner.kind === 'found' ? owner.value : null),
     encode(JSON.parse('{"label":"hearth-1","incarnation":"i-1"}')),
@@ -521,22 +521,22 @@
     { key: 'main/part/all', modRevision: 412 },
     { key: 'main/job/req-1', modRevision: 0 },
   ];
-  const result = await store.commit(guards, [
+  const result = await stateStore.commit(guards, [
     { write: 'main/part/all', value: { a: 1 }, permit: 7 },
     { write: 'main/page/all/0', value: 'x' },
     { delete: 'main/c' },
   ]);
   assert.deepEqual(result, { kind: 'committed', revision: 432 });
-  await store.commit([], []);
-  assert.equal(await store.grantLease(5000), 7);
-  assert.equal(await store.renewLease(7), 'ok');
-  await store.revokeLease(7);
-  const routines = store.start();
-  assert.equal(await store.waitForRevision(433, 3000), true);
+  await stateStore.commit([], []);
+  assert.equal(await stateStore.grantLease(5000), 7);
+  assert.equal(await stateStore.renewLease(7), 'ok');
+  await stateStore.revokeLease(7);
+  const routines = stateStore.start();
+  assert.equal(await stateStore.waitForRevision(433, 3000), true);
   await until('the next follow', () => Promise.resolve(service.requests.length >= 10 ? true : null));
   routines.unsubscribe();
   service.close();
-  assert.deepEqual([...store.replica], [['main/x', { value: '3', modRevision: 433 }]]);
+  assert.deepEqual([...stateStore.replica], [['main/x', { value: '3', modRevision: 433 }]]);
 
   const sent = service.requests;
   assertRequest(sent[0], 'GET /store/main/part/all', null);
@@ -560,10 +560,10 @@
       ? { status: 409, body: JSON.parse('{"failed":["a/b"],"ledgerRev":431}') as unknown }
       : { status: 404, body: JSON.parse('{"ledgerRev":431}') as unknown },
   );
-  const store = new StateStore(service.address, silent);
-  assert.deepEqual(await store.commit([], []), { kind: 'conflict', failedKeys: ['a/b'], revision: 431 });
-  assert.equal((await store.read('main/part/all', 1000)).kind, 'absent');
-  assert.equal(await store.renewLease(7), 'ended');
+  const stateStore = new StateStore(service.address, silent);
+  assert.deepEqual(await stateStore.commit([], []), { kind: 'conflict', failedKeys: ['a/b'], revision: 431 });
+  assert.equal((await stateStore.read('main/part/all', 1000)).kind, 'absent');
+  assert.equal(await stateStore.renewLease(7), 'ended');
   service.close();
 });
 
--- a/test/golden-settings.test.ts
+++ b/test/golden-settings.test.ts
@@ -58,7 +58,7 @@
   }
 }`;
 
-const facts: ClusterConfig = {
+const config: ClusterConfig = {
   zones: ['augusta', 'midtown'],
   teams: [{ name: 'desk-ops', fairShareCpus: 1.5, fairShareGpus: 2, cpuQuota: 8, gpuQuota: 4 }],
   objectives: [
@@ -77,7 +77,7 @@
 
 test('the platform’s settings are read whole', () => {
   const platform = readPlatformSettings(fileWith('whole.json', PLATFORM));
-  assert.deepEqual(clusterConfigFrom(platform), facts);
+  assert.deepEqual(clusterConfigFrom(platform), config);
   assert.equal(platform.label, 'hearth-0');
   assert.equal(platform.area, 'midtown');
   assert.equal(platform.api_addr, '10.0.0.1:8080');
@@ -109,7 +109,7 @@
 test('what may be left out of the platform’s settings has its value', () => {
   const platform = readPlatformSettings(fileWith('bare.json', without(OBJECTIVES, NEXT, LIMITS, SKEW)));
   assert.deepEqual(clusterConfigFrom(platform), {
-    ...facts,
+    ...config,
     objectives: [],
     maxTransactionOperations: 8,
     maxValueBytes: 4096,
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -83,16 +83,16 @@
   collect();
   const bytesPerMachine = (process.memoryUsage().heapUsed - before) / machines;
   const changesPerPlacedTask = fleet.changes / (machines * TASKS_PER_MACHINE);
-  const walked = countWalks(fleet.owner.state.machines.byName);
+  const walked = countWalks(fleet.scheduler.state.machines.byName);
   for (let n = 0; n < 100; n++) fleet.hello(n);
   const stepsOfReports = walked.steps;
-  const scanned = fleet.owner.state.machines.scanned;
+  const scanned = fleet.scheduler.state.machines.scanned;
   fleet.commits = 0;
   walked.steps = 0;
   rest(fleet, REST_S);
   return {
     stepsOfReports,
-    scannedAtRest: fleet.owner.state.machines.scanned - scanned,
+    scannedAtRest: fleet.scheduler.state.machines.scanned - scanned,
     stepsAtRest: walked.steps,
     commitsAtRest: fleet.commits,
     changesPerPlacedTask,
@@ -121,9 +121,9 @@
   const fleet = filled(4000);
   const before = running(fleet);
   fleet.commits = 0;
-  const owner = fleet.newOwner();
-  assert.equal(owner.state.machines.byName.size, 4000);
-  const placed = [...owner.state.jobs.byId.values()].reduce((sum, job) => sum + job.assignedCount, 0);
+  const scheduler = fleet.newOwner();
+  assert.equal(scheduler.state.machines.byName.size, 4000);
+  const placed = [...scheduler.state.jobs.byId.values()].reduce((sum, job) => sum + job.assignedCount, 0);
   assert.equal(placed, before);
   rest(fleet, REST_S);
   assert.equal(running(fleet), before, 'no task is started twice or stopped');
--- a/test/limits-next.test.ts
+++ b/test/limits-next.test.ts
@@ -29,17 +29,17 @@
 const SMALL = { ...FACTS, maxValueBytes: 2048, maxTransactionOperations: 4 };
 const JOBS = 14;
 
-function newOwner(facts: typeof FACTS): ClusterScheduler {
+function newOwner(config: typeof FACTS): ClusterScheduler {
   const began = at(0).monotonic;
   const term = {
     fencingToken: 1,
     startedAt: began,
     confirmedAt: began,
-    previousLeadersDeadline: previousLeadersDeadlineFrom(facts, began),
+    previousLeadersDeadline: previousLeadersDeadlineFrom(config, began),
   };
-  const owner = new ClusterScheduler(facts, DEFAULT_SETTINGS, term);
-  owner.handle({ kind: 'machine-types', types: [TYPE] }, at(0));
-  return owner;
+  const scheduler = new ClusterScheduler(config, DEFAULT_SETTINGS, term);
+  scheduler.handle({ kind: 'machine-types', types: [TYPE] }, at(0));
+  return scheduler;
 }
 
 /** A page as a version under the larger limits left it: many jobs' places, more than may be written now. */
@@ -59,30 +59,30 @@
 
 // Between two transactions a process may end: at no time may a place stand in no page that is committed.
 test('pages from before a lower limit are split in one transaction each, and nothing is ever unrecorded', () => {
-  const owner = newOwner(SMALL);
+  const scheduler = newOwner(SMALL);
   const ids = [1, 2, 3];
   const committed = new Map(ids.map((id) => [id, encodePage(largePage(id), FACTS.zones)]));
   for (const text of committed.values()) assert.ok(text.length > 2048);
   for (const { jobId: id } of ids.flatMap(largePage)) {
     const record = { spec: spec(id, { taskCount: 9 }), submittedAt: at(0).wall, status: 'open' as const };
-    owner.handle({ kind: 'job-changed', id, record, modRevision: 2 }, at(0));
+    scheduler.handle({ kind: 'job-changed', id, record, modRevision: 2 }, at(0));
   }
   for (const id of ids)
-    owner.handle({ kind: 'page-loaded', id, entries: largePage(id), modRevision: 50 }, at(0));
-  owner.handle({ kind: 'load-completed' }, at(0));
+    scheduler.handle({ kind: 'page-loaded', id, entries: largePage(id), modRevision: 50 }, at(0));
+  scheduler.handle({ kind: 'load-completed' }, at(0));
   let stamp = 100;
   for (let n = 0; n < 20; n++) {
-    const transaction = owner.nextTransaction(at(5));
+    const transaction = scheduler.nextTransaction(at(5));
     if (transaction === null) break;
     assert.ok(transaction.pages.length <= 4);
     for (const page of transaction.pages) committed.set(page.id, encodePage(page.entries, FACTS.zones));
     const places = [...committed.values()].flatMap(decodePage).flatMap((entry) => entry.record.assignments);
     assert.equal(places.length, ids.length * JOBS * 9);
-    owner.handle({ kind: 'transaction-committed', transaction, modRevision: ++stamp }, at(5));
+    scheduler.handle({ kind: 'transaction-committed', transaction, modRevision: ++stamp }, at(5));
   }
   assert.ok(committed.size > ids.length);
   for (const text of committed.values()) assert.ok(text.length <= 2048, `${text.length} bytes`);
-  assert.deepEqual(owner.state.records.atomicPageGroups, []);
+  assert.deepEqual(scheduler.state.records.atomicPageGroups, []);
 });
 
 test('the smaller of both limits holds from the start; what cannot be read of the later ones is passed over', () => {
--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -76,9 +76,9 @@
 
 test('what cannot be read is logged, but not once a message in a flood', () => {
   const lines: string[] = [];
-  const log = pino({ level: 'info' }, { write: (line: string) => lines.push(line) });
-  for (let n = 0; n < 1000; n++) warnRateLimited(log, { n }, 'a report cannot be read');
-  warnRateLimited(log, {}, 'something else');
+  const logger = pino({ level: 'info' }, { write: (line: string) => lines.push(line) });
+  for (let n = 0; n < 1000; n++) warnRateLimited(logger, { n }, 'a report cannot be read');
+  warnRateLimited(logger, {}, 'something else');
   assert.deepEqual(
     lines.map((l) => (JSON.parse(l) as { msg: string }).msg),
     ['a report cannot be read', 'something else'],
@@ -173,9 +173,9 @@
 test('once sockets were short, workers go on taking turns for a minute, and the log says so once', () => {
   let clock = 0n;
   const lines: string[] = [];
-  const log = pino({ level: 'info' }, { write: (line: string) => lines.push(line) });
+  const logger = pino({ level: 'info' }, { write: (line: string) => lines.push(line) });
   const shares = connectionLimitsFor(600);
-  const connections = new InboundConnections(shares, log, () => clock);
+  const connections = new InboundConnections(shares, logger, () => clock);
   for (let n = 0; n < shares.rotateWorkersAbove; n++) assert.ok(connections.admit());
   assert.equal(connections.rotatesWorkers(), false);
   assert.ok(connections.refusesUsers && connections.rotatesUsers, 'users come first');
--- a/test/outbox.test.ts
+++ b/test/outbox.test.ts
@@ -22,18 +22,18 @@
       confirmedAt: began,
       previousLeadersDeadline: previousLeadersDeadlineFrom(FACTS, began),
     };
-    const owner = new ClusterScheduler(
+    const scheduler = new ClusterScheduler(
       { ...FACTS, maxTransactionOperations: txnOps },
       DEFAULT_SETTINGS,
       term,
     );
-    owner.handle(
+    scheduler.handle(
       { kind: 'machine-types', types: [{ ...TYPE, cpus: 1000, gpus: 1000, memory: 10_000 }] },
       at(0),
     );
     for (const seq of [1, 2]) {
       const machine = { machineName: 'm1', endpoint: 'm1:1', type: 'big', zone: 'east', spot: false };
-      owner.handle(
+      scheduler.handle(
         {
           kind: 'heartbeat',
           heartbeat: {
@@ -48,25 +48,25 @@
         at(0),
       );
     }
-    owner.state.scheduling.cycleNeeded = false;
+    scheduler.state.scheduling.cycleNeeded = false;
     for (let n = 0; n < 240; n++) {
       const record = { spec: spec(`req-${n}`), submittedAt: at(0).wall, status: 'open' as const };
-      owner.state.scheduling.lastCycleAt = at(100).monotonic;
-      owner.handle({ kind: 'job-changed', id: `req-${n}`, record, modRevision: n + 2 }, at(0));
+      scheduler.state.scheduling.lastCycleAt = at(100).monotonic;
+      scheduler.handle({ kind: 'job-changed', id: `req-${n}`, record, modRevision: n + 2 }, at(0));
     }
-    owner.state.scheduling.lastCycleAt = began;
-    owner.handle({ kind: 'leadership-confirmed', confirmedAt: at(1).monotonic }, at(1));
-    owner.handle({ kind: 'tick' }, at(3));
+    scheduler.state.scheduling.lastCycleAt = began;
+    scheduler.handle({ kind: 'leadership-confirmed', confirmedAt: at(1).monotonic }, at(1));
+    scheduler.handle({ kind: 'tick' }, at(3));
     let stamp = 1000;
     for (let n = 0; n < 200; n++) {
-      const transaction = owner.nextTransaction(at(10));
+      const transaction = scheduler.nextTransaction(at(10));
       if (transaction === null) break;
       assert.ok(transaction.guardedJobs.size + transaction.pages.length + 1 <= 4 * txnOps);
-      owner.handle({ kind: 'transaction-committed', transaction, modRevision: ++stamp }, at(10));
+      scheduler.handle({ kind: 'transaction-committed', transaction, modRevision: ++stamp }, at(10));
     }
-    const placed = [...owner.state.jobs.byId.values()].filter((job) => job.assignedCount > 0);
+    const placed = [...scheduler.state.jobs.byId.values()].filter((job) => job.assignedCount > 0);
     assert.equal(placed.length, 240);
-    const open = [...owner.state.records.pages.values()].filter(
+    const open = [...scheduler.state.records.pages.values()].filter(
       (page) => page.version > page.committedVersion,
     );
     assert.equal(open.length, 0, `${open.length} pages are never committed with ${txnOps} changes`);
--- a/test/parts.test.ts
+++ b/test/parts.test.ts
@@ -52,7 +52,7 @@
 });
 
 test('a page with the longest names stays below the value limit, and comes back as it was', () => {
-  const owner = new ClusterScheduler(FACTS, DEFAULT_SETTINGS, {
+  const scheduler = new ClusterScheduler(FACTS, DEFAULT_SETTINGS, {
     fencingToken: 1,
     startedAt: 0n,
     confirmedAt: 0n,
@@ -63,18 +63,18 @@
   for (let n = 0; n < 12; n++) {
     const id = `req-00000${n}`;
     const record = { spec: spec(id, { taskCount: 100_000 }), submittedAt: now.wall, status: 'open' as const };
-    owner.handle({ kind: 'job-changed', id, record, modRevision: n + 1 }, now);
+    scheduler.handle({ kind: 'job-changed', id, record, modRevision: n + 1 }, now);
   }
-  const machine = getOrAddMachine(owner.state, 'n-000000231', 0n);
+  const machine = getOrAddMachine(scheduler.state, 'n-000000231', 0n);
   machine.agentEpoch = 999;
   machine.zone = zone;
-  for (const job of owner.state.jobs.byId.values())
-    for (let t = 0; t < 3 * CHUNK_TASKS; t++) assignTask(owner.state, job, 99_000 + t, 9999, machine, 0n);
+  for (const job of scheduler.state.jobs.byId.values())
+    for (let t = 0; t < 3 * CHUNK_TASKS; t++) assignTask(scheduler.state, job, 99_000 + t, 9999, machine, 0n);
   assert.ok(
-    owner.state.records.pages.size > 12 && owner.state.records.pages.size < 40,
-    `${owner.state.records.pages.size} pages`,
+    scheduler.state.records.pages.size > 12 && scheduler.state.records.pages.size < 40,
+    `${scheduler.state.records.pages.size} pages`,
   );
-  for (const page of owner.state.records.pages.values()) {
+  for (const page of scheduler.state.records.pages.values()) {
     const entries = pageEntriesOf(page, chunkRecordOf);
     const out = encodePage(entries, ['east', 'west']);
     assert.ok(JSON.stringify(out).length <= 4096, `${out.length} characters`);
@@ -129,34 +129,34 @@
 
 test('a job that is done is marked so however many pages go on changing', () => {
   // Seen on a large fleet: pages took every change of every transaction, and users heard of the end 100 s late.
-  const owner = new ClusterScheduler(FACTS, DEFAULT_SETTINGS, {
+  const scheduler = new ClusterScheduler(FACTS, DEFAULT_SETTINGS, {
     fencingToken: 1,
     startedAt: 0n,
     confirmedAt: 0n,
     previousLeadersDeadline: 0n,
   });
-  const state = owner.state;
+  const state = scheduler.state;
   const now = { monotonic: seconds(1), wall: new Date(0) };
   const machine = getOrAddMachine(state, 'm', 0n);
   machine.agentEpoch = 1;
   const add = (id: string, tasks: number): void => {
     const record = { spec: spec(id, { taskCount: tasks }), submittedAt: now.wall, status: 'open' as const };
-    owner.handle({ kind: 'job-changed', id, record, modRevision: 5 }, now);
+    scheduler.handle({ kind: 'job-changed', id, record, modRevision: 5 }, now);
   };
   add('req-1', 1);
   const first = state.jobs.byId.get('req-1');
   assert.ok(first !== undefined);
-  const intent = assignTask(state, first, 0, 1, machine, now.monotonic);
-  onCommitted(state, owner.nextTransaction(now) ?? assert.fail('nothing to commit'), 10, now);
+  const assignment = assignTask(state, first, 0, 1, machine, now.monotonic);
+  onCommitted(state, scheduler.nextTransaction(now) ?? assert.fail('nothing to commit'), 10, now);
   for (let n = 0; n < 3 * FACTS.maxTransactionOperations; n++) {
     add(`req-2${n}`, 120);
     const job = state.jobs.byId.get(`req-2${n}`);
     if (job !== undefined) for (let t = 0; t < 120; t++) assignTask(state, job, t, 1, machine, now.monotonic);
   }
-  endAssignment(state, intent, true, 'done', now.monotonic);
+  endAssignment(state, assignment, true, 'done', now.monotonic);
   const told: string[] = [];
   for (let n = 0; n < 4 && told.length === 0; n++) {
-    const transaction = owner.nextTransaction(now) ?? assert.fail('nothing to commit');
+    const transaction = scheduler.nextTransaction(now) ?? assert.fail('nothing to commit');
     assert.ok(operationCount(transaction) <= FACTS.maxTransactionOperations);
     told.push(...transaction.completedJobs);
     onCommitted(state, transaction, 20 + n, now);
--- a/test/player.ts
+++ b/test/player.ts
@@ -91,7 +91,7 @@
 const flag = (v: string | undefined): boolean => v === 'yes';
 
 export class Player {
-  readonly owner: ClusterScheduler;
+  readonly scheduler: ClusterScheduler;
   private at = 0;
   private out: string[] = [];
   private transaction: Transaction | null = null;
@@ -100,7 +100,7 @@
 
   constructor(readonly token = 100) {
     const began = this.now().monotonic;
-    this.owner = new ClusterScheduler(FACTS, DEFAULT_SETTINGS, {
+    this.scheduler = new ClusterScheduler(FACTS, DEFAULT_SETTINGS, {
       fencingToken: token,
       startedAt: began,
       confirmedAt: began,
@@ -115,12 +115,13 @@
   }
 
   event(event: Event): void {
-    for (const effect of this.owner.handle(event, this.now())) this.record(effect);
+    for (const effect of this.scheduler.handle(event, this.now())) this.record(effect);
   }
 
   private record(effect: Effect): void {
     if (effect.kind === 'send-commands' && effect.commands.length > 0)
-      for (const order of effect.commands) this.out.push(`direct ${effect.machineName} ${orderText(order)}`);
+      for (const command of effect.commands)
+        this.out.push(`direct ${effect.machineName} ${orderText(command)}`);
     else if (effect.kind === 'send-commands') this.out.push(`fence ${effect.machineName}`);
     else if (effect.kind === 'scale-in') this.out.push(`return ${effect.machineNames.join(',')}`);
     else if (effect.kind === 'advance-token') this.out.push('raise');
@@ -225,7 +226,7 @@
   }
 
   private standing(id: string, standing: 'cancelled'): void {
-    const job = this.owner.state.jobs.byId.get(id);
+    const job = this.scheduler.state.jobs.byId.get(id);
     assert.ok(job !== undefined, `no job ${id}`);
     const record: JobRecord = { spec: job.spec, submittedAt: job.submittedAt, status: standing };
     this.event({ kind: 'job-changed', id, record, modRevision: ++this.stamp });
@@ -246,7 +247,7 @@
     ];
     this.event({
       kind: 'page-loaded',
-      id: this.owner.state.records.pages.size,
+      id: this.scheduler.state.records.pages.size,
       entries: [
         {
           jobId: job,
@@ -269,24 +270,24 @@
       spot: false,
       agentEpoch: num(a['session'], 1),
       sequence: seq,
-      fencingToken: num(a['token'], this.owner.state.term.fencingToken),
+      fencingToken: num(a['token'], this.scheduler.state.term.fencingToken),
       preemptionNotice: null,
       tasks: tasks.map(seenOf),
     };
   }
 
   private report(machine: string, tasks: readonly string[], a: Args, answered: boolean): void {
-    const report = this.makeReport(machine, tasks, a);
-    this.event({ kind: 'heartbeat', heartbeat: report });
+    const heartbeat = this.makeReport(machine, tasks, a);
+    this.event({ kind: 'heartbeat', heartbeat });
     if (!answered) return;
-    for (const order of this.owner.answerHeartbeat(report, this.now()))
-      this.out.push(`answer ${machine} ${orderText(order)}`);
+    for (const command of this.scheduler.answerHeartbeat(heartbeat, this.now()))
+      this.out.push(`answer ${machine} ${orderText(command)}`);
   }
 
   /** A direct call without orders was answered: the worker's report comes with it. */
   private echo(machine: string, tasks: readonly string[], a: Args): void {
-    const report = this.makeReport(machine, tasks, a);
-    const { agentEpoch: session, fencingToken: token } = report;
+    const heartbeat = this.makeReport(machine, tasks, a);
+    const { agentEpoch: session, fencingToken: token } = heartbeat;
     this.event({
       kind: 'commands-answered',
       machineName: machine,
@@ -294,7 +295,7 @@
       fencingToken: token,
       commands: [],
       outcome: 'executed',
-      heartbeat: report,
+      heartbeat,
     });
   }
 
@@ -304,8 +305,8 @@
     refs: readonly string[],
   ): void {
     const orders = refs.map((r) => ({ op: 'start' as const, ...refOf(r) }));
-    const m = this.owner.state.machines.byName.get(machine);
-    const token = this.owner.state.term.fencingToken;
+    const m = this.scheduler.state.machines.byName.get(machine);
+    const token = this.scheduler.state.term.fencingToken;
     this.event({
       kind: 'commands-answered',
       machineName: machine,
@@ -318,7 +319,7 @@
   }
 
   private commit(): void {
-    this.transaction = this.owner.nextTransaction(this.now());
+    this.transaction = this.scheduler.nextTransaction(this.now());
     assert.ok(this.transaction !== null, 'nothing to commit');
     for (const id of this.transaction.completedJobs) this.out.push(`done ${id}`);
     this.event({ kind: 'transaction-committed', transaction: this.transaction, modRevision: ++this.stamp });
@@ -337,22 +338,22 @@
     if (what === 'places') {
       const [id = '', ...want] = rest;
       const got: string[] = [];
-      for (const chunk of this.owner.state.jobs.byId.get(id)?.chunks.values() ?? [])
-        for (const intent of chunk.assignments.values())
-          got.push(`${intent.taskIndex}#${intent.attempt}@${intent.machineName}`);
+      for (const chunk of this.scheduler.state.jobs.byId.get(id)?.chunks.values() ?? [])
+        for (const assignment of chunk.assignments.values())
+          got.push(`${assignment.taskIndex}#${assignment.attempt}@${assignment.machineName}`);
       return assert.deepEqual(got.sort(), want.sort());
     }
     if (what === 'used')
-      return assert.equal(this.owner.state.jobs.quotas.usageOf(rest[0] ?? '').gpus, Number(rest[1]));
+      return assert.equal(this.scheduler.state.jobs.quotas.usageOf(rest[0] ?? '').gpus, Number(rest[1]));
     if (what === 'priority')
-      return assert.equal(this.owner.state.jobs.byId.get(rest[0] ?? '')?.priority, rest[1]);
+      return assert.equal(this.scheduler.state.jobs.byId.get(rest[0] ?? '')?.priority, rest[1]);
     if (what === 'queue')
       return assert.deepEqual(
-        pendingJobsInOrder(this.owner.state, this.now()).map((job) => job.spec.id),
+        pendingJobsInOrder(this.scheduler.state, this.now()).map((job) => job.spec.id),
         rest,
       );
     if (what === 'standing')
-      return assert.equal(this.owner.state.jobs.byId.get(rest[0] ?? '')?.status, rest[1]);
+      return assert.equal(this.scheduler.state.jobs.byId.get(rest[0] ?? '')?.status, rest[1]);
     throw new Error(`unknown check ${what}`);
   }
 }
@@ -367,9 +368,9 @@
   age: seconds(60),
 });
 
-function orderText(order: WorkerCommand): string {
-  const grace = order.op === 'stop' ? ` grace=${order.gracePeriodS ?? 0}` : '';
-  return `${order.op} ${order.jobId}/${order.taskIndex}#${order.attempt}${grace}`;
+function orderText(command: WorkerCommand): string {
+  const grace = command.op === 'stop' ? ` grace=${command.gracePeriodS ?? 0}` : '';
+  return `${command.op} ${command.jobId}/${command.taskIndex}#${command.attempt}${grace}`;
 }
 
 function refOf(ref: string): { jobId: string; taskIndex: number; attempt: number } {
