--- a/test/random.test.ts
+++ b/test/random.test.ts
@@ -38,7 +38,7 @@
 class Chaos {
   private readonly source;
   private at = 1000;
-  private owner: ClusterScheduler;
+  private scheduler: ClusterScheduler;
   /** Whether there was an owner before. */
   private begun = false;
   /** The owner before, cut from the state service and the others, but not from its workers. */
@@ -79,7 +79,7 @@
         hangs: 0,
         held: new Map(),
       });
-    this.owner = this.newOwner();
+    this.scheduler = this.newOwner();
   }
 
   private pick(n: number): number {
@@ -95,27 +95,27 @@
     const began = this.now().monotonic;
     const token = ++this.rev;
     this.part = token;
-    const owner = new ClusterScheduler(FACTS, DEFAULT_SETTINGS, {
+    const scheduler = new ClusterScheduler(FACTS, DEFAULT_SETTINGS, {
       fencingToken: token,
       startedAt: began,
       confirmedAt: began,
       previousLeadersDeadline: previousLeadersDeadlineFrom(FACTS, began),
     });
     // Half of the owners that lose the part do not know it yet and go on answering.
-    this.former = this.begun && this.pick(2) === 0 ? this.owner : null;
+    this.former = this.begun && this.pick(2) === 0 ? this.scheduler : null;
     this.begun = true;
-    this.owner = owner;
+    this.scheduler = scheduler;
     this.busy = false;
     this.event({ kind: 'machine-types', types: [TYPE] });
     for (const [id, j] of this.jobs)
       this.event({ kind: 'job-changed', id, record: j.record, modRevision: j.stamp });
     for (const [id, p] of this.pages)
       this.event({ kind: 'page-loaded', id, entries: p.entries, modRevision: p.stamp });
-    return owner;
+    return scheduler;
   }
 
   private event(event: Event): void {
-    for (const effect of this.owner.handle(event, this.now())) this.effect(effect);
+    for (const effect of this.scheduler.handle(event, this.now())) this.effect(effect);
     this.commit();
   }
 
@@ -123,21 +123,21 @@
     this.mail.push({ due: this.at + this.pick(Math.max(1, Math.round(most * 10))) / 10, run });
   }
 
-  private effect(effect: Effect, owner = this.owner): void {
-    if (effect.kind === 'superseded' && owner === this.former) this.former = null;
-    if (effect.kind === 'advance-token' && owner === this.owner) {
+  private effect(effect: Effect, scheduler = this.scheduler): void {
+    if (effect.kind === 'superseded' && scheduler === this.former) this.former = null;
+    if (effect.kind === 'advance-token' && scheduler === this.scheduler) {
       this.later(0.5, () => {
-        if (owner !== this.owner) return;
+        if (scheduler !== this.scheduler) return;
         this.part = ++this.rev;
         this.event({ kind: 'token-advanced', fencingToken: this.part });
       });
     }
     if (effect.kind !== 'send-commands') return;
-    const token = owner.state.term.fencingToken;
+    const token = scheduler.state.term.fencingToken;
     const worker = this.workers.find((worker) => worker.name === effect.machineName);
     assert.ok(worker !== undefined);
-    const tell = (outcome: 'executed' | 'refused' | 'unknown', report: Heartbeat | null): void => {
-      if (owner !== this.owner) return;
+    const tell = (outcome: 'executed' | 'refused' | 'unknown', heartbeat: Heartbeat | null): void => {
+      if (scheduler !== this.scheduler) return;
       this.event({
         kind: 'commands-answered',
         machineName: effect.machineName,
@@ -145,7 +145,7 @@
         fencingToken: token,
         commands: effect.commands,
         outcome,
-        heartbeat: report,
+        heartbeat,
       });
     };
     const arrive = (): boolean => {
@@ -177,43 +177,43 @@
     worker.renewed = this.at;
   }
 
-  private take(worker: Worker, token: number, orders: readonly WorkerCommand[]): void {
+  private take(worker: Worker, token: number, commands: readonly WorkerCommand[]): void {
     if (token < worker.token) return;
     worker.token = token;
-    for (const order of orders) {
-      const key = `${order.jobId}/${order.taskIndex}#${order.attempt}`;
+    for (const command of commands) {
+      const key = `${command.jobId}/${command.taskIndex}#${command.attempt}`;
       const held = worker.held.get(key);
-      if (order.op === 'start' && held === undefined) this.start(worker, order, key);
-      if (order.op === 'stop' && held !== undefined && held.state !== 'exited')
+      if (command.op === 'start' && held === undefined) this.start(worker, command, key);
+      if (command.op === 'stop' && held !== undefined && held.state !== 'exited')
         worker.held.set(key, { ...held, state: 'exited', exitReason: 'stopped' });
-      if (order.op === 'forget' && held?.state === 'exited') worker.held.delete(key);
+      if (command.op === 'forget' && held?.state === 'exited') worker.held.delete(key);
     }
   }
 
-  private start(worker: Worker, order: WorkerCommand, key: string): void {
+  private start(worker: Worker, command: WorkerCommand, key: string): void {
     this.starts += 1;
-    for (const id of this.jobs.get(order.jobId)?.record.spec.dependencies ?? []) {
+    for (const id of this.jobs.get(command.jobId)?.record.spec.dependencies ?? []) {
       this.dependentStarts += 1;
       assert.equal(this.jobs.get(id)?.record.status, 'done', `${key} starts too early: ${id} is not done`);
     }
-    const recorded = this.entries(order.jobId).flatMap((entry) => entry.record.assignments);
+    const recorded = this.entries(command.jobId).flatMap((entry) => entry.record.assignments);
     assert.ok(
       recorded.some(
         (i) =>
-          i.taskIndex === order.taskIndex && i.attempt === order.attempt && i.machineName === worker.name,
+          i.taskIndex === command.taskIndex && i.attempt === command.attempt && i.machineName === worker.name,
       ),
       `${key} starts on ${worker.name} without a recorded place`,
     );
     for (const other of this.workers)
       for (const t of other.held.values())
         assert.ok(
-          t.state === 'exited' || t.jobId !== order.jobId || t.taskIndex !== order.taskIndex,
-          `${order.jobId}/${order.taskIndex} starts on ${worker.name} while on ${other.name}`,
+          t.state === 'exited' || t.jobId !== command.jobId || t.taskIndex !== command.taskIndex,
+          `${command.jobId}/${command.taskIndex} starts on ${worker.name} while on ${other.name}`,
         );
     const task = {
-      jobId: order.jobId,
-      taskIndex: order.taskIndex,
-      attempt: order.attempt,
+      jobId: command.jobId,
+      taskIndex: command.taskIndex,
+      attempt: command.attempt,
       state: 'running' as const,
       exitReason: null,
       checkpointed: false,
@@ -252,58 +252,58 @@
   }
 
   private hello(worker: Worker): void {
-    const report = this.report(worker);
+    const heartbeat = this.report(worker);
     const sent = this.at;
     if (worker.mute) return;
     // A report that is held back arrives late and its answer is dropped; it may also come twice.
     if (worker.cut || this.pick(12) === 0)
-      return this.later(40, () => this.event({ kind: 'heartbeat', heartbeat: report }));
-    if (this.pick(8) === 0) this.later(40, () => this.event({ kind: 'heartbeat', heartbeat: report }));
+      return this.later(40, () => this.event({ kind: 'heartbeat', heartbeat }));
+    if (this.pick(8) === 0) this.later(40, () => this.event({ kind: 'heartbeat', heartbeat }));
     // Workers stay with the owner they have for as long as it answers.
-    const answer = this.byFormer(report) ?? this.byOwner(report);
+    const answer = this.byFormer(heartbeat) ?? this.byOwner(heartbeat);
     if (
       worker.deaf ||
       this.pick(12) === 0 ||
       answer.token < worker.token ||
-      report.agentEpoch !== worker.session
+      heartbeat.agentEpoch !== worker.session
     )
       return;
     worker.renewed = sent;
     this.take(worker, answer.token, answer.orders);
   }
 
-  private byOwner(report: Heartbeat): { token: number; orders: WorkerCommand[] } {
-    this.event({ kind: 'heartbeat', heartbeat: report });
+  private byOwner(heartbeat: Heartbeat): { token: number; orders: WorkerCommand[] } {
+    this.event({ kind: 'heartbeat', heartbeat });
     return {
-      token: this.owner.state.term.fencingToken,
-      orders: this.owner.answerHeartbeat(report, this.now()),
+      token: this.scheduler.state.term.fencingToken,
+      orders: this.scheduler.answerHeartbeat(heartbeat, this.now()),
     };
   }
 
-  private byFormer(report: Heartbeat): { token: number; orders: WorkerCommand[] } | null {
+  private byFormer(heartbeat: Heartbeat): { token: number; orders: WorkerCommand[] } | null {
     const former = this.former;
     if (former === null) return null;
     if (!mayAcknowledgeHeartbeats(FACTS, former.state.term.confirmedAt, this.now().monotonic)) {
       this.former = null;
       return null;
     }
-    for (const effect of former.handle({ kind: 'heartbeat', heartbeat: report }, this.now()))
+    for (const effect of former.handle({ kind: 'heartbeat', heartbeat }, this.now()))
       this.effect(effect, former);
     if (this.former === null) return null;
     this.answeredByFormer += 1;
-    return { token: former.state.term.fencingToken, orders: former.answerHeartbeat(report, this.now()) };
+    return { token: former.state.term.fencingToken, orders: former.answerHeartbeat(heartbeat, this.now()) };
   }
 
   private commit(): void {
     if (this.busy) return;
-    const transaction = this.owner.nextTransaction(this.now());
+    const transaction = this.scheduler.nextTransaction(this.now());
     if (transaction === null) return;
     this.busy = true;
-    this.send(transaction, this.owner, false);
+    this.send(transaction, this.scheduler, false);
   }
 
   /** One in six has no answer: it was carried out, or comes seconds later, after newer ones; it is sent again. */
-  private send(transaction: Transaction, owner: ClusterScheduler, doubtful: boolean): void {
+  private send(transaction: Transaction, scheduler: ClusterScheduler, doubtful: boolean): void {
     const fate = this.pick(6) === 0 ? this.pick(2) : 2;
     if (fate === 0)
       this.later(12, () => {
@@ -312,23 +312,22 @@
       });
     this.later(0.3, () => {
       const stamp = fate === 0 ? null : this.carryOut(transaction);
-      if (owner !== this.owner) return;
-      if (fate < 2) return this.later(1.5, () => this.send(transaction, owner, true));
+      if (scheduler !== this.scheduler) return;
+      if (fate < 2) return this.later(1.5, () => this.send(transaction, scheduler, true));
       this.busy = false;
       // A page has one writer: one that moved on was moved by an earlier copy of the same transaction.
       const moved = transaction.pages.find(
         (page) => (this.pages.get(page.id)?.stamp ?? 0) !== page.modRevision,
       );
-      if (stamp !== null)
-        this.event({ kind: 'transaction-committed', transaction: transaction, modRevision: stamp });
+      if (stamp !== null) this.event({ kind: 'transaction-committed', transaction, modRevision: stamp });
       else if (doubtful && moved !== undefined)
         this.event({
           kind: 'transaction-committed',
-          transaction: transaction,
+          transaction,
           modRevision: this.pages.get(moved.id)?.stamp ?? 0,
         });
       else if (doubtful && transaction.pages.length === 0 && this.isCarriedOut(transaction))
-        this.event({ kind: 'transaction-committed', transaction: transaction, modRevision: this.rev });
+        this.event({ kind: 'transaction-committed', transaction, modRevision: this.rev });
       else {
         assert.equal(moved, undefined, 'one writer per page');
         this.commit();
@@ -400,7 +399,7 @@
     if (n % 10 === 0) this.event({ kind: 'leadership-confirmed', confirmedAt: this.now().monotonic });
     if (n % 3 === 0) {
       // In such a run the process is behind two fifths of the time, and leaves all orders to the answers to reports.
-      if (this.late) this.owner.recordEventLoopLag(n % 1000 >= 600 ? seconds(0.5) : 0n);
+      if (this.late) this.scheduler.recordEventLoopLag(n % 1000 >= 600 ? seconds(0.5) : 0n);
       this.event({ kind: 'tick' });
       const former = this.former;
       if (former !== null)
--- a/test/standins/core-fleet.ts
+++ b/test/standins/core-fleet.ts
@@ -52,7 +52,7 @@
 export class CoreFleet {
   private at = 0;
   private stamp = 100;
-  owner: ClusterScheduler;
+  scheduler: ClusterScheduler;
   readonly held = new Map<string, ReportedTask[]>();
   private readonly seqs = new Map<string, number>();
   readonly jobs = new Map<string, Stored>();
@@ -65,7 +65,7 @@
     /** Of the version that leads. */
     public codec: RecordCodec = UNWRITTEN,
   ) {
-    this.owner = this.newOwner();
+    this.scheduler = this.newOwner();
   }
 
   now(): Timestamp {
@@ -74,7 +74,7 @@
 
   newOwner(): ClusterScheduler {
     const began = this.now().monotonic;
-    this.owner = new ClusterScheduler(
+    this.scheduler = new ClusterScheduler(
       {
         ...FACTS,
         heartbeatInterval: seconds(REPORT_S),
@@ -95,11 +95,11 @@
     for (const [id, { value, stamp }] of this.pages)
       this.event({ kind: 'page-loaded', id, entries: this.codec.readPage(value), modRevision: stamp });
     this.event({ kind: 'load-completed' });
-    return this.owner;
+    return this.scheduler;
   }
 
   event(event: Event): readonly Effect[] {
-    return this.owner.handle(event, this.now());
+    return this.scheduler.handle(event, this.now());
   }
 
   /** Time goes on, and each machine goes on reporting. */
@@ -126,7 +126,7 @@
       spot: false,
       agentEpoch: 1,
       sequence: seq,
-      fencingToken: this.owner.state.term.fencingToken,
+      fencingToken: this.scheduler.state.term.fencingToken,
       preemptionNotice: null,
       tasks: this.held.get(name) ?? [],
     };
@@ -134,27 +134,29 @@
 
   hello(n: number): void {
     const name = this.name(n);
-    const report = this.report(n);
-    this.event({ kind: 'heartbeat', heartbeat: report });
+    const heartbeat = this.report(n);
+    this.event({ kind: 'heartbeat', heartbeat });
     const held = (this.held.get(name) ?? []).slice();
-    for (const order of this.owner.answerHeartbeat(report, this.now())) {
+    for (const command of this.scheduler.answerHeartbeat(heartbeat, this.now())) {
       const at = held.findIndex(
         (task) =>
-          task.jobId === order.jobId && task.taskIndex === order.taskIndex && task.attempt === order.attempt,
+          task.jobId === command.jobId &&
+          task.taskIndex === command.taskIndex &&
+          task.attempt === command.attempt,
       );
-      if (order.op === 'start' && at < 0)
+      if (command.op === 'start' && at < 0)
         held.push({
-          jobId: order.jobId,
-          taskIndex: order.taskIndex,
-          attempt: order.attempt,
+          jobId: command.jobId,
+          taskIndex: command.taskIndex,
+          attempt: command.attempt,
           state: 'running',
           exitReason: null,
           checkpointed: false,
         });
       const task = held[at];
-      if (order.op === 'stop' && task !== undefined)
+      if (command.op === 'stop' && task !== undefined)
         held[at] = { ...task, state: 'exited', exitReason: task.exitReason ?? 'stopped' };
-      if (order.op === 'forget' && at >= 0) held.splice(at, 1);
+      if (command.op === 'forget' && at >= 0) held.splice(at, 1);
     }
     this.held.set(name, held);
   }
@@ -178,7 +180,7 @@
   /** Carries out transactions until nothing is due. */
   commit(): void {
     for (;;) {
-      const transaction = this.owner.nextTransaction(this.now());
+      const transaction = this.scheduler.nextTransaction(this.now());
       if (transaction === null) return;
       const stamp = ++this.stamp;
       this.commits += 1;
@@ -187,13 +189,13 @@
         this.pages.set(page.id, { value: this.codec.writePage(page.entries, FACTS.zones), stamp });
       for (const id of transaction.completedJobs) this.end(id, 'done', stamp);
       for (const id of transaction.cancelledJobs) this.end(id, 'cancelled', stamp);
-      this.event({ kind: 'transaction-committed', transaction: transaction, modRevision: stamp });
+      this.event({ kind: 'transaction-committed', transaction, modRevision: stamp });
     }
   }
 
   /** The owner writes the end of a job from what it holds in memory. */
   private end(id: string, standing: 'done' | 'cancelled', stamp: number): void {
-    const job = this.owner.state.jobs.byId.get(id);
+    const job = this.scheduler.state.jobs.byId.get(id);
     if (job === undefined) return;
     const { spec, submittedAt: submitted } = job;
     this.jobs.set(id, {
--- a/test/versions.test.ts
+++ b/test/versions.test.ts
@@ -115,7 +115,7 @@
   // Before anything of the cancelled job is stopped, and with reports from before it still under way.
   takeOver(fleet, PRODUCTION_CODEC);
   go(fleet, 1);
-  for (const report of late) fleet.event({ kind: 'heartbeat', heartbeat: report });
+  for (const heartbeat of late) fleet.event({ kind: 'heartbeat', heartbeat });
   checkRecords(fleet);
   go(fleet, 3);
   assert.deepEqual(tasksOf(fleet, 'req-2'), [], 'the cancellation that the new version wrote is carried out');
@@ -124,7 +124,7 @@
 
   takeOver(fleet, THIS_CODEC);
   go(fleet, 1);
-  for (const report of late) fleet.event({ kind: 'heartbeat', heartbeat: report });
+  for (const heartbeat of late) fleet.event({ kind: 'heartbeat', heartbeat });
   go(fleet, 3);
   checkRecords(fleet);
   const standing = (id: string): string => decodeJob(fleet.jobs.get(id)?.value).status;
--- a/test/zones.test.ts
+++ b/test/zones.test.ts
@@ -50,7 +50,7 @@
 
 /** An owner with machines that report when they are told to. */
 class Fleet {
-  readonly owner: ClusterScheduler;
+  readonly scheduler: ClusterScheduler;
   private seq = 0;
 
   constructor(readonly policy: Policy | null) {
@@ -60,9 +60,9 @@
       confirmedAt: at(0).monotonic,
       previousLeadersDeadline: at(0).monotonic,
     };
-    this.owner = new ClusterScheduler(FACTS, DEFAULT_SETTINGS, term, policy);
-    this.owner.handle({ kind: 'machine-types', types: [TYPE] }, at(0));
-    this.owner.handle({ kind: 'instance-inventory', machines: [], requestedAt: at(0).monotonic }, at(0));
+    this.scheduler = new ClusterScheduler(FACTS, DEFAULT_SETTINGS, term, policy);
+    this.scheduler.handle({ kind: 'machine-types', types: [TYPE] }, at(0));
+    this.scheduler.handle({ kind: 'instance-inventory', machines: [], requestedAt: at(0).monotonic }, at(0));
   }
 
   report(s: number, ...machines: readonly string[]): void {
@@ -78,22 +78,22 @@
         preemptionNotice: null,
         tasks: [],
       };
-      this.owner.handle({ kind: 'heartbeat', heartbeat: report }, at(s));
+      this.scheduler.handle({ kind: 'heartbeat', heartbeat: report }, at(s));
     }
   }
 
   submit(s: number, id: string, over: Partial<JobSpec>): void {
     const record = { spec: spec(id, over), submittedAt: at(s).wall, status: 'open' as const };
-    this.owner.handle({ kind: 'job-changed', id, record, modRevision: 2 }, at(s));
+    this.scheduler.handle({ kind: 'job-changed', id, record, modRevision: 2 }, at(s));
   }
 
   tick(s: number): readonly Effect[] {
-    this.owner.handle({ kind: 'leadership-confirmed', confirmedAt: at(s).monotonic }, at(s));
-    return this.owner.handle({ kind: 'tick' }, at(s));
+    this.scheduler.handle({ kind: 'leadership-confirmed', confirmedAt: at(s).monotonic }, at(s));
+    return this.scheduler.handle({ kind: 'tick' }, at(s));
   }
 
   on(machine: string): string[] {
-    return [...(this.owner.state.machines.byName.get(machine)?.assignments.keys() ?? [])];
+    return [...(this.scheduler.state.machines.byName.get(machine)?.assignments.keys() ?? [])];
   }
 }
 
