--- a/measure/load.ts
+++ b/measure/load.ts
@@ -5,8 +5,8 @@
 import { join } from 'node:path';
 import { call, listen } from '../test/standins/http.js';
 import { bytesOfPeerLink } from './peer-link.js';
-import { ownAddress, job, platform, until } from '../test/standins/site.js';
-import { StateStandIn } from '../test/standins/state.js';
+import { ownAddress, job, platform, until } from '../test/standins/cluster.js';
+import { StateStandIn } from '../test/standins/state-store.js';
 import { Watch, WorkerStandIn } from '../test/standins/worker.js';
 
 /**
--- a/measure/memory.ts
+++ b/measure/memory.ts
@@ -13,7 +13,7 @@
 import type { KeyChange, ReplicaEntry, StateStore } from '../src/edge/state-store/state-store.js';
 import { jobKey, pageKey, encodeJob, encodePage, type FinishedJobSummary } from '../src/wire/records.js';
 import { decode, encode } from '../src/wire/cbor.js';
-import { FACTS, TYPE, spec } from '../test/player.js';
+import { FACTS, TYPE, spec } from '../test/trace-runner.js';
 
 /**
  * What the parts of a controller hold, each built alone in one process and looked at after a full collection. Run by
--- a/measure/peer-link.ts
+++ b/measure/peer-link.ts
@@ -2,7 +2,7 @@
 import { runInNewContext } from 'node:vm';
 import { createLogger } from '../src/edge/runtime/logger.js';
 import { PeerLinks } from '../src/edge/peers/peer-links.js';
-import { ownAddress } from '../test/standins/site.js';
+import { ownAddress } from '../test/standins/cluster.js';
 
 const STATUSES_MS = 3000;
 
--- a/measure/startup.ts
+++ b/measure/startup.ts
@@ -2,7 +2,7 @@
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
-import { ownAddress, platform } from '../test/standins/site.js';
+import { ownAddress, platform } from '../test/standins/cluster.js';
 
 /**
  * What each step of a start costs, by the processor time of a process that ends after it. Run by hand after a build:
--- a/packages/zone-recovery/test/loopback.test.ts
+++ b/packages/zone-recovery/test/loopback.test.ts
@@ -11,8 +11,8 @@
   startController,
   until,
   untilHealthy,
-} from '../../../test/standins/site.js';
-import { StateStandIn, type Endpoint } from '../../../test/standins/state.js';
+} from '../../../test/standins/cluster.js';
+import { StateStandIn, type Endpoint } from '../../../test/standins/state-store.js';
 import { Watch, WorkerStandIn } from '../../../test/standins/worker.js';
 
 /**
--- a/packages/zone-recovery/test/zone-world.ts
+++ b/packages/zone-recovery/test/zone-world.ts
@@ -9,7 +9,7 @@
 import type { PageEntry } from '../../../src/core/records/record-pages.js';
 import { seconds, toSeconds, type Timestamp } from '../../../src/core/model/time.js';
 import { DEFAULT_SETTINGS } from '../../../src/edge/config/operator-settings.js';
-import { FACTS, TYPE, spec } from '../../../test/player.js';
+import { FACTS, TYPE, spec } from '../../../test/trace-runner.js';
 import { ZoneRecovery } from '../src/index.js';
 
 /** The zones of the simulated deployment. */
--- a/test/limits-next.test.ts
+++ b/test/announced-limits.test.ts
@@ -18,8 +18,8 @@
   readPlatformSettings,
 } from '../src/edge/config/platform-settings.js';
 import { decodePage, encodePage } from '../src/wire/records.js';
-import { FACTS, TYPE, spec } from './player.js';
-import { ownAddress, platform } from './standins/site.js';
+import { FACTS, TYPE, spec } from './trace-runner.js';
+import { ownAddress, platform } from './standins/cluster.js';
 
 const at = (s: number): Timestamp => ({
   monotonic: seconds(1000 + s),
--- a/test/limits.test.ts
+++ b/test/connection-limits.test.ts
@@ -14,7 +14,7 @@
 import { WorkerCommandSender } from '../src/edge/workers/worker-command-sender.js';
 import { decode, encode } from '../src/wire/cbor.js';
 import { isDecodable, encodeJob } from '../src/wire/records.js';
-import { spec } from './player.js';
+import { spec } from './trace-runner.js';
 import {
   job,
   ownAddress,
@@ -23,9 +23,9 @@
   startController,
   until,
   untilHealthy,
-} from './standins/site.js';
+} from './standins/cluster.js';
 import { call } from './standins/http.js';
-import { StateStandIn } from './standins/state.js';
+import { StateStandIn } from './standins/state-store.js';
 import { Watch, WorkerStandIn } from './standins/worker.js';
 
 test('memory: collected when much has come since the last time, users refused when that does not help', () => {
--- a/test/meetings.test.ts
+++ b/test/fault-interactions.test.ts
@@ -11,8 +11,8 @@
   until,
   untilHealthy,
   type Site,
-} from './standins/site.js';
-import { StateStandIn } from './standins/state.js';
+} from './standins/cluster.js';
+import { StateStandIn } from './standins/state-store.js';
 import { Watch } from './standins/worker.js';
 
 // Meetings of two troubles, between whole controllers and a state service on loopback.
--- a/test/features.test.ts
+++ b/test/features.test.ts
@@ -4,7 +4,7 @@
 import { zonePolicyFor } from '../src/edge/config/feature-loader.js';
 import { parseFeatures, readFeatures } from '../src/edge/config/features.js';
 import { SettingsError } from '../src/edge/config/platform-settings.js';
-import { FACTS } from './player.js';
+import { FACTS } from './trace-runner.js';
 
 test('features are off unless they are named, and a mistake is told with its line', () => {
   assert.deepEqual([...readFeatures(undefined)], []);
--- a/test/fleet.test.ts
+++ b/test/fleet-sizing.test.ts
@@ -6,7 +6,7 @@
 import { minCycleInterval } from '../src/core/scheduling/scheduling-cycle.js';
 import { seconds, toSeconds, type Timestamp } from '../src/core/model/time.js';
 import { DEFAULT_SETTINGS } from '../src/edge/config/operator-settings.js';
-import { FACTS, TYPE, spec } from './player.js';
+import { FACTS, TYPE, spec } from './trace-runner.js';
 
 // Seen on a large fleet: machines were rented for what waited, and all that came while they booted waited as long again.
 test('machines are rented ahead for work that comes steadily, not for what came all at once', () => {
--- a/test/golden-requests.test.ts
+++ b/test/golden-requests.test.ts
@@ -34,8 +34,8 @@
   startController,
   until,
   untilHealthy,
-} from './standins/site.js';
-import { StateStandIn } from './standins/state.js';
+} from './standins/cluster.js';
+import { StateStandIn } from './standins/state-store.js';
 import { Watch } from './standins/worker.js';
 
 // The requests and answers of every interface, in literal bytes: names in the code may change, these may not. What
--- a/test/http-client.test.ts
+++ b/test/http-client.test.ts
@@ -4,7 +4,7 @@
 import { HttpClient } from '../src/edge/net/http-client.js';
 import { MalformedResponseError, ResponseReader, type HttpResponse } from '../src/edge/net/http-response.js';
 import { encode } from '../src/wire/cbor.js';
-import { ownAddress } from './standins/site.js';
+import { ownAddress } from './standins/cluster.js';
 
 const LENGTH = 'HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello';
 const CHUNKED =
--- a/test/pipelines.test.ts
+++ b/test/job-dependencies-http.test.ts
@@ -11,8 +11,8 @@
   startController,
   until,
   untilHealthy,
-} from './standins/site.js';
-import { StateStandIn } from './standins/state.js';
+} from './standins/cluster.js';
+import { StateStandIn } from './standins/state-store.js';
 import { Watch } from './standins/worker.js';
 
 // Jobs that wait for jobs, by two controllers that know each other, on loopback.
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -10,7 +10,7 @@
 import type { KeyChange, ReplicaEntry, StateStore } from '../src/edge/state-store/state-store.js';
 import { Subject } from 'rxjs';
 import { CoreFleet } from './standins/core-fleet.js';
-import { spec } from './player.js';
+import { spec } from './trace-runner.js';
 
 /**
  * Fleets of 1,000 and 4,000 machines, played through the core and counted instead of timed: what is constant stays so,
--- a/test/election.test.ts
+++ b/test/leader-election.test.ts
@@ -11,8 +11,8 @@
   until,
   untilHealthy,
   type Site,
-} from './standins/site.js';
-import { StateStandIn } from './standins/state.js';
+} from './standins/cluster.js';
+import { StateStandIn } from './standins/state-store.js';
 import { Watch } from './standins/worker.js';
 
 // A controller that is back within a fraction of a second, at each step of an election and takeover, with its old hold
--- a/test/behind.test.ts
+++ b/test/leader-overload.test.ts
@@ -14,10 +14,10 @@
 import { isHealthy } from '../src/edge/http/health.js';
 import { HeartbeatQueue, readHeartbeats } from '../src/edge/http/heartbeat-reader.js';
 import { WorkerCommandSender } from '../src/edge/workers/worker-command-sender.js';
-import { FACTS, TYPE, spec } from './player.js';
+import { FACTS, TYPE, spec } from './trace-runner.js';
 import { listen } from './standins/http.js';
-import { ownAddress, makeSite, platform, startController, until } from './standins/site.js';
-import { StateStandIn } from './standins/state.js';
+import { ownAddress, makeSite, platform, startController, until } from './standins/cluster.js';
+import { StateStandIn } from './standins/state-store.js';
 import { Watch } from './standins/worker.js';
 
 /**
--- a/test/bounded.test.ts
+++ b/test/memory-bounds.test.ts
@@ -19,7 +19,7 @@
   encodeJob,
   encodePage,
 } from '../src/wire/records.js';
-import { FACTS, TYPE, spec } from './player.js';
+import { FACTS, TYPE, spec } from './trace-runner.js';
 
 /**
  * What was won for small machines, guarded by counts: memory that does not grow with the jobs that were ever run, and
--- a/test/parts.test.ts
+++ b/test/parts.test.ts
@@ -15,7 +15,7 @@
 import { operationCount, onCommitted } from '../src/core/persistence/transactions.js';
 import { ClusterScheduler } from '../src/core/cluster-scheduler.js';
 import { pageEntriesOf } from '../src/core/records/record-pages.js';
-import { FACTS, spec } from './player.js';
+import { FACTS, spec } from './trace-runner.js';
 
 test('whole numbers above 32 bits stay integers on the wire, and fields without a value are left out', () => {
   assert.equal(encode(2 ** 40).toString('hex'), '1b0000010000000000');
--- a/test/records.test.ts
+++ b/test/records.test.ts
@@ -15,7 +15,7 @@
   encodeJob,
   encodePage,
 } from '../src/wire/records.js';
-import { spec } from './player.js';
+import { spec } from './trace-runner.js';
 
 /**
  * Bytes that earlier versions have written and read. Names in the code may change; what is stored and what controllers
--- a/test/gap.test.ts
+++ b/test/refused-leader.test.ts
@@ -11,8 +11,8 @@
   until,
   untilHealthy,
   type Site,
-} from './standins/site.js';
-import { StateStandIn, type Endpoint } from './standins/state.js';
+} from './standins/cluster.js';
+import { StateStandIn, type Endpoint } from './standins/state-store.js';
 import { Watch } from './standins/worker.js';
 
 // The gap between two troubles: the state service refuses the leader alone, the other controller confirms cancellations
--- a/test/service.test.ts
+++ b/test/service.test.ts
@@ -10,8 +10,8 @@
   startController,
   until,
   untilHealthy,
-} from './standins/site.js';
-import { StateStandIn } from './standins/state.js';
+} from './standins/cluster.js';
+import { StateStandIn } from './standins/state-store.js';
 import { Watch } from './standins/worker.js';
 
 // A whole service on loopback: two controllers, a state service, a cloud and two workers, all stand-ins of ours.
--- a/test/random.test.ts
+++ b/test/simulation.test.ts
@@ -15,7 +15,7 @@
 import type { Effect } from '../src/core/model/effects.js';
 import type { WorkerCommand } from '../src/core/model/worker-command.js';
 import { DEFAULT_SETTINGS } from '../src/edge/config/operator-settings.js';
-import { FACTS, TYPE, spec } from './player.js';
+import { FACTS, TYPE, spec } from './trace-runner.js';
 
 interface Worker {
   name: string;
--- a/test/standins/core-fleet.ts
+++ b/test/standins/core-fleet.ts
@@ -8,7 +8,7 @@
 import type { PageEntry } from '../../src/core/records/record-pages.js';
 import { seconds, type Timestamp } from '../../src/core/model/time.js';
 import { DEFAULT_SETTINGS } from '../../src/edge/config/operator-settings.js';
-import { FACTS, spec } from '../player.js';
+import { FACTS, spec } from '../trace-runner.js';
 
 /** How often each machine reports. */
 const REPORT_S = 4;
--- a/test/traces.test.ts
+++ b/test/traces.test.ts
@@ -1,7 +1,7 @@
 import { readFileSync, readdirSync } from 'node:fs';
 import { join } from 'node:path';
 import { test } from 'node:test';
-import { Player } from './player.js';
+import { Player } from './trace-runner.js';
 
 const folder = join(__dirname, 'traces');
 
--- a/test/outbox.test.ts
+++ b/test/transactions.test.ts
@@ -4,7 +4,7 @@
 import { previousLeadersDeadlineFrom } from '../src/core/state/leadership-timing.js';
 import { seconds, type Timestamp } from '../src/core/model/time.js';
 import { DEFAULT_SETTINGS } from '../src/edge/config/operator-settings.js';
-import { FACTS, TYPE, spec } from './player.js';
+import { FACTS, TYPE, spec } from './trace-runner.js';
 
 const at = (s: number): Timestamp => ({
   monotonic: seconds(1000 + s),
--- a/test/zones.test.ts
+++ b/test/zones.test.ts
@@ -6,7 +6,7 @@
 import { seconds, type Timestamp } from '../src/core/model/time.js';
 import type { FleetObservation, ZonePolicy, ZoneAdmissionRequest } from '../src/core/model/zone-policy.js';
 import { DEFAULT_SETTINGS } from '../src/edge/config/operator-settings.js';
-import { FACTS, TYPE, spec } from './player.js';
+import { FACTS, TYPE, spec } from './trace-runner.js';
 
 // Where the core asks a policy for lost and returning zones, and what it does with the answers.
 
