--- /dev/null
+++ b/test/heartbeat-parsing.test.ts
@@ -0,0 +1,66 @@
+/** @file Parsing of heartbeats: the HTTP head, the fast path and the schema. */
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import { parseHead } from '../src/edge/http/heartbeat-reader.js';
+import { parseHeartbeat } from '../src/wire/protocol.js';
+
+const HELLO = {
+  rig: 'n-000231',
+  endpoint: '10.1.0.232:9000',
+  build: 'g8',
+  hall: 'a',
+  loaners: false,
+  shift: 1,
+  tick: 88,
+  baton: 41,
+  recallS: null,
+  tickets: [{ ticket: 'req-000412/3', try: 2, standing: 'exited', cause: 'done' }],
+};
+
+test('reports: the short way and the schema read the same, and what is wrong is refused', () => {
+  const plain = parseHeartbeat(HELLO);
+  // A count above 32 bits may come as a big integer: that goes to the schema.
+  const long = parseHeartbeat({ ...HELLO, tick: 88n, recallS: undefined });
+  assert.ok(plain.ok && long.ok);
+  assert.deepEqual(plain.value, long.value);
+  assert.deepEqual(plain.value.tasks[0], {
+    jobId: 'req-000412',
+    taskIndex: 3,
+    attempt: 2,
+    state: 'exited',
+    exitReason: 'done',
+    checkpointed: false,
+  });
+  for (const wrong of [
+    { rig: '' },
+    { tick: -1 },
+    { baton: 1.5 },
+    { tickets: {} },
+    { tickets: [{ ...HELLO.tickets[0], standing: 'toString' }] },
+    { tickets: [{ ...HELLO.tickets[0], ticket: 'req-1' }] },
+    { tickets: [null] },
+  ])
+    assert.equal(parseHeartbeat({ ...HELLO, ...wrong }).ok, false, JSON.stringify(wrong));
+});
+
+test('a report is found in what has come of a connection; everything else is left to the general server', () => {
+  const head = 'POST /hello HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\n';
+  assert.deepEqual(parseHead(Buffer.from(`${head}abcPOST`), 100), {
+    kind: 'report',
+    from: head.length,
+    to: head.length + 3,
+    close: false,
+  });
+  for (let n = 1; n < head.length + 3; n++)
+    assert.equal(parseHead(Buffer.from(`${head}abc`.slice(0, n)), 100).kind, 'part', `after ${n} bytes`);
+  for (const other of [
+    'GET /healthz HTTP/1.1\r\n',
+    'POST /hello2 HTTP/1.1\r\n',
+    head.replace('Content-Length: 3', 'Transfer-Encoding: chunked'),
+    head.replace(': 3', ': -3'),
+    head.replace(': 3', ': 101'),
+    `${head.slice(0, -4)}\r\nContent-Length: 4\r\n\r\n`,
+    `${head.slice(0, -4)}${'x'.repeat(9000)}`,
+  ])
+    assert.equal(parseHead(Buffer.from(other), 100).kind, 'other', other.slice(0, 60));
+});
--- /dev/null
+++ b/test/job-completion.test.ts
@@ -0,0 +1,47 @@
+/** @file Completion of jobs under a constant load of page changes. */
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import { seconds } from '../src/core/model/time.js';
+import { DEFAULT_SETTINGS } from '../src/edge/config/operator-settings.js';
+import { endAssignment, assignTask } from '../src/core/assignments/assignments.js';
+import { getOrAddMachine } from '../src/core/machines/machine-registry.js';
+import { operationCount, onCommitted } from '../src/core/persistence/transactions.js';
+import { ClusterScheduler } from '../src/core/cluster-scheduler.js';
+import { FACTS, spec } from './trace-runner.js';
+
+test('a job that is done is marked so however many pages go on changing', () => {
+  // Seen on a large fleet: pages took every change of every transaction, and users heard of the end 100 s late.
+  const scheduler = new ClusterScheduler(FACTS, DEFAULT_SETTINGS, {
+    fencingToken: 1,
+    startedAt: 0n,
+    confirmedAt: 0n,
+    previousLeadersDeadline: 0n,
+  });
+  const state = scheduler.state;
+  const now = { monotonic: seconds(1), wall: new Date(0) };
+  const machine = getOrAddMachine(state, 'm', 0n);
+  machine.agentEpoch = 1;
+  const add = (id: string, tasks: number): void => {
+    const record = { spec: spec(id, { taskCount: tasks }), submittedAt: now.wall, status: 'open' as const };
+    scheduler.handle({ kind: 'job-changed', id, record, modRevision: 5 }, now);
+  };
+  add('req-1', 1);
+  const first = state.jobs.byId.get('req-1');
+  assert.ok(first !== undefined);
+  const assignment = assignTask(state, first, 0, 1, machine, now.monotonic);
+  onCommitted(state, scheduler.nextTransaction(now) ?? assert.fail('nothing to commit'), 10, now);
+  for (let n = 0; n < 3 * FACTS.maxTransactionOperations; n++) {
+    add(`req-2${n}`, 120);
+    const job = state.jobs.byId.get(`req-2${n}`);
+    if (job !== undefined) for (let t = 0; t < 120; t++) assignTask(state, job, t, 1, machine, now.monotonic);
+  }
+  endAssignment(state, assignment, true, 'done', now.monotonic);
+  const told: string[] = [];
+  for (let n = 0; n < 4 && told.length === 0; n++) {
+    const transaction = scheduler.nextTransaction(now) ?? assert.fail('nothing to commit');
+    assert.ok(operationCount(transaction) <= FACTS.maxTransactionOperations);
+    told.push(...transaction.completedJobs);
+    onCommitted(state, transaction, 20 + n, now);
+  }
+  assert.deepEqual(told, ['req-1']);
+});
