--- a/measure/memory.ts
+++ b/measure/memory.ts
@@ -13,7 +13,7 @@
 import type { KeyChange, ReplicaEntry, StateStore } from '../src/edge/state-store/state-store.js';
 import { jobKey, pageKey, encodeJob, encodePage, type FinishedJobSummary } from '../src/wire/records.js';
 import { decode, encode } from '../src/wire/cbor.js';
-import { FACTS, TYPE, spec } from '../test/trace-runner.js';
+import { CLUSTER_CONFIG, MACHINE_TYPE, jobSpec } from '../test/fixtures/cluster-config.js';
 
 /**
  * What the parts of a controller hold, each built alone in one process and looked at after a full collection. Run by
@@ -71,13 +71,13 @@
   }
 }
 
-const scheduler = new ClusterScheduler(FACTS, DEFAULT_SETTINGS, {
+const scheduler = new ClusterScheduler(CLUSTER_CONFIG, DEFAULT_SETTINGS, {
   fencingToken: 1,
   startedAt: at(0).monotonic,
   confirmedAt: at(0).monotonic,
-  previousLeadersDeadline: previousLeadersDeadlineFrom(FACTS, at(0).monotonic),
+  previousLeadersDeadline: previousLeadersDeadlineFrom(CLUSTER_CONFIG, at(0).monotonic),
 });
-scheduler.handle({ kind: 'machine-types', types: [TYPE] }, at(0));
+scheduler.handle({ kind: 'machine-types', types: [MACHINE_TYPE] }, at(0));
 
 const nameOf = (n: number): string => `n-${String(n).padStart(6, '0')}`;
 
@@ -93,7 +93,7 @@
 }
 
 const recordOf = (n: number, standing: JobRecord['status']): JobRecord => ({
-  spec: spec(`req-${n}`, { taskCount: TASKS }),
+  spec: jobSpec(`req-${n}`, { taskCount: TASKS }),
   submittedAt: at(0).wall,
   status: standing,
 });
@@ -163,7 +163,7 @@
             record: { highestAttempt: 1, completedTasks: [], assignments: intents },
           },
         ],
-        FACTS.zones,
+        CLUSTER_CONFIG.zones,
       ),
     );
     const entry = copy.replica.get(pageKey('all', n));
--- a/packages/zone-recovery/test/zone-world.ts
+++ b/packages/zone-recovery/test/zone-world.ts
@@ -9,7 +9,7 @@
 import type { PageEntry } from '../../../src/core/records/record-pages.js';
 import { seconds, toSeconds, type Timestamp } from '../../../src/core/model/time.js';
 import { DEFAULT_SETTINGS } from '../../../src/edge/config/operator-settings.js';
-import { FACTS, TYPE, spec } from '../../../test/trace-runner.js';
+import { CLUSTER_CONFIG, MACHINE_TYPE, jobSpec } from '../../../test/fixtures/cluster-config.js';
 import { ZoneRecovery } from '../src/index.js';
 
 /** The zones of the simulated deployment. */
@@ -17,8 +17,8 @@
 
 const STEP_S = 0.25;
 const BOOT_S = 10;
-const WORLD_TYPE: MachineType = { ...TYPE, zones: [...ZONES], bootTime: seconds(BOOT_S), fetchGbPerS: 0.5 };
-const WORLD_FACTS: ClusterConfig = { ...FACTS, zones: [...ZONES] };
+const WORLD_TYPE: MachineType = { ...MACHINE_TYPE, zones: [...ZONES], bootTime: seconds(BOOT_S), fetchGbPerS: 0.5 };
+const WORLD_FACTS: ClusterConfig = { ...CLUSTER_CONFIG, zones: [...ZONES] };
 
 /** What machines did, as they saw it: a checker judges by this alone. */
 export type Entry =
@@ -132,7 +132,7 @@
   }
 
   submit(id: string, over: Partial<JobSpec>): void {
-    const record: JobRecord = { spec: spec(id, over), submittedAt: this.now().wall, status: 'open' };
+    const record: JobRecord = { spec: jobSpec(id, over), submittedAt: this.now().wall, status: 'open' };
     this.stamp += 1;
     this.jobs.set(id, { record, modRevision: this.stamp });
     this.event({ kind: 'job-changed', id, record, modRevision: this.stamp });
--- a/test/announced-limits.test.ts
+++ b/test/announced-limits.test.ts
@@ -18,7 +18,7 @@
   readPlatformSettings,
 } from '../src/edge/config/platform-settings.js';
 import { decodePage, encodePage } from '../src/wire/records.js';
-import { FACTS, TYPE, spec } from './trace-runner.js';
+import { CLUSTER_CONFIG, MACHINE_TYPE, jobSpec } from './fixtures/cluster-config.js';
 import { ownAddress, platform } from './standins/cluster.js';
 
 const at = (s: number): Timestamp => ({
@@ -26,10 +26,10 @@
   wall: new Date(Date.UTC(2030, 0, 1) + s * 1000),
 });
 
-const SMALL = { ...FACTS, maxValueBytes: 2048, maxTransactionOperations: 4 };
+const SMALL = { ...CLUSTER_CONFIG, maxValueBytes: 2048, maxTransactionOperations: 4 };
 const JOBS = 14;
 
-function newOwner(config: typeof FACTS): ClusterScheduler {
+function newOwner(config: typeof CLUSTER_CONFIG): ClusterScheduler {
   const began = at(0).monotonic;
   const term = {
     fencingToken: 1,
@@ -38,7 +38,7 @@
     previousLeadersDeadline: previousLeadersDeadlineFrom(config, began),
   };
   const scheduler = new ClusterScheduler(config, DEFAULT_SETTINGS, term);
-  scheduler.handle({ kind: 'machine-types', types: [TYPE] }, at(0));
+  scheduler.handle({ kind: 'machine-types', types: [MACHINE_TYPE] }, at(0));
   return scheduler;
 }
 
@@ -61,10 +61,10 @@
 test('pages from before a lower limit are split in one transaction each, and nothing is ever unrecorded', () => {
   const scheduler = newOwner(SMALL);
   const ids = [1, 2, 3];
-  const committed = new Map(ids.map((id) => [id, encodePage(largePage(id), FACTS.zones)]));
+  const committed = new Map(ids.map((id) => [id, encodePage(largePage(id), CLUSTER_CONFIG.zones)]));
   for (const text of committed.values()) assert.ok(text.length > 2048);
   for (const { jobId: id } of ids.flatMap(largePage)) {
-    const record = { spec: spec(id, { taskCount: 9 }), submittedAt: at(0).wall, status: 'open' as const };
+    const record = { spec: jobSpec(id, { taskCount: 9 }), submittedAt: at(0).wall, status: 'open' as const };
     scheduler.handle({ kind: 'job-changed', id, record, modRevision: 2 }, at(0));
   }
   for (const id of ids)
@@ -75,7 +75,8 @@
     const transaction = scheduler.nextTransaction(at(5));
     if (transaction === null) break;
     assert.ok(transaction.pages.length <= 4);
-    for (const page of transaction.pages) committed.set(page.id, encodePage(page.entries, FACTS.zones));
+    for (const page of transaction.pages)
+      committed.set(page.id, encodePage(page.entries, CLUSTER_CONFIG.zones));
     const places = [...committed.values()].flatMap(decodePage).flatMap((entry) => entry.record.assignments);
     assert.equal(places.length, ids.length * JOBS * 9);
     scheduler.handle({ kind: 'transaction-committed', transaction, modRevision: ++stamp }, at(5));
@@ -114,7 +115,7 @@
 
 // Nothing tells when the lower limit comes into force but its first refusal.
 test('once the state service refuses for too many changes, the owner keeps to what was announced', async () => {
-  const facts = { ...FACTS, maxTransactionOperations: 8 };
+  const facts = { ...CLUSTER_CONFIG, maxTransactionOperations: 8 };
   const secondCommitAfter = async (nextWriteRps: number): Promise<number> => {
     const sent: number[] = [];
     const answers = [
--- a/test/cancelled-dependents.test.ts
+++ b/test/cancelled-dependents.test.ts
@@ -9,7 +9,7 @@
 import { previousLeadersDeadlineFrom } from '../src/core/state/leadership-timing.js';
 import { seconds, type Timestamp } from '../src/core/model/time.js';
 import { DEFAULT_SETTINGS } from '../src/edge/config/operator-settings.js';
-import { FACTS, TYPE, spec } from './trace-runner.js';
+import { CLUSTER_CONFIG, MACHINE_TYPE, jobSpec } from './fixtures/cluster-config.js';
 
 const DEPENDENTS = 3000;
 
@@ -25,7 +25,7 @@
   changes = 0;
 
   put(id: string, standing: JobRecord['status'], dependencies: readonly string[] = []): void {
-    const record = { spec: spec(id, { dependencies }), submittedAt: at(0).wall, status: standing };
+    const record = { spec: jobSpec(id, { dependencies }), submittedAt: at(0).wall, status: standing };
     this.jobs.set(id, { record, modRevision: ++this.stamp });
   }
 
@@ -36,10 +36,10 @@
       fencingToken: ++this.stamp,
       startedAt: began,
       confirmedAt: began,
-      previousLeadersDeadline: previousLeadersDeadlineFrom(FACTS, began),
+      previousLeadersDeadline: previousLeadersDeadlineFrom(CLUSTER_CONFIG, began),
     };
-    const scheduler = new ClusterScheduler(FACTS, DEFAULT_SETTINGS, term);
-    scheduler.handle({ kind: 'machine-types', types: [TYPE] }, at(s));
+    const scheduler = new ClusterScheduler(CLUSTER_CONFIG, DEFAULT_SETTINGS, term);
+    scheduler.handle({ kind: 'machine-types', types: [MACHINE_TYPE] }, at(s));
     for (const [id, job] of this.jobs) scheduler.handle({ kind: 'job-changed', id, ...job }, at(s));
     scheduler.handle({ kind: 'load-completed' }, at(s));
     return scheduler;
@@ -67,7 +67,7 @@
 function commitNext(records: Records, scheduler: ClusterScheduler, s: number): boolean {
   const transaction = scheduler.nextTransaction(at(s));
   if (transaction === null) return false;
-  assert.ok(operationCount(transaction) <= FACTS.maxTransactionOperations);
+  assert.ok(operationCount(transaction) <= CLUSTER_CONFIG.maxTransactionOperations);
   const stamp = records.carryOut(transaction);
   if (stamp !== null)
     scheduler.handle({ kind: 'transaction-committed', transaction, modRevision: stamp }, at(s));
@@ -82,7 +82,7 @@
   for (let n = 1; n <= DEPENDENTS; n++) records.put(`req-${n}`, 'open', [`req-${n === 1 ? 0 : n >> 1}`]);
   const first = records.takeOver(0);
   for (let n = 0; n < 100; n++) assert.ok(commitNext(records, first, 1));
-  assert.equal(records.open, DEPENDENTS - 100 * FACTS.maxTransactionOperations);
+  assert.equal(records.open, DEPENDENTS - 100 * CLUSTER_CONFIG.maxTransactionOperations);
   const second = records.takeOver(10);
   let s = 10;
   while (commitNext(records, second, s)) s += 0.5;
--- a/test/connection-limits.test.ts
+++ b/test/connection-limits.test.ts
@@ -14,7 +14,7 @@
 import { WorkerCommandSender } from '../src/edge/workers/worker-command-sender.js';
 import { decode, encode } from '../src/wire/cbor.js';
 import { isDecodable, encodeJob } from '../src/wire/records.js';
-import { spec } from './trace-runner.js';
+import { jobSpec } from './fixtures/cluster-config.js';
 import {
   job,
   ownAddress,
@@ -86,7 +86,7 @@
 });
 
 test('a value that is not what its key says is found before anyone relies on it', () => {
-  const record = { spec: spec('req-1'), submittedAt: new Date(0), status: 'open' as const };
+  const record = { spec: jobSpec('req-1'), submittedAt: new Date(0), status: 'open' as const };
   assert.ok(isDecodable('main/job/req-1', decode(encode(encodeJob(record)))));
   assert.ok(isDecodable('main/part/all', { label: 'a', incarnation: 'b' }));
   for (const [key, value] of [
--- a/test/features.test.ts
+++ b/test/features.test.ts
@@ -4,7 +4,7 @@
 import { zonePolicyFor } from '../src/edge/config/feature-loader.js';
 import { parseFeatures, readFeatures } from '../src/edge/config/features.js';
 import { SettingsError } from '../src/edge/config/platform-settings.js';
-import { FACTS } from './trace-runner.js';
+import { CLUSTER_CONFIG } from './fixtures/cluster-config.js';
 
 test('features are off unless they are named, and a mistake is told with its line', () => {
   assert.deepEqual([...readFeatures(undefined)], []);
@@ -25,7 +25,7 @@
 });
 
 test('the code of a feature is used only where it is on', () => {
-  assert.equal(zonePolicyFor(new Set(), FACTS), null);
-  const make = zonePolicyFor(new Set(['zone-recovery']), FACTS);
+  assert.equal(zonePolicyFor(new Set(), CLUSTER_CONFIG), null);
+  const make = zonePolicyFor(new Set(['zone-recovery']), CLUSTER_CONFIG);
   assert.equal(make?.().constructor.name, ZoneRecovery.name);
 });
--- a/test/fleet-sizing.test.ts
+++ b/test/fleet-sizing.test.ts
@@ -6,7 +6,7 @@
 import { minCycleInterval } from '../src/core/scheduling/scheduling-cycle.js';
 import { seconds, toSeconds, type Timestamp } from '../src/core/model/time.js';
 import { DEFAULT_SETTINGS } from '../src/edge/config/operator-settings.js';
-import { FACTS, TYPE, spec } from './trace-runner.js';
+import { CLUSTER_CONFIG, MACHINE_TYPE, jobSpec } from './fixtures/cluster-config.js';
 
 // Seen on a large fleet: machines were rented for what waited, and all that came while they booted waited as long again.
 test('machines are rented ahead for work that comes steadily, not for what came all at once', () => {
@@ -15,18 +15,18 @@
     monotonic: seconds(1000 + s),
     wall: new Date(wall.getTime() + s * 1000),
   });
-  const scheduler = new ClusterScheduler(FACTS, DEFAULT_SETTINGS, {
+  const scheduler = new ClusterScheduler(CLUSTER_CONFIG, DEFAULT_SETTINGS, {
     fencingToken: 1,
     startedAt: at(0).monotonic,
     confirmedAt: at(0).monotonic,
     previousLeadersDeadline: at(0).monotonic,
   });
-  scheduler.handle({ kind: 'machine-types', types: [TYPE] }, at(0));
+  scheduler.handle({ kind: 'machine-types', types: [MACHINE_TYPE] }, at(0));
   scheduler.handle({ kind: 'instance-inventory', machines: [], requestedAt: at(0).monotonic }, at(0));
   let n = 0;
   const submit = (s: number, count: number): void => {
     for (let k = 0; k < count; k++) {
-      const record = { spec: spec(`req-${++n}`), submittedAt: at(s).wall, status: 'open' as const };
+      const record = { spec: jobSpec(`req-${++n}`), submittedAt: at(s).wall, status: 'open' as const };
       scheduler.handle({ kind: 'job-changed', id: `req-${n}`, record, modRevision: n + 1 }, at(s));
     }
   };
@@ -54,14 +54,14 @@
     wall: new Date(wall.getTime() + s * 1000),
   });
   const threshold = seconds(5);
-  const facts = { ...FACTS, objectives: [{ kind: 'wait', class: 'hasty', threshold, share: 0.9 }] };
+  const facts = { ...CLUSTER_CONFIG, objectives: [{ kind: 'wait', class: 'hasty', threshold, share: 0.9 }] };
   const scheduler = new ClusterScheduler(facts, DEFAULT_SETTINGS, {
     fencingToken: 1,
     startedAt: at(0).monotonic,
     confirmedAt: at(0).monotonic,
     previousLeadersDeadline: at(0).monotonic,
   });
-  scheduler.handle({ kind: 'machine-types', types: [TYPE] }, at(0));
+  scheduler.handle({ kind: 'machine-types', types: [MACHINE_TYPE] }, at(0));
   const reports = (s: number, seq: number): void => {
     scheduler.handle({ kind: 'leadership-confirmed', confirmedAt: at(s).monotonic }, at(s));
     for (let n = 0; n < 17; n++) {
@@ -81,8 +81,8 @@
       scheduler.answerHeartbeat(report, at(s));
     }
   };
-  const submit = (id: string, over: Parameters<typeof spec>[1]): void => {
-    const record = { spec: spec(id, over), submittedAt: wall, status: 'open' as const };
+  const submit = (id: string, over: Parameters<typeof jobSpec>[1]): void => {
+    const record = { spec: jobSpec(id, over), submittedAt: wall, status: 'open' as const };
     scheduler.handle({ kind: 'job-changed', id, record, modRevision: 5 }, at(0));
   };
   reports(0, 1);
@@ -101,7 +101,7 @@
 // Seen on 5 % of a core: passes with blocked gangs followed one another, and workers' leases ran out behind them.
 test('passes that take long are made further apart, but never too far', () => {
   const t = seconds(1000);
-  const scheduler = new ClusterScheduler(FACTS, DEFAULT_SETTINGS, {
+  const scheduler = new ClusterScheduler(CLUSTER_CONFIG, DEFAULT_SETTINGS, {
     fencingToken: 1,
     startedAt: t,
     confirmedAt: t,
@@ -131,8 +131,8 @@
     confirmedAt: at(0).monotonic,
     previousLeadersDeadline: at(0).monotonic,
   };
-  const scheduler = new ClusterScheduler(FACTS, DEFAULT_SETTINGS, term);
-  scheduler.handle({ kind: 'machine-types', types: [TYPE] }, at(0));
+  const scheduler = new ClusterScheduler(CLUSTER_CONFIG, DEFAULT_SETTINGS, term);
+  scheduler.handle({ kind: 'machine-types', types: [MACHINE_TYPE] }, at(0));
   for (let n = 0; n < 8; n++) {
     const about = { machineName: `m${n}`, endpoint: `m${n}:1`, type: 'big', zone: 'east', spot: false };
     const report = {
@@ -148,7 +148,7 @@
   const whole = { taskCount: 4, priority: 'low' as const };
   const submit = (id: string, over: Partial<JobSpec>): void => {
     const record = {
-      spec: spec(id, { ...whole, ...over }),
+      spec: jobSpec(id, { ...whole, ...over }),
       submittedAt: at(0).wall,
       status: 'open' as const,
     };
--- a/test/job-completion.test.ts
+++ b/test/job-completion.test.ts
@@ -7,11 +7,11 @@
 import { getOrAddMachine } from '../src/core/machines/machine-registry.js';
 import { operationCount, onCommitted } from '../src/core/persistence/transactions.js';
 import { ClusterScheduler } from '../src/core/cluster-scheduler.js';
-import { FACTS, spec } from './trace-runner.js';
+import { CLUSTER_CONFIG, jobSpec } from './fixtures/cluster-config.js';
 
 test('a job that is done is marked so however many pages go on changing', () => {
   // Seen on a large fleet: pages took every change of every transaction, and users heard of the end 100 s late.
-  const scheduler = new ClusterScheduler(FACTS, DEFAULT_SETTINGS, {
+  const scheduler = new ClusterScheduler(CLUSTER_CONFIG, DEFAULT_SETTINGS, {
     fencingToken: 1,
     startedAt: 0n,
     confirmedAt: 0n,
@@ -22,7 +22,11 @@
   const machine = getOrAddMachine(state, 'm', 0n);
   machine.agentEpoch = 1;
   const add = (id: string, tasks: number): void => {
-    const record = { spec: spec(id, { taskCount: tasks }), submittedAt: now.wall, status: 'open' as const };
+    const record = {
+      spec: jobSpec(id, { taskCount: tasks }),
+      submittedAt: now.wall,
+      status: 'open' as const,
+    };
     scheduler.handle({ kind: 'job-changed', id, record, modRevision: 5 }, now);
   };
   add('req-1', 1);
@@ -30,7 +34,7 @@
   assert.ok(first !== undefined);
   const assignment = assignTask(state, first, 0, 1, machine, now.monotonic);
   onCommitted(state, scheduler.nextTransaction(now) ?? assert.fail('nothing to commit'), 10, now);
-  for (let n = 0; n < 3 * FACTS.maxTransactionOperations; n++) {
+  for (let n = 0; n < 3 * CLUSTER_CONFIG.maxTransactionOperations; n++) {
     add(`req-2${n}`, 120);
     const job = state.jobs.byId.get(`req-2${n}`);
     if (job !== undefined) for (let t = 0; t < 120; t++) assignTask(state, job, t, 1, machine, now.monotonic);
@@ -39,7 +43,7 @@
   const told: string[] = [];
   for (let n = 0; n < 4 && told.length === 0; n++) {
     const transaction = scheduler.nextTransaction(now) ?? assert.fail('nothing to commit');
-    assert.ok(operationCount(transaction) <= FACTS.maxTransactionOperations);
+    assert.ok(operationCount(transaction) <= CLUSTER_CONFIG.maxTransactionOperations);
     told.push(...transaction.completedJobs);
     onCommitted(state, transaction, 20 + n, now);
   }
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -10,7 +10,7 @@
 import type { KeyChange, ReplicaEntry, StateStore } from '../src/edge/state-store/state-store.js';
 import { Subject } from 'rxjs';
 import { CoreFleet } from './standins/core-fleet.js';
-import { spec } from './trace-runner.js';
+import { jobSpec } from './fixtures/cluster-config.js';
 
 /**
  * Fleets of 1,000 and 4,000 machines, played through the core and counted instead of timed: what is constant stays so,
@@ -154,7 +154,7 @@
     () => clock,
   );
   const following = images.start();
-  copy.put(jobKey('req-1'), encodeJob({ spec: spec('req-1'), submittedAt: new Date(0), status: 'open' }));
+  copy.put(jobKey('req-1'), encodeJob({ spec: jobSpec('req-1'), submittedAt: new Date(0), status: 'open' }));
   const seen = (from: number, to: number): void => {
     const intents = Array.from({ length: to - from }, (_, n) => ({
       ...{ taskIndex: n, attempt: 1, machineName: `n-${from + n}`, agentEpoch: 1, zone: 'east' },
--- a/test/leader-overload.test.ts
+++ b/test/leader-overload.test.ts
@@ -14,7 +14,7 @@
 import { isHealthy } from '../src/edge/http/health.js';
 import { HeartbeatQueue, readHeartbeats } from '../src/edge/http/heartbeat-reader.js';
 import { WorkerCommandSender } from '../src/edge/workers/worker-command-sender.js';
-import { FACTS, TYPE, spec } from './trace-runner.js';
+import { CLUSTER_CONFIG, MACHINE_TYPE, jobSpec } from './fixtures/cluster-config.js';
 import { listen } from './standins/http.js';
 import { ownAddress, makeSite, platform, startController, until } from './standins/cluster.js';
 import { StateStandIn } from './standins/state-store.js';
@@ -214,7 +214,7 @@
 
 /** An owner with machines that report, one of which holds a committed replica. */
 class Behind {
-  readonly scheduler = new ClusterScheduler(FACTS, DEFAULT_SETTINGS, {
+  readonly scheduler = new ClusterScheduler(CLUSTER_CONFIG, DEFAULT_SETTINGS, {
     fencingToken: 1,
     startedAt: at(0).monotonic,
     confirmedAt: at(0).monotonic,
@@ -225,7 +225,7 @@
   private stamp = 10;
 
   constructor(private readonly machines: number) {
-    this.scheduler.handle({ kind: 'machine-types', types: [TYPE] }, at(0));
+    this.scheduler.handle({ kind: 'machine-types', types: [MACHINE_TYPE] }, at(0));
   }
 
   late(s: number): void {
@@ -266,10 +266,10 @@
   job(
     s: number,
     id: string,
-    over: Parameters<typeof spec>[1],
+    over: Parameters<typeof jobSpec>[1],
     standing: 'open' | 'cancelled' = 'open',
   ): Effect[] {
-    const record = { spec: spec(id, over), submittedAt: at(s).wall, status: standing };
+    const record = { spec: jobSpec(id, over), submittedAt: at(s).wall, status: standing };
     return this.scheduler.handle({ kind: 'job-changed', id, record, modRevision: ++this.stamp }, at(s));
   }
 
--- a/test/leadership-timing.test.ts
+++ b/test/leadership-timing.test.ts
@@ -3,10 +3,13 @@
 import { test } from 'node:test';
 import { acknowledgementWindow, previousLeadersDeadlineFrom } from '../src/core/state/leadership-timing.js';
 import { toSeconds } from '../src/core/model/time.js';
-import { FACTS } from './trace-runner.js';
+import { CLUSTER_CONFIG } from './fixtures/cluster-config.js';
 
 test('the lease and the time a cut owner answers fit in the time a cancellation has', () => {
-  const span = acknowledgementWindow(FACTS);
-  assert.ok(span > 0n && toSeconds(span + FACTS.workerLease) < toSeconds(FACTS.cancellationDeadline));
-  assert.ok(previousLeadersDeadlineFrom(FACTS, 0n) > span);
+  const span = acknowledgementWindow(CLUSTER_CONFIG);
+  assert.ok(
+    span > 0n &&
+      toSeconds(span + CLUSTER_CONFIG.workerLease) < toSeconds(CLUSTER_CONFIG.cancellationDeadline),
+  );
+  assert.ok(previousLeadersDeadlineFrom(CLUSTER_CONFIG, 0n) > span);
 });
--- a/test/memory-bounds.test.ts
+++ b/test/memory-bounds.test.ts
@@ -19,7 +19,7 @@
   encodeJob,
   encodePage,
 } from '../src/wire/records.js';
-import { FACTS, TYPE, spec } from './trace-runner.js';
+import { CLUSTER_CONFIG, MACHINE_TYPE, jobSpec } from './fixtures/cluster-config.js';
 
 /**
  * What was won for small machines, guarded by counts: memory that does not grow with the jobs that were ever run, and
@@ -36,10 +36,10 @@
     fencingToken: 1,
     startedAt: began,
     confirmedAt: began,
-    previousLeadersDeadline: previousLeadersDeadlineFrom(FACTS, began),
+    previousLeadersDeadline: previousLeadersDeadlineFrom(CLUSTER_CONFIG, began),
   };
-  const scheduler = new ClusterScheduler(FACTS, DEFAULT_SETTINGS, term);
-  scheduler.handle({ kind: 'machine-types', types: [TYPE] }, at(0));
+  const scheduler = new ClusterScheduler(CLUSTER_CONFIG, DEFAULT_SETTINGS, term);
+  scheduler.handle({ kind: 'machine-types', types: [MACHINE_TYPE] }, at(0));
   return scheduler;
 }
 
@@ -64,7 +64,7 @@
   job(id: string, standing: 'open' | 'done' | 'cancelled'): void {
     this.put(
       jobKey(id),
-      encodeJob({ spec: spec(id, { taskCount: 3 }), submittedAt: at(0).wall, status: standing }),
+      encodeJob({ spec: jobSpec(id, { taskCount: 3 }), submittedAt: at(0).wall, status: standing }),
     );
   }
 
@@ -163,7 +163,7 @@
 test('the owner lets go of jobs that have been over for a while', () => {
   const scheduler = newOwner();
   for (let n = 0; n < 3000; n++) {
-    const record = { spec: spec(`req-${n}`), submittedAt: at(n).wall, status: 'open' as const };
+    const record = { spec: jobSpec(`req-${n}`), submittedAt: at(n).wall, status: 'open' as const };
     scheduler.handle({ kind: 'job-changed', id: `req-${n}`, record, modRevision: 2 * n + 1 }, at(n));
     scheduler.handle(
       {
@@ -204,7 +204,7 @@
   const before = scheduler.state.machines.scanned;
   for (let s = 5; s < 25; s++) hello(s);
   assert.equal(scheduler.state.machines.scanned, before);
-  const record = { spec: spec('req-1'), submittedAt: at(25).wall, status: 'open' as const };
+  const record = { spec: jobSpec('req-1'), submittedAt: at(25).wall, status: 'open' as const };
   scheduler.handle({ kind: 'job-changed', id: 'req-1', record, modRevision: 9 }, at(25));
   assert.equal(scheduler.state.machines.scanned, before + 20, 'one pass for the new job');
 });
--- a/test/record-pages.test.ts
+++ b/test/record-pages.test.ts
@@ -9,10 +9,10 @@
 import { getOrAddMachine } from '../src/core/machines/machine-registry.js';
 import { ClusterScheduler } from '../src/core/cluster-scheduler.js';
 import { pageEntriesOf } from '../src/core/records/record-pages.js';
-import { FACTS, spec } from './trace-runner.js';
+import { CLUSTER_CONFIG, jobSpec } from './fixtures/cluster-config.js';
 
 test('a page with the longest names stays below the value limit, and comes back as it was', () => {
-  const scheduler = new ClusterScheduler(FACTS, DEFAULT_SETTINGS, {
+  const scheduler = new ClusterScheduler(CLUSTER_CONFIG, DEFAULT_SETTINGS, {
     fencingToken: 1,
     startedAt: 0n,
     confirmedAt: 0n,
@@ -22,7 +22,11 @@
   const zone = 'a-zone-with-a-name';
   for (let n = 0; n < 12; n++) {
     const id = `req-00000${n}`;
-    const record = { spec: spec(id, { taskCount: 100_000 }), submittedAt: now.wall, status: 'open' as const };
+    const record = {
+      spec: jobSpec(id, { taskCount: 100_000 }),
+      submittedAt: now.wall,
+      status: 'open' as const,
+    };
     scheduler.handle({ kind: 'job-changed', id, record, modRevision: n + 1 }, now);
   }
   const machine = getOrAddMachine(scheduler.state, 'n-000000231', 0n);
--- a/test/records.test.ts
+++ b/test/records.test.ts
@@ -15,7 +15,7 @@
   encodeJob,
   encodePage,
 } from '../src/wire/records.js';
-import { spec } from './trace-runner.js';
+import { jobSpec } from './fixtures/cluster-config.js';
 
 /**
  * Bytes that earlier versions have written and read. Names in the code may change; what is stored and what controllers
@@ -29,7 +29,7 @@
 const STATUS = '50520101001601000001a4000000000000004d086865617274682d31';
 
 const record = {
-  spec: spec('req-000412', {
+  spec: jobSpec('req-000412', {
     ...{
       class: 'train',
       team: 'vision',
--- a/test/simulation.test.ts
+++ b/test/simulation.test.ts
@@ -15,7 +15,7 @@
 import type { Effect } from '../src/core/model/effects.js';
 import type { WorkerCommand } from '../src/core/model/worker-command.js';
 import { DEFAULT_SETTINGS } from '../src/edge/config/operator-settings.js';
-import { FACTS, TYPE, spec } from './trace-runner.js';
+import { CLUSTER_CONFIG, MACHINE_TYPE, jobSpec } from './fixtures/cluster-config.js';
 
 interface Worker {
   name: string;
@@ -95,18 +95,18 @@
     const began = this.now().monotonic;
     const token = ++this.rev;
     this.part = token;
-    const scheduler = new ClusterScheduler(FACTS, DEFAULT_SETTINGS, {
+    const scheduler = new ClusterScheduler(CLUSTER_CONFIG, DEFAULT_SETTINGS, {
       fencingToken: token,
       startedAt: began,
       confirmedAt: began,
-      previousLeadersDeadline: previousLeadersDeadlineFrom(FACTS, began),
+      previousLeadersDeadline: previousLeadersDeadlineFrom(CLUSTER_CONFIG, began),
     });
     // Half of the owners that lose the part do not know it yet and go on answering.
     this.former = this.begun && this.pick(2) === 0 ? this.scheduler : null;
     this.begun = true;
     this.scheduler = scheduler;
     this.busy = false;
-    this.event({ kind: 'machine-types', types: [TYPE] });
+    this.event({ kind: 'machine-types', types: [MACHINE_TYPE] });
     for (const [id, j] of this.jobs)
       this.event({ kind: 'job-changed', id, record: j.record, modRevision: j.stamp });
     for (const [id, p] of this.pages)
@@ -170,7 +170,7 @@
   }
 
   private endLease(worker: Worker): void {
-    if (this.at - worker.renewed <= toSeconds(FACTS.workerLease)) return;
+    if (this.at - worker.renewed <= toSeconds(CLUSTER_CONFIG.workerLease)) return;
     worker.held.clear();
     worker.session += 1;
     worker.seq = 0;
@@ -283,7 +283,7 @@
   private byFormer(heartbeat: Heartbeat): { token: number; orders: WorkerCommand[] } | null {
     const former = this.former;
     if (former === null) return null;
-    if (!mayAcknowledgeHeartbeats(FACTS, former.state.term.confirmedAt, this.now().monotonic)) {
+    if (!mayAcknowledgeHeartbeats(CLUSTER_CONFIG, former.state.term.confirmedAt, this.now().monotonic)) {
       this.former = null;
       return null;
     }
@@ -415,7 +415,7 @@
     const gang = this.pick(4) === 0;
     const team = (['red', 'blue', 'green'] as const)[this.pick(3)] ?? 'red';
     const id = `j${n}`;
-    const s = spec(id, {
+    const s = jobSpec(id, {
       kind: gang ? 'gang' : 'array',
       taskCount: 1 + this.pick(3),
       team,
@@ -472,11 +472,11 @@
         used.set(j.record.spec.team, (used.get(j.record.spec.team) ?? 0) + j.record.spec.gpus);
         if (j.cancelled !== null)
           assert.ok(
-            this.at - j.cancelled <= toSeconds(FACTS.cancellationDeadline),
+            this.at - j.cancelled <= toSeconds(CLUSTER_CONFIG.cancellationDeadline),
             `${t.jobId} runs on ${worker.name} long after its cancellation`,
           );
       }
-    for (const team of FACTS.teams)
+    for (const team of CLUSTER_CONFIG.teams)
       if (team.gpuQuota > 0)
         assert.ok((used.get(team.name) ?? 0) <= team.gpuQuota, `${team.name} is over its limit`);
   }
--- a/test/standins/core-fleet.ts
+++ b/test/standins/core-fleet.ts
@@ -8,7 +8,7 @@
 import type { PageEntry } from '../../src/core/records/record-pages.js';
 import { seconds, type Timestamp } from '../../src/core/model/time.js';
 import { DEFAULT_SETTINGS } from '../../src/edge/config/operator-settings.js';
-import { FACTS, spec } from '../trace-runner.js';
+import { CLUSTER_CONFIG, jobSpec } from '../fixtures/cluster-config.js';
 
 /** How often each machine reports. */
 const REPORT_S = 4;
@@ -76,7 +76,7 @@
     const began = this.now().monotonic;
     this.scheduler = new ClusterScheduler(
       {
-        ...FACTS,
+        ...CLUSTER_CONFIG,
         heartbeatInterval: seconds(REPORT_S),
         workerLease: seconds(24),
         cancellationDeadline: seconds(49),
@@ -86,7 +86,7 @@
         fencingToken: ++this.stamp,
         startedAt: began,
         confirmedAt: began,
-        previousLeadersDeadline: previousLeadersDeadlineFrom(FACTS, began),
+        previousLeadersDeadline: previousLeadersDeadlineFrom(CLUSTER_CONFIG, began),
       },
     );
     this.event({ kind: 'machine-types', types: [TYPE] });
@@ -166,7 +166,7 @@
   }
 
   submit(id: string, over: Partial<JobSpec>): void {
-    const record: JobRecord = { spec: spec(id, over), submittedAt: this.now().wall, status: 'open' };
+    const record: JobRecord = { spec: jobSpec(id, over), submittedAt: this.now().wall, status: 'open' };
     this.store(id, this.codec.writeJob(record));
   }
 
@@ -186,7 +186,7 @@
       this.commits += 1;
       this.changes += operationCount(transaction);
       for (const page of transaction.pages)
-        this.pages.set(page.id, { value: this.codec.writePage(page.entries, FACTS.zones), stamp });
+        this.pages.set(page.id, { value: this.codec.writePage(page.entries, CLUSTER_CONFIG.zones), stamp });
       for (const id of transaction.completedJobs) this.end(id, 'done', stamp);
       for (const id of transaction.cancelledJobs) this.end(id, 'cancelled', stamp);
       this.event({ kind: 'transaction-committed', transaction, modRevision: stamp });
--- /dev/null
+++ b/test/trace-language.ts
@@ -0,0 +1,86 @@
+/** @file The words of the trace language: arguments, task references, reported tasks, and how commands are printed. */
+import assert from 'node:assert/strict';
+import { seconds } from '../src/core/model/time.js';
+import type { ReportedTask } from '../src/core/model/heartbeat.js';
+import type { CloudInstance } from '../src/core/model/machine.js';
+import type { WorkerCommand } from '../src/core/model/worker-command.js';
+
+/** The `name=value` arguments of a line. */
+export type TraceArguments = Readonly<Record<string, string>>;
+
+/** A line without its comment, taken apart. */
+export interface TraceLine {
+  readonly verb: string;
+  /** All words after the verb, as they stand. */
+  readonly words: readonly string[];
+  /** The words without `=`. */
+  readonly operands: readonly string[];
+  readonly args: TraceArguments;
+}
+
+/** Takes a line apart; null: it is empty or a comment. */
+export function parseTraceLine(raw: string): TraceLine | null {
+  const line = raw.replace(/(^|\s)#(\s.*)?$/, '').trim();
+  if (line === '') return null;
+  const [verb = '', ...words] = line.split(/\s+/);
+  const operands: string[] = [];
+  const args: Record<string, string> = {};
+  for (const word of words) {
+    const equals = word.indexOf('=');
+    if (equals > 0) args[word.slice(0, equals)] = word.slice(equals + 1);
+    else operands.push(word);
+  }
+  return { verb, words, operands, args };
+}
+
+/** The value of a numeric argument. */
+export const numberOf = (value: string | undefined, fallback: number): number =>
+  value === undefined ? fallback : Number(value);
+
+/** The value of a yes/no argument. */
+export const flagOf = (value: string | undefined): boolean => value === 'yes';
+
+/** The values of a comma-separated argument. */
+export const listOf = (value: string | undefined): string[] => (value ?? '').split(',').filter(Boolean);
+
+/** One attempt at a task, written `job/index#attempt`. */
+export interface TaskReference {
+  readonly jobId: string;
+  readonly taskIndex: number;
+  readonly attempt: number;
+}
+
+/** Reads `j/0#1`. */
+export function parseTaskReference(text: string): TaskReference {
+  const match = /^(.+)\/(\d+)#(\d+)$/.exec(text);
+  assert.ok(match !== null, `not a task: ${text}`);
+  return { jobId: match[1] ?? '', taskIndex: Number(match[2]), attempt: Number(match[3]) };
+}
+
+/** Reads a task of a heartbeat: `j/0#1:running` or `j/0#1:exited:done`. */
+export function parseReportedTask(text: string): ReportedTask {
+  const [reference = '', state = 'running', exitReason] = text.split(':');
+  return {
+    ...parseTaskReference(reference),
+    state: state as ReportedTask['state'],
+    exitReason: exitReason ?? null,
+    checkpointed: false,
+  };
+}
+
+/** A running machine as the cloud's inventory lists it. */
+export const listedInstance = (name: string): CloudInstance => ({
+  name,
+  endpoint: `${name}:1`,
+  type: 'big',
+  zone: 'east',
+  spot: false,
+  state: 'running',
+  age: seconds(60),
+});
+
+/** A command as `>` lines write it. */
+export function formatCommand(command: WorkerCommand): string {
+  const grace = command.op === 'stop' ? ` grace=${command.gracePeriodS ?? 0}` : '';
+  return `${command.op} ${command.jobId}/${command.taskIndex}#${command.attempt}${grace}`;
+}
--- a/test/trace-runner.ts
+++ b/test/trace-runner.ts
@@ -1,391 +1,309 @@
+/**
+ * @file Runs a trace against the scheduler's core: one line per event, `>` lines for the effects that must follow, `=`
+ * lines for the state that must hold. Each effect must be expected by exactly one line; the language is described in
+ * `test/traces/README.md`.
+ */
 import assert from 'node:assert/strict';
 import { ClusterScheduler, type Event } from '../src/core/cluster-scheduler.js';
-import type { ClusterConfig } from '../src/core/model/cluster-config.js';
 import type { JobRecord, JobSpec } from '../src/core/model/job.js';
-import type { CloudInstance, MachineType } from '../src/core/model/machine.js';
-import type { Heartbeat, ReportedTask } from '../src/core/model/heartbeat.js';
-import type { Transaction } from '../src/core/persistence/transactions.js';
+import type { Heartbeat } from '../src/core/model/heartbeat.js';
 import { pendingJobsInOrder } from '../src/core/scheduling/scheduling-cycle.js';
 import { previousLeadersDeadlineFrom } from '../src/core/state/leadership-timing.js';
 import { seconds, type Timestamp } from '../src/core/model/time.js';
 import type { Effect } from '../src/core/model/effects.js';
-import type { WorkerCommand } from '../src/core/model/worker-command.js';
 import { DEFAULT_SETTINGS } from '../src/edge/config/operator-settings.js';
+import { timeAt } from './fixtures/clock.js';
+import { CLUSTER_CONFIG, MACHINE_TYPE, jobSpec } from './fixtures/cluster-config.js';
+import {
+  flagOf,
+  formatCommand,
+  listOf,
+  listedInstance,
+  numberOf,
+  parseReportedTask,
+  parseTaskReference,
+  parseTraceLine,
+  type TraceArguments,
+  type TraceLine,
+} from './trace-language.js';
 
-/**
- * Plays a trace: one line per event, `>` lines for what must come out, `=` lines for what must hold. Traces are kept in
- * `test/traces` and read from top to bottom; docs in `test/traces/README.md`.
- */
-export const FACTS: ClusterConfig = {
-  zones: ['east', 'west'],
-  teams: [
-    { name: 'red', fairShareCpus: 0, fairShareGpus: 0, cpuQuota: 0, gpuQuota: 0 },
-    { name: 'blue', fairShareCpus: 0, fairShareGpus: 2, cpuQuota: 0, gpuQuota: 4 },
-    { name: 'green', fairShareCpus: 0, fairShareGpus: 2, cpuQuota: 0, gpuQuota: 4 },
-  ],
-  objectives: [],
-  heartbeatInterval: seconds(1),
-  workerLease: seconds(10),
-  gangStartTimeout: seconds(30),
-  gangPeerTimeout: seconds(8),
-  cancellationDeadline: seconds(30),
-  maxTransactionOperations: 8,
-  maxValueBytes: 4096,
-  inventoryLag: seconds(4),
-};
-
-export const TYPE: MachineType = {
-  name: 'big',
-  cpus: 8,
-  gpus: 2,
-  memory: 64,
-  cacheGb: 100,
-  fetchGbPerS: 1,
-  price: 10,
-  spotPrice: 4,
-  bootTime: seconds(30),
-  zones: ['east', 'west'],
-};
-
-export function spec(id: string, over: Partial<JobSpec> = {}): JobSpec {
-  return {
-    id,
-    class: 'work',
-    team: 'red',
-    kind: 'array',
-    priority: 'normal',
-    taskCount: 1,
-    cpus: 2,
-    gpus: 1,
-    memory: 8,
-    machineTypes: null,
-    zone: null,
-    singleZone: false,
-    spreadAcrossZones: false,
-    allowSpot: false,
-    image: 'img',
-    imageGb: 2,
-    estimatedDuration: seconds(30),
-    checkpointInterval: 0n,
-    checkpointDuration: 0n,
-    deadline: null,
-    dependencies: [],
-    ...over,
-  };
-}
-
-type Args = Record<string, string>;
-
-function argsOf(words: readonly string[]): { bare: string[]; args: Args } {
-  const bare: string[] = [];
-  const args: Args = {};
-  for (const word of words) {
-    const cut = word.indexOf('=');
-    if (cut > 0) args[word.slice(0, cut)] = word.slice(cut + 1);
-    else bare.push(word);
-  }
-  return { bare, args };
-}
+type CommandOutcome = 'executed' | 'refused' | 'unknown';
 
-const num = (v: string | undefined, fallback: number): number => (v === undefined ? fallback : Number(v));
-const flag = (v: string | undefined): boolean => v === 'yes';
+const FENCING_TOKEN = 100;
 
-export class Player {
+/** One leader, with the time and the revisions that the events of a trace carry. */
+export class TraceRunner {
   readonly scheduler: ClusterScheduler;
-  private at = 0;
-  private out: string[] = [];
-  private transaction: Transaction | null = null;
-  private stamp: number;
-  private readonly seqs = new Map<string, number>();
+  private secondsIntoTerm = 0;
+  /** Effects that no line has expected yet. */
+  private readonly effects: string[] = [];
+  private modRevision = FENCING_TOKEN + 1;
+  /** The highest heartbeat sequence number of each machine. */
+  private readonly sequences = new Map<string, number>();
 
-  constructor(readonly token = 100) {
+  constructor() {
     const began = this.now().monotonic;
-    this.scheduler = new ClusterScheduler(FACTS, DEFAULT_SETTINGS, {
-      fencingToken: token,
+    this.scheduler = new ClusterScheduler(CLUSTER_CONFIG, DEFAULT_SETTINGS, {
+      fencingToken: FENCING_TOKEN,
       startedAt: began,
       confirmedAt: began,
-      previousLeadersDeadline: previousLeadersDeadlineFrom(FACTS, began),
+      previousLeadersDeadline: previousLeadersDeadlineFrom(CLUSTER_CONFIG, began),
     });
-    this.stamp = token + 1;
-    this.event({ kind: 'machine-types', types: [TYPE] });
+    this.handle({ kind: 'machine-types', types: [MACHINE_TYPE] });
   }
 
-  now(): Timestamp {
-    return { monotonic: seconds(1000 + this.at), wall: new Date(Date.UTC(2030, 0, 1) + this.at * 1000) };
+  /** Runs all lines of a trace; an error names the file and the line. */
+  run(trace: string, name: string): void {
+    for (const [index, raw] of trace.split('\n').entries()) {
+      const line = parseTraceLine(raw);
+      if (line === null) continue;
+      try {
+        this.runLine(line);
+      } catch (error) {
+        const message = error instanceof Error ? error.message : String(error);
+        throw new Error(`${name}:${index + 1}: ${message}`, { cause: error });
+      }
+    }
+    assert.deepEqual(this.effects, [], `${name}: effects at the end that no line expects`);
+  }
+
+  private now(): Timestamp {
+    return timeAt(this.secondsIntoTerm);
   }
 
-  event(event: Event): void {
+  private handle(event: Event): void {
     for (const effect of this.scheduler.handle(event, this.now())) this.record(effect);
   }
 
   private record(effect: Effect): void {
     if (effect.kind === 'send-commands' && effect.commands.length > 0)
       for (const command of effect.commands)
-        this.out.push(`direct ${effect.machineName} ${orderText(command)}`);
-    else if (effect.kind === 'send-commands') this.out.push(`fence ${effect.machineName}`);
-    else if (effect.kind === 'scale-in') this.out.push(`return ${effect.machineNames.join(',')}`);
-    else if (effect.kind === 'advance-token') this.out.push('raise');
-    else if (effect.kind === 'step-down') this.out.push('abdicate');
-    else if (effect.kind === 'superseded') this.out.push(`deposed ${effect.fencingToken}`);
+        this.effects.push(`send ${effect.machineName} ${formatCommand(command)}`);
+    else if (effect.kind === 'send-commands') this.effects.push(`fence ${effect.machineName}`);
+    else if (effect.kind === 'scale-in') this.effects.push(`scale-in ${effect.machineNames.join(',')}`);
+    else if (effect.kind === 'advance-token') this.effects.push('advance-token');
+    else if (effect.kind === 'step-down') this.effects.push('step-down');
+    else if (effect.kind === 'superseded') this.effects.push(`superseded ${effect.fencingToken}`);
   }
 
-  play(text: string, name: string): void {
-    text.split('\n').forEach((raw, n) => {
-      const line = raw.replace(/(^|\s)#(\s.*)?$/, '').trim();
-      if (line === '') return;
-      try {
-        this.line(line);
-      } catch (e) {
-        throw new Error(`${name}:${n + 1}: ${e instanceof Error ? e.message : String(e)}`, { cause: e });
-      }
-    });
-    assert.deepEqual(this.out, [], `${name}: effects at the end that no line expects`);
-  }
-
-  private line(line: string): void {
-    const [verb = '', ...rest] = line.split(/\s+/);
-    if (verb === '>') return this.expect(rest.join(' '));
-    if (verb === '=') return this.check(rest);
-    const { bare, args } = argsOf(rest);
-    const name = bare[0] ?? '';
+  private runLine(line: TraceLine): void {
+    const { verb, words, operands, args } = line;
+    const [name = '', ...rest] = operands;
     switch (verb) {
+      case '>':
+        return this.expectEffect(words.join(' '));
+      case '=':
+        return this.check(words);
       case 'at':
-        this.at = Number(name);
-        break;
+        this.secondsIntoTerm = Number(name);
+        return;
       case 'tick':
-        this.event({ kind: 'tick' });
-        break;
-      case 'contact':
-        this.event({ kind: 'leadership-confirmed', confirmedAt: this.now().monotonic });
-        break;
+        return this.handle({ kind: 'tick' });
+      case 'confirmed':
+        return this.handle({ kind: 'leadership-confirmed', confirmedAt: this.now().monotonic });
+      case 'token-advanced':
+        return this.handle({ kind: 'token-advanced', fencingToken: Number(name) });
+      case 'commit':
+        return this.commit();
       case 'job':
-        this.job(name, args);
-        break;
+        return this.submitJob(name, args);
       case 'cancel':
-        this.standing(name, 'cancelled');
-        break;
-      case 'ended':
-        this.event({ kind: 'job-finished', id: name, status: bare[1] === 'done' ? 'done' : 'cancelled' });
-        break;
-      case 'held':
-        this.held(name, bare[1] ?? '', args);
-        break;
-      case 'report':
-        this.report(name, bare.slice(1), args, true);
-        break;
-      case 'late':
-        this.report(name, bare.slice(1), args, false);
-        break;
-      case 'echo':
-        this.echo(name, bare.slice(1), args);
-        break;
-      case 'outcome':
-        this.outcome(name, bare[1] as 'executed' | 'refused' | 'unknown', bare.slice(2));
-        break;
-      case 'commit':
-        this.commit();
-        break;
-      case 'raised':
-        this.event({ kind: 'token-advanced', fencingToken: Number(name) });
-        break;
-      case 'list':
-        this.event({
+        return this.cancelJob(name);
+      case 'finished':
+        return this.handle({
+          kind: 'job-finished',
+          id: name,
+          status: rest[0] === 'done' ? 'done' : 'cancelled',
+        });
+      case 'assigned':
+        return this.loadAssignment(name, rest[0] ?? '', args);
+      default:
+        return this.runMachineLine(line);
+    }
+  }
+
+  /** The lines about a machine or the cloud. */
+  private runMachineLine({ verb, operands, args }: TraceLine): void {
+    const [machine = '', ...rest] = operands;
+    switch (verb) {
+      case 'heartbeat':
+        return this.sendHeartbeat(machine, rest, args, true);
+      case 'unanswered-heartbeat':
+        return this.sendHeartbeat(machine, rest, args, false);
+      case 'fence-answered':
+        return this.answerFence(machine, rest, args);
+      case 'commands-answered':
+        return this.answerCommands(machine, rest[0] as CommandOutcome, rest.slice(1));
+      case 'inventory':
+        return this.handle({
           kind: 'instance-inventory',
-          machines: bare.map(listedOf),
-          requestedAt: seconds(1000 + num(args['sent'], this.at)),
+          machines: operands.map(listedInstance),
+          requestedAt: seconds(1000 + numberOf(args['requested'], this.secondsIntoTerm)),
         });
-        break;
-      case 'returned':
-        this.event({ kind: 'scale-in-answered', machines: [name], succeeded: true });
-        break;
+      case 'released':
+        return this.handle({ kind: 'scale-in-answered', machines: [machine], succeeded: true });
       default:
-        throw new Error(`unknown line "${line}"`);
+        throw new Error(`unknown line "${[verb, ...operands].join(' ')}"`);
     }
   }
 
-  private job(id: string, a: Args): void {
-    const s = spec(id, {
-      kind: (a['kind'] ?? 'array') as JobSpec['kind'],
-      team: a['team'] ?? 'red',
-      priority: (a['priority'] ?? 'normal') as JobSpec['priority'],
-      taskCount: num(a['tasks'], 1),
-      gpus: num(a['gpus'], 1),
-      cpus: num(a['cpus'], 2),
-      singleZone: flag(a['onezone']),
-      spreadAcrossZones: flag(a['spread']),
-      checkpointInterval: seconds(num(a['checkpoint'], 0)),
-      checkpointDuration: seconds(num(a['save'], 0)),
-      image: a['image'] ?? 'img',
-      imageGb: num(a['gb'], 2),
-      estimatedDuration: seconds(num(a['estimate'], 30)),
-      deadline: a['due'] === undefined ? null : seconds(Number(a['due'])),
-      dependencies: (a['after'] ?? '').split(',').filter(Boolean),
+  private submitJob(id: string, args: TraceArguments): void {
+    const spec = jobSpec(id, {
+      kind: (args['kind'] ?? 'array') as JobSpec['kind'],
+      team: args['team'] ?? 'red',
+      priority: (args['priority'] ?? 'normal') as JobSpec['priority'],
+      taskCount: numberOf(args['tasks'], 1),
+      gpus: numberOf(args['gpus'], 1),
+      cpus: numberOf(args['cpus'], 2),
+      singleZone: flagOf(args['single-zone']),
+      spreadAcrossZones: flagOf(args['spread']),
+      checkpointInterval: seconds(numberOf(args['checkpoint-interval'], 0)),
+      checkpointDuration: seconds(numberOf(args['checkpoint-duration'], 0)),
+      image: args['image'] ?? 'img',
+      imageGb: numberOf(args['image-gb'], 2),
+      estimatedDuration: seconds(numberOf(args['duration'], 30)),
+      deadline: args['deadline'] === undefined ? null : seconds(Number(args['deadline'])),
+      dependencies: listOf(args['after']),
     });
-    const record: JobRecord = { spec: s, submittedAt: this.now().wall, status: 'open' };
-    this.event({ kind: 'job-changed', id, record, modRevision: ++this.stamp });
+    this.changeJob({ spec, submittedAt: this.now().wall, status: 'open' });
   }
 
-  private standing(id: string, standing: 'cancelled'): void {
+  private cancelJob(id: string): void {
     const job = this.scheduler.state.jobs.byId.get(id);
     assert.ok(job !== undefined, `no job ${id}`);
-    const record: JobRecord = { spec: job.spec, submittedAt: job.submittedAt, status: standing };
-    this.event({ kind: 'job-changed', id, record, modRevision: ++this.stamp });
+    this.changeJob({ spec: job.spec, submittedAt: job.submittedAt, status: 'cancelled' });
   }
 
-  /** A place recorded by an earlier owner, and results: `held j/0#1 m1 session=1 zone=east done=1,2`. */
-  private held(ref: string, machine: string, a: Args): void {
-    const { jobId: job, taskIndex: task, attempt } = refOf(ref);
-    const done = (a['done'] ?? '').split(',').filter(Boolean).map(Number);
-    const intents = [
-      {
-        taskIndex: task,
-        attempt,
-        machineName: machine,
-        agentEpoch: num(a['session'], 1),
-        zone: a['zone'] ?? 'east',
-      },
-    ];
-    this.event({
+  private changeJob(record: JobRecord): void {
+    this.handle({ kind: 'job-changed', id: record.spec.id, record, modRevision: ++this.modRevision });
+  }
+
+  /** `assigned j/0#1 m1 epoch=1 zone=east completed=1,2`: what a previous leader recorded. */
+  private loadAssignment(reference: string, machineName: string, args: TraceArguments): void {
+    const { jobId, taskIndex, attempt } = parseTaskReference(reference);
+    const assignment = {
+      taskIndex,
+      attempt,
+      machineName,
+      agentEpoch: numberOf(args['epoch'], 1),
+      zone: args['zone'] ?? 'east',
+    };
+    const record = {
+      highestAttempt: attempt,
+      completedTasks: listOf(args['completed']).map(Number),
+      assignments: [assignment],
+    };
+    this.handle({
       kind: 'page-loaded',
       id: this.scheduler.state.records.pages.size,
-      entries: [
-        {
-          jobId: job,
-          chunkIndex: 0,
-          record: { highestAttempt: attempt, completedTasks: done, assignments: intents },
-        },
-      ],
-      modRevision: ++this.stamp,
+      entries: [{ jobId, chunkIndex: 0, record }],
+      modRevision: ++this.modRevision,
     });
   }
 
-  private makeReport(machine: string, tasks: readonly string[], a: Args): Heartbeat {
-    const seq = num(a['seq'], (this.seqs.get(machine) ?? 0) + 1);
-    this.seqs.set(machine, Math.max(seq, this.seqs.get(machine) ?? 0));
+  private makeHeartbeat(machineName: string, tasks: readonly string[], args: TraceArguments): Heartbeat {
+    const highest = this.sequences.get(machineName) ?? 0;
+    const sequence = numberOf(args['sequence'], highest + 1);
+    this.sequences.set(machineName, Math.max(sequence, highest));
     return {
-      machineName: machine,
-      endpoint: `${machine}:1`,
+      machineName,
+      endpoint: `${machineName}:1`,
       type: 'big',
-      zone: a['zone'] ?? 'east',
+      zone: args['zone'] ?? 'east',
       spot: false,
-      agentEpoch: num(a['session'], 1),
-      sequence: seq,
-      fencingToken: num(a['token'], this.scheduler.state.term.fencingToken),
+      agentEpoch: numberOf(args['epoch'], 1),
+      sequence,
+      fencingToken: numberOf(args['token'], this.scheduler.state.term.fencingToken),
       preemptionNotice: null,
-      tasks: tasks.map(seenOf),
+      tasks: tasks.map(parseReportedTask),
     };
   }
 
-  private report(machine: string, tasks: readonly string[], a: Args, answered: boolean): void {
-    const heartbeat = this.makeReport(machine, tasks, a);
-    this.event({ kind: 'heartbeat', heartbeat });
+  private sendHeartbeat(
+    machine: string,
+    tasks: readonly string[],
+    args: TraceArguments,
+    answered: boolean,
+  ): void {
+    const heartbeat = this.makeHeartbeat(machine, tasks, args);
+    this.handle({ kind: 'heartbeat', heartbeat });
     if (!answered) return;
     for (const command of this.scheduler.answerHeartbeat(heartbeat, this.now()))
-      this.out.push(`answer ${machine} ${orderText(command)}`);
+      this.effects.push(`respond ${machine} ${formatCommand(command)}`);
   }
 
-  /** A direct call without orders was answered: the worker's report comes with it. */
-  private echo(machine: string, tasks: readonly string[], a: Args): void {
-    const heartbeat = this.makeReport(machine, tasks, a);
-    const { agentEpoch: session, fencingToken: token } = heartbeat;
-    this.event({
+  /** A direct call without commands was answered: the response carries the worker's heartbeat. */
+  private answerFence(machineName: string, tasks: readonly string[], args: TraceArguments): void {
+    const heartbeat = this.makeHeartbeat(machineName, tasks, args);
+    const { agentEpoch, fencingToken } = heartbeat;
+    this.handle({
       kind: 'commands-answered',
-      machineName: machine,
-      agentEpoch: session,
-      fencingToken: token,
+      machineName,
+      agentEpoch,
+      fencingToken,
       commands: [],
       outcome: 'executed',
       heartbeat,
     });
   }
 
-  private outcome(
-    machine: string,
-    outcome: 'executed' | 'refused' | 'unknown',
-    refs: readonly string[],
-  ): void {
-    const orders = refs.map((r) => ({ op: 'start' as const, ...refOf(r) }));
-    const m = this.scheduler.state.machines.byName.get(machine);
-    const token = this.scheduler.state.term.fencingToken;
-    this.event({
+  private answerCommands(machineName: string, outcome: CommandOutcome, starts: readonly string[]): void {
+    this.handle({
       kind: 'commands-answered',
-      machineName: machine,
-      agentEpoch: m?.agentEpoch ?? 1,
-      fencingToken: token,
-      commands: orders,
+      machineName,
+      agentEpoch: this.scheduler.state.machines.byName.get(machineName)?.agentEpoch ?? 1,
+      fencingToken: this.scheduler.state.term.fencingToken,
+      commands: starts.map((start) => ({ op: 'start' as const, ...parseTaskReference(start) })),
       outcome,
       heartbeat: null,
     });
   }
 
   private commit(): void {
-    this.transaction = this.scheduler.nextTransaction(this.now());
-    assert.ok(this.transaction !== null, 'nothing to commit');
-    for (const id of this.transaction.completedJobs) this.out.push(`done ${id}`);
-    this.event({ kind: 'transaction-committed', transaction: this.transaction, modRevision: ++this.stamp });
+    const transaction = this.scheduler.nextTransaction(this.now());
+    assert.ok(transaction !== null, 'nothing to commit');
+    for (const id of transaction.completedJobs) this.effects.push(`done ${id}`);
+    this.handle({ kind: 'transaction-committed', transaction, modRevision: ++this.modRevision });
   }
 
-  private expect(text: string): void {
-    const at = this.out.indexOf(text);
-    assert.ok(at >= 0, `expected "${text}", got ${JSON.stringify(this.out)}`);
-    this.out.splice(at, 1);
+  private expectEffect(text: string): void {
+    const index = this.effects.indexOf(text);
+    assert.ok(index >= 0, `expected "${text}", got ${JSON.stringify(this.effects)}`);
+    this.effects.splice(index, 1);
   }
 
-  /** `= places j` lists where tasks may be; `= nothing` that no effect is left; `= used team gpus`. */
-  private check(words: readonly string[]): void {
-    const [what, ...rest] = words;
-    if (what === 'nothing') return assert.deepEqual(this.out, []);
-    if (what === 'places') {
-      const [id = '', ...want] = rest;
-      const got: string[] = [];
-      for (const chunk of this.scheduler.state.jobs.byId.get(id)?.chunks.values() ?? [])
-        for (const assignment of chunk.assignments.values())
-          got.push(`${assignment.taskIndex}#${assignment.attempt}@${assignment.machineName}`);
-      return assert.deepEqual(got.sort(), want.sort());
+  private check([subject, ...expected]: readonly string[]): void {
+    const { jobs } = this.scheduler.state;
+    const [name = '', value] = expected;
+    switch (subject) {
+      case 'no-effects':
+        return assert.deepEqual(this.effects, []);
+      case 'assignments':
+        return assert.deepEqual(this.assignmentsOf(name), expected.slice(1).sort());
+      case 'gpus-used':
+        return assert.equal(jobs.quotas.usageOf(name).gpus, Number(value));
+      case 'priority':
+        return assert.equal(jobs.byId.get(name)?.priority, value);
+      case 'status':
+        return assert.equal(jobs.byId.get(name)?.status, value);
+      case 'queue': {
+        const pending = pendingJobsInOrder(this.scheduler.state, this.now());
+        return assert.deepEqual(
+          pending.map((job) => job.spec.id),
+          expected,
+        );
+      }
+      default:
+        throw new Error(`unknown check ${subject}`);
     }
-    if (what === 'used')
-      return assert.equal(this.scheduler.state.jobs.quotas.usageOf(rest[0] ?? '').gpus, Number(rest[1]));
-    if (what === 'priority')
-      return assert.equal(this.scheduler.state.jobs.byId.get(rest[0] ?? '')?.priority, rest[1]);
-    if (what === 'queue')
-      return assert.deepEqual(
-        pendingJobsInOrder(this.scheduler.state, this.now()).map((job) => job.spec.id),
-        rest,
-      );
-    if (what === 'standing')
-      return assert.equal(this.scheduler.state.jobs.byId.get(rest[0] ?? '')?.status, rest[1]);
-    throw new Error(`unknown check ${what}`);
   }
-}
-
-const listedOf = (name: string): CloudInstance => ({
-  name,
-  endpoint: `${name}:1`,
-  type: 'big',
-  zone: 'east',
-  spot: false,
-  state: 'running',
-  age: seconds(60),
-});
 
-function orderText(command: WorkerCommand): string {
-  const grace = command.op === 'stop' ? ` grace=${command.gracePeriodS ?? 0}` : '';
-  return `${command.op} ${command.jobId}/${command.taskIndex}#${command.attempt}${grace}`;
-}
-
-function refOf(ref: string): { jobId: string; taskIndex: number; attempt: number } {
-  const m = /^(.+)\/(\d+)#(\d+)$/.exec(ref);
-  assert.ok(m !== null, `not a task: ${ref}`);
-  return { jobId: m[1] ?? '', taskIndex: Number(m[2]), attempt: Number(m[3]) };
-}
-
-/** `j/0#1:running` or `j/0#1:exited:done`. */
-function seenOf(text: string): ReportedTask {
-  const [ref = '', state = 'running', why] = text.split(':');
-  return {
-    ...refOf(ref),
-    state: state as ReportedTask['state'],
-    exitReason: why ?? null,
-    checkpointed: false,
-  };
+  /** Where a job's tasks may be, as `index#attempt@machine`. */
+  private assignmentsOf(id: string): string[] {
+    const found: string[] = [];
+    for (const chunk of this.scheduler.state.jobs.byId.get(id)?.chunks.values() ?? [])
+      for (const { taskIndex, attempt, machineName } of chunk.assignments.values())
+        found.push(`${taskIndex}#${attempt}@${machineName}`);
+    return found.sort();
+  }
 }
--- a/test/transactions.test.ts
+++ b/test/transactions.test.ts
@@ -4,7 +4,7 @@
 import { previousLeadersDeadlineFrom } from '../src/core/state/leadership-timing.js';
 import { seconds, type Timestamp } from '../src/core/model/time.js';
 import { DEFAULT_SETTINGS } from '../src/edge/config/operator-settings.js';
-import { FACTS, TYPE, spec } from './trace-runner.js';
+import { CLUSTER_CONFIG, MACHINE_TYPE, jobSpec } from './fixtures/cluster-config.js';
 
 const at = (s: number): Timestamp => ({
   monotonic: seconds(1000 + s),
@@ -20,15 +20,15 @@
       fencingToken: 1,
       startedAt: began,
       confirmedAt: began,
-      previousLeadersDeadline: previousLeadersDeadlineFrom(FACTS, began),
+      previousLeadersDeadline: previousLeadersDeadlineFrom(CLUSTER_CONFIG, began),
     };
     const scheduler = new ClusterScheduler(
-      { ...FACTS, maxTransactionOperations: txnOps },
+      { ...CLUSTER_CONFIG, maxTransactionOperations: txnOps },
       DEFAULT_SETTINGS,
       term,
     );
     scheduler.handle(
-      { kind: 'machine-types', types: [{ ...TYPE, cpus: 1000, gpus: 1000, memory: 10_000 }] },
+      { kind: 'machine-types', types: [{ ...MACHINE_TYPE, cpus: 1000, gpus: 1000, memory: 10_000 }] },
       at(0),
     );
     for (const seq of [1, 2]) {
@@ -50,7 +50,7 @@
     }
     scheduler.state.scheduling.cycleNeeded = false;
     for (let n = 0; n < 240; n++) {
-      const record = { spec: spec(`req-${n}`), submittedAt: at(0).wall, status: 'open' as const };
+      const record = { spec: jobSpec(`req-${n}`), submittedAt: at(0).wall, status: 'open' as const };
       scheduler.state.scheduling.lastCycleAt = at(100).monotonic;
       scheduler.handle({ kind: 'job-changed', id: `req-${n}`, record, modRevision: n + 2 }, at(0));
     }
--- a/test/zones.test.ts
+++ b/test/zones.test.ts
@@ -6,7 +6,7 @@
 import { seconds, type Timestamp } from '../src/core/model/time.js';
 import type { FleetObservation, ZonePolicy, ZoneAdmissionRequest } from '../src/core/model/zone-policy.js';
 import { DEFAULT_SETTINGS } from '../src/edge/config/operator-settings.js';
-import { FACTS, TYPE, spec } from './trace-runner.js';
+import { CLUSTER_CONFIG, MACHINE_TYPE, jobSpec } from './fixtures/cluster-config.js';
 
 // Where the core asks a policy for lost and returning zones, and what it does with the answers.
 
@@ -60,8 +60,8 @@
       confirmedAt: at(0).monotonic,
       previousLeadersDeadline: at(0).monotonic,
     };
-    this.scheduler = new ClusterScheduler(FACTS, DEFAULT_SETTINGS, term, policy);
-    this.scheduler.handle({ kind: 'machine-types', types: [TYPE] }, at(0));
+    this.scheduler = new ClusterScheduler(CLUSTER_CONFIG, DEFAULT_SETTINGS, term, policy);
+    this.scheduler.handle({ kind: 'machine-types', types: [MACHINE_TYPE] }, at(0));
     this.scheduler.handle({ kind: 'instance-inventory', machines: [], requestedAt: at(0).monotonic }, at(0));
   }
 
@@ -83,7 +83,7 @@
   }
 
   submit(s: number, id: string, over: Partial<JobSpec>): void {
-    const record = { spec: spec(id, over), submittedAt: at(s).wall, status: 'open' as const };
+    const record = { spec: jobSpec(id, over), submittedAt: at(s).wall, status: 'open' as const };
     this.scheduler.handle({ kind: 'job-changed', id, record, modRevision: 2 }, at(s));
   }
 
