--- a/measure/memory.ts
+++ b/measure/memory.ts
@@ -1,19 +1,17 @@
 import { connect, createServer, type Socket } from 'node:net';
 import { Subject } from 'rxjs';
-import { ClusterScheduler } from '../src/core/cluster-scheduler.js';
-import { previousLeadersDeadlineFrom } from '../src/core/state/leadership-timing.js';
 import type { JobRecord } from '../src/core/model/job.js';
 import type { Heartbeat } from '../src/core/model/heartbeat.js';
-import { seconds, type Timestamp } from '../src/core/model/time.js';
 import { TaskCounts } from '../src/edge/state-store/task-counts.js';
 import { DecodedPageCache } from '../src/edge/state-store/decoded-page-cache.js';
 import { FinishedJobCompactor } from '../src/edge/state-store/finished-job-compactor.js';
-import { DEFAULT_SETTINGS } from '../src/edge/config/operator-settings.js';
 import { HeartbeatQueue, readHeartbeats } from '../src/edge/http/heartbeat-reader.js';
 import type { KeyChange, ReplicaEntry, StateStore } from '../src/edge/state-store/state-store.js';
 import { jobKey, pageKey, encodeJob, encodePage, type FinishedJobSummary } from '../src/wire/records.js';
 import { decode, encode } from '../src/wire/cbor.js';
-import { CLUSTER_CONFIG, MACHINE_TYPE, jobSpec } from '../test/fixtures/cluster-config.js';
+import { CLUSTER_CONFIG, jobSpec } from '../test/fixtures/cluster-config.js';
+import { timeAt } from '../test/fixtures/clock.js';
+import { createSchedulerWithType } from '../test/fixtures/scheduler.js';
 
 /**
  * What the parts of a controller hold, each built alone in one process and looked at after a full collection. Run by
@@ -47,11 +45,6 @@
   last = now;
 }
 
-const at = (s: number): Timestamp => ({
-  monotonic: seconds(1000 + s),
-  wall: new Date(Date.UTC(2030, 0, 1) + s * 1000),
-});
-
 /** A followed copy without a state service. */
 class Copy {
   readonly replica = new Map<string, ReplicaEntry>();
@@ -71,13 +64,7 @@
   }
 }
 
-const scheduler = new ClusterScheduler(CLUSTER_CONFIG, DEFAULT_SETTINGS, {
-  fencingToken: 1,
-  startedAt: at(0).monotonic,
-  confirmedAt: at(0).monotonic,
-  previousLeadersDeadline: previousLeadersDeadlineFrom(CLUSTER_CONFIG, at(0).monotonic),
-});
-scheduler.handle({ kind: 'machine-types', types: [MACHINE_TYPE] }, at(0));
+const scheduler = createSchedulerWithType();
 
 const nameOf = (n: number): string => `n-${String(n).padStart(6, '0')}`;
 
@@ -94,7 +81,7 @@
 
 const recordOf = (n: number, standing: JobRecord['status']): JobRecord => ({
   spec: jobSpec(`req-${n}`, { taskCount: TASKS }),
-  submittedAt: at(0).wall,
+  submittedAt: timeAt(0).wall,
   status: standing,
 });
 
@@ -134,12 +121,12 @@
     `engine and program (compiled by tsx): resident ${megabytes(last.rss)} MB, heap ${megabytes(last.heap)} MB`,
   );
   for (let n = 0; n < machines; n++)
-    scheduler.handle({ kind: 'heartbeat', heartbeat: reportOf(n, 1) }, at(0));
+    scheduler.handle({ kind: 'heartbeat', heartbeat: reportOf(n, 1) }, timeAt(0));
   tell(`${machines} machine records`);
   for (let n = 0; n < openJobs; n++)
     scheduler.handle(
       { kind: 'job-changed', id: `req-${n}`, record: recordOf(n, 'open'), modRevision: n + 1 },
-      at(1),
+      timeAt(1),
     );
   tell(`${openJobs} open jobs of ${TASKS} tasks, as placed by the owner`);
   const copy = new Copy();
--- a/packages/zone-recovery/test/zone-health.test.ts
+++ b/packages/zone-recovery/test/zone-health.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import * as fc from 'fast-check';
 import type { ZoneObservation, ZoneAdmissionRequest } from '../../../src/core/model/zone-policy.js';
-import { seconds, type Timestamp } from '../../../src/core/model/time.js';
+import { seconds } from '../../../src/core/model/time.js';
 import { decode, encode } from '../../../src/wire/cbor.js';
 import {
   holdDown,
@@ -15,17 +15,13 @@
   type Surroundings,
   type ZoneHealth,
 } from '../src/index.js';
+import { timeAt } from '../../../test/fixtures/clock.js';
 
 /** Sequences of losses, partial returns, flaps and takeovers. The seed is fixed, so that every run judges the same. */
 const RUNS = { seed: 20300101, numRuns: Number(process.env['ZONE_RUNS'] ?? 300) };
 const TIMING = { lease: seconds(24), report: seconds(4) };
 const MACHINES = 40;
 
-const at = (s: number): Timestamp => ({
-  monotonic: seconds(1000 + s),
-  wall: new Date(Date.UTC(2030, 0, 1) + s * 1000),
-});
-
 const names = (zone: string, count: number): string[] =>
   Array.from({ length: count }, (_, n) => `${zone}-${String(n).padStart(4, '0')}`);
 
@@ -67,20 +63,20 @@
 
 /** Plays a life second by second; the state goes through its kept record at each takeover. */
 function live(life: readonly Stretch[], check: (step: Lived) => void): ZoneHealth {
-  let health = newZone(at(0).monotonic);
+  let health = newZone(timeAt(0).monotonic);
   let s = 0;
   for (const each of life) {
     for (let n = 0; n < each.lasts; n++) {
       s += 1;
       const around = { ...AROUND, ...each };
       const before = health;
-      health = nextHealth(before, seenIn('a', each.heard), around, TIMING, at(s).monotonic).health;
+      health = nextHealth(before, seenIn('a', each.heard), around, TIMING, timeAt(s).monotonic).health;
       check({ before, after: health, around, heard: each.heard, s });
     }
     if (!each.takeover) continue;
-    const kept = writeZones(new Map([['a', health]]), at(s));
-    const by = { monotonic: at(s).monotonic, wall: new Date(at(s).wall.getTime() + each.driftMs) };
-    health = readZones(JSON.parse(JSON.stringify(kept)), by)?.get('a') ?? newZone(at(s).monotonic);
+    const kept = writeZones(new Map([['a', health]]), timeAt(s));
+    const by = { monotonic: timeAt(s).monotonic, wall: new Date(timeAt(s).wall.getTime() + each.driftMs) };
+    health = readZones(JSON.parse(JSON.stringify(kept)), by)?.get('a') ?? newZone(timeAt(s).monotonic);
   }
   return health;
 }
@@ -126,7 +122,7 @@
           seenIn('a', MACHINES),
           { ...AROUND, replicasMissing },
           TIMING,
-          at(2000 + s).monotonic,
+          timeAt(2000 + s).monotonic,
         ).health;
       assert.equal(health.phase, 'healthy');
     }),
@@ -137,12 +133,12 @@
 test('hold-downs grow with each loss up to the longest, and decay with health', () => {
   const spans = [1, 2, 3, 4, 5, 9, 40].map((losses) => Number(holdDown(losses, TIMING) / seconds(1)));
   assert.deepEqual(spans, [0, 24, 48, 96, 120, 120, 120]);
-  let health: ZoneHealth = { ...newZone(at(0).monotonic), losses: 2 };
+  let health: ZoneHealth = { ...newZone(timeAt(0).monotonic), losses: 2 };
   for (let s = 0; s < 288; s++)
-    health = nextHealth(health, seenIn('a', 40), AROUND, TIMING, at(s).monotonic).health;
+    health = nextHealth(health, seenIn('a', 40), AROUND, TIMING, timeAt(s).monotonic).health;
   assert.equal(health.losses, 2);
   for (let s = 288; s < 580; s++)
-    health = nextHealth(health, seenIn('a', 40), AROUND, TIMING, at(s).monotonic).health;
+    health = nextHealth(health, seenIn('a', 40), AROUND, TIMING, timeAt(s).monotonic).health;
   assert.equal(health.losses, 0);
 });
 
@@ -150,13 +146,13 @@
   fc.assert(
     fc.property(fc.integer({ min: -3600, max: 3600 }), fc.integer({ min: 0, max: 120 }), (driftS, holdS) => {
       const health: ZoneHealth = {
-        ...newZone(at(0).monotonic),
+        ...newZone(timeAt(0).monotonic),
         phase: 'held-down',
         losses: 3,
-        holdUntil: at(holdS).monotonic,
+        holdUntil: timeAt(holdS).monotonic,
       };
-      const by = { monotonic: at(0).monotonic, wall: new Date(at(0).wall.getTime() + driftS * 1000) };
-      const read = readZones(writeZones(new Map([['a', health]]), at(0)), by)?.get('a');
+      const by = { monotonic: timeAt(0).monotonic, wall: new Date(timeAt(0).wall.getTime() + driftS * 1000) };
+      const read = readZones(writeZones(new Map([['a', health]]), timeAt(0)), by)?.get('a');
       assert.ok(read !== undefined);
       assert.deepEqual([read.phase, read.losses], ['held-down', 3]);
       const left = read.holdUntil - by.monotonic;
@@ -174,7 +170,7 @@
       { ...newZone(0n), phase: 'lost' as const, losses: 99 },
     ]),
   );
-  assert.ok(JSON.stringify(writeZones(zones, at(0))).length < 512);
+  assert.ok(JSON.stringify(writeZones(zones, timeAt(0))).length < 512);
   for (const bad of [
     null,
     7,
@@ -183,11 +179,11 @@
     { version: 2, zones: [] },
     { version: 1, zones: [{ zone: 'a', phase: 'odd' }] },
   ])
-    assert.equal(readZones(bad, at(0)), null, JSON.stringify(bad));
+    assert.equal(readZones(bad, timeAt(0)), null, JSON.stringify(bad));
   const kept = writeZones(zones, { monotonic: 0n, wall: new Date(Date.UTC(2038, 0, 1)) });
   assert.deepEqual(decode(encode(kept)), kept, 'it comes back as it was written');
   const recovery = new ZoneRecovery(TIMING);
-  recovery.restore({ zones: 'cut sho' }, at(0));
+  recovery.restore({ zones: 'cut sho' }, timeAt(0));
   assert.equal(recovery.phaseOf('a'), 'healthy');
 });
 
@@ -214,7 +210,7 @@
         replicasMissing,
         slowestStart: seconds(10),
       },
-      at(s),
+      timeAt(s),
     );
   return from + forS;
 }
@@ -281,7 +277,7 @@
   assert.ok(record !== null);
   assert.equal(recovery.takeUnsavedRecord(), null);
   const next = new ZoneRecovery(TIMING);
-  next.restore(record, at(50));
+  next.restore(record, timeAt(50));
   assert.equal(next.phaseOf('a'), 'lost');
   assert.equal(next.takeUnsavedRecord(), null, 'what was read need not be written');
 });
--- a/packages/zone-recovery/test/zone-world.ts
+++ b/packages/zone-recovery/test/zone-world.ts
@@ -17,7 +17,12 @@
 
 const STEP_S = 0.25;
 const BOOT_S = 10;
-const WORLD_TYPE: MachineType = { ...MACHINE_TYPE, zones: [...ZONES], bootTime: seconds(BOOT_S), fetchGbPerS: 0.5 };
+const WORLD_TYPE: MachineType = {
+  ...MACHINE_TYPE,
+  zones: [...ZONES],
+  bootTime: seconds(BOOT_S),
+  fetchGbPerS: 0.5,
+};
 const WORLD_FACTS: ClusterConfig = { ...CLUSTER_CONFIG, zones: [...ZONES] };
 
 /** What machines did, as they saw it: a checker judges by this alone. */
--- a/test/announced-limits.test.ts
+++ b/test/announced-limits.test.ts
@@ -3,11 +3,7 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { test } from 'node:test';
-import { ClusterScheduler } from '../src/core/cluster-scheduler.js';
-import { previousLeadersDeadlineFrom } from '../src/core/state/leadership-timing.js';
 import type { PageEntry } from '../src/core/records/record-pages.js';
-import { seconds, type Timestamp } from '../src/core/model/time.js';
-import { DEFAULT_SETTINGS } from '../src/edge/config/operator-settings.js';
 import { CommitLoop } from '../src/edge/leadership/commit-loop.js';
 import { createLogger } from '../src/edge/runtime/logger.js';
 import { LeaderKey } from '../src/edge/leadership/leader-key.js';
@@ -18,30 +14,14 @@
   readPlatformSettings,
 } from '../src/edge/config/platform-settings.js';
 import { decodePage, encodePage } from '../src/wire/records.js';
-import { CLUSTER_CONFIG, MACHINE_TYPE, jobSpec } from './fixtures/cluster-config.js';
+import { CLUSTER_CONFIG, jobSpec } from './fixtures/cluster-config.js';
 import { ownAddress, platform } from './standins/cluster.js';
-
-const at = (s: number): Timestamp => ({
-  monotonic: seconds(1000 + s),
-  wall: new Date(Date.UTC(2030, 0, 1) + s * 1000),
-});
+import { timeAt } from './fixtures/clock.js';
+import { createSchedulerWithType } from './fixtures/scheduler.js';
 
 const SMALL = { ...CLUSTER_CONFIG, maxValueBytes: 2048, maxTransactionOperations: 4 };
 const JOBS = 14;
 
-function newOwner(config: typeof CLUSTER_CONFIG): ClusterScheduler {
-  const began = at(0).monotonic;
-  const term = {
-    fencingToken: 1,
-    startedAt: began,
-    confirmedAt: began,
-    previousLeadersDeadline: previousLeadersDeadlineFrom(config, began),
-  };
-  const scheduler = new ClusterScheduler(config, DEFAULT_SETTINGS, term);
-  scheduler.handle({ kind: 'machine-types', types: [MACHINE_TYPE] }, at(0));
-  return scheduler;
-}
-
 /** A page as a version under the larger limits left it: many jobs' places, more than may be written now. */
 function largePage(id: number): readonly PageEntry[] {
   return Array.from({ length: JOBS }, (_, n) => ({
@@ -59,27 +39,31 @@
 
 // Between two transactions a process may end: at no time may a place stand in no page that is committed.
 test('pages from before a lower limit are split in one transaction each, and nothing is ever unrecorded', () => {
-  const scheduler = newOwner(SMALL);
+  const scheduler = createSchedulerWithType({ config: SMALL });
   const ids = [1, 2, 3];
   const committed = new Map(ids.map((id) => [id, encodePage(largePage(id), CLUSTER_CONFIG.zones)]));
   for (const text of committed.values()) assert.ok(text.length > 2048);
   for (const { jobId: id } of ids.flatMap(largePage)) {
-    const record = { spec: jobSpec(id, { taskCount: 9 }), submittedAt: at(0).wall, status: 'open' as const };
-    scheduler.handle({ kind: 'job-changed', id, record, modRevision: 2 }, at(0));
+    const record = {
+      spec: jobSpec(id, { taskCount: 9 }),
+      submittedAt: timeAt(0).wall,
+      status: 'open' as const,
+    };
+    scheduler.handle({ kind: 'job-changed', id, record, modRevision: 2 }, timeAt(0));
   }
   for (const id of ids)
-    scheduler.handle({ kind: 'page-loaded', id, entries: largePage(id), modRevision: 50 }, at(0));
-  scheduler.handle({ kind: 'load-completed' }, at(0));
+    scheduler.handle({ kind: 'page-loaded', id, entries: largePage(id), modRevision: 50 }, timeAt(0));
+  scheduler.handle({ kind: 'load-completed' }, timeAt(0));
   let stamp = 100;
   for (let n = 0; n < 20; n++) {
-    const transaction = scheduler.nextTransaction(at(5));
+    const transaction = scheduler.nextTransaction(timeAt(5));
     if (transaction === null) break;
     assert.ok(transaction.pages.length <= 4);
     for (const page of transaction.pages)
       committed.set(page.id, encodePage(page.entries, CLUSTER_CONFIG.zones));
     const places = [...committed.values()].flatMap(decodePage).flatMap((entry) => entry.record.assignments);
     assert.equal(places.length, ids.length * JOBS * 9);
-    scheduler.handle({ kind: 'transaction-committed', transaction, modRevision: ++stamp }, at(5));
+    scheduler.handle({ kind: 'transaction-committed', transaction, modRevision: ++stamp }, timeAt(5));
   }
   assert.ok(committed.size > ids.length);
   for (const text of committed.values()) assert.ok(text.length <= 2048, `${text.length} bytes`);
--- a/test/cancelled-dependents.test.ts
+++ b/test/cancelled-dependents.test.ts
@@ -6,18 +6,12 @@
 import { isStartable } from '../src/core/commands/worker-commands.js';
 import { operationCount, type Transaction } from '../src/core/persistence/transactions.js';
 import { ClusterScheduler } from '../src/core/cluster-scheduler.js';
-import { previousLeadersDeadlineFrom } from '../src/core/state/leadership-timing.js';
-import { seconds, type Timestamp } from '../src/core/model/time.js';
-import { DEFAULT_SETTINGS } from '../src/edge/config/operator-settings.js';
 import { CLUSTER_CONFIG, MACHINE_TYPE, jobSpec } from './fixtures/cluster-config.js';
+import { timeAt } from './fixtures/clock.js';
+import { createScheduler } from './fixtures/scheduler.js';
 
 const DEPENDENTS = 3000;
 
-const at = (s: number): Timestamp => ({
-  monotonic: seconds(1000 + s),
-  wall: new Date(Date.UTC(2030, 0, 1) + s * 1000),
-});
-
 /** The job records of a state service, and the owners that write them. */
 class Records {
   readonly jobs = new Map<string, { record: JobRecord; modRevision: number }>();
@@ -25,23 +19,16 @@
   changes = 0;
 
   put(id: string, standing: JobRecord['status'], dependencies: readonly string[] = []): void {
-    const record = { spec: jobSpec(id, { dependencies }), submittedAt: at(0).wall, status: standing };
+    const record = { spec: jobSpec(id, { dependencies }), submittedAt: timeAt(0).wall, status: standing };
     this.jobs.set(id, { record, modRevision: ++this.stamp });
   }
 
   /** A new owner that has read everything. */
   takeOver(s: number): ClusterScheduler {
-    const began = at(s).monotonic;
-    const term = {
-      fencingToken: ++this.stamp,
-      startedAt: began,
-      confirmedAt: began,
-      previousLeadersDeadline: previousLeadersDeadlineFrom(CLUSTER_CONFIG, began),
-    };
-    const scheduler = new ClusterScheduler(CLUSTER_CONFIG, DEFAULT_SETTINGS, term);
-    scheduler.handle({ kind: 'machine-types', types: [MACHINE_TYPE] }, at(s));
-    for (const [id, job] of this.jobs) scheduler.handle({ kind: 'job-changed', id, ...job }, at(s));
-    scheduler.handle({ kind: 'load-completed' }, at(s));
+    const scheduler = createScheduler({ fencingToken: ++this.stamp, startedAt: timeAt(s).monotonic });
+    scheduler.handle({ kind: 'machine-types', types: [MACHINE_TYPE] }, timeAt(s));
+    for (const [id, job] of this.jobs) scheduler.handle({ kind: 'job-changed', id, ...job }, timeAt(s));
+    scheduler.handle({ kind: 'load-completed' }, timeAt(s));
     return scheduler;
   }
 
@@ -65,12 +52,12 @@
 }
 
 function commitNext(records: Records, scheduler: ClusterScheduler, s: number): boolean {
-  const transaction = scheduler.nextTransaction(at(s));
+  const transaction = scheduler.nextTransaction(timeAt(s));
   if (transaction === null) return false;
   assert.ok(operationCount(transaction) <= CLUSTER_CONFIG.maxTransactionOperations);
   const stamp = records.carryOut(transaction);
   if (stamp !== null)
-    scheduler.handle({ kind: 'transaction-committed', transaction, modRevision: stamp }, at(s));
+    scheduler.handle({ kind: 'transaction-committed', transaction, modRevision: stamp }, timeAt(s));
   return true;
 }
 
@@ -88,11 +75,11 @@
   while (commitNext(records, second, s)) s += 0.5;
   assert.equal(records.open, 0);
   assert.equal(records.changes, DEPENDENTS, 'each is written once');
-  second.handle({ kind: 'leadership-confirmed', confirmedAt: at(s + 130).monotonic }, at(s + 130));
-  second.handle({ kind: 'tick' }, at(s + 130));
+  second.handle({ kind: 'leadership-confirmed', confirmedAt: timeAt(s + 130).monotonic }, timeAt(s + 130));
+  second.handle({ kind: 'tick' }, timeAt(s + 130));
   assert.equal(second.state.jobs.byId.size, 0, 'nothing of them is held');
   assert.equal(
-    records.takeOver(s + 140).nextTransaction(at(s + 141)),
+    records.takeOver(s + 140).nextTransaction(timeAt(s + 141)),
     null,
     'a third owner finds nothing to do',
   );
@@ -104,8 +91,8 @@
   records.put('req-1', 'open', ['req-0']);
   const scheduler = records.takeOver(0);
   for (const s of [1, 130, 260]) {
-    scheduler.handle({ kind: 'leadership-confirmed', confirmedAt: at(s).monotonic }, at(s));
-    scheduler.handle({ kind: 'tick' }, at(s));
+    scheduler.handle({ kind: 'leadership-confirmed', confirmedAt: timeAt(s).monotonic }, timeAt(s));
+    scheduler.handle({ kind: 'tick' }, timeAt(s));
   }
   assert.equal(scheduler.state.jobs.byId.get('req-1')?.status, 'cancelled');
   assert.ok(commitNext(records, scheduler, 261));
@@ -118,14 +105,14 @@
   records.put('req-0', 'cancelled');
   records.put('req-1', 'open', ['req-0']);
   const scheduler = records.takeOver(0);
-  const transaction = scheduler.nextTransaction(at(1));
+  const transaction = scheduler.nextTransaction(timeAt(1));
   assert.deepEqual(transaction?.cancelledJobs, ['req-1']);
   records.put('req-1', 'cancelled', ['req-0']);
   assert.equal(records.carryOut(transaction), null);
   const job = records.jobs.get('req-1');
   assert.ok(job !== undefined);
-  scheduler.handle({ kind: 'job-changed', id: 'req-1', ...job }, at(1));
-  assert.equal(scheduler.nextTransaction(at(2)), null);
+  scheduler.handle({ kind: 'job-changed', id: 'req-1', ...job }, timeAt(1));
+  assert.equal(scheduler.nextTransaction(timeAt(2)), null);
 });
 
 // Places of other jobs come first, but not so that these wait for as long as there is work.
@@ -144,11 +131,11 @@
     preemptionNotice: null,
     tasks: [],
   };
-  scheduler.handle({ kind: 'heartbeat', heartbeat: report }, at(1));
-  scheduler.handle({ kind: 'leadership-confirmed', confirmedAt: at(1).monotonic }, at(1));
-  scheduler.handle({ kind: 'tick' }, at(1));
-  assert.equal(scheduler.nextTransaction(at(1))?.pages.length, 1, 'the place of req-2');
-  assert.deepEqual(scheduler.nextTransaction(at(6))?.cancelledJobs, ['req-1']);
+  scheduler.handle({ kind: 'heartbeat', heartbeat: report }, timeAt(1));
+  scheduler.handle({ kind: 'leadership-confirmed', confirmedAt: timeAt(1).monotonic }, timeAt(1));
+  scheduler.handle({ kind: 'tick' }, timeAt(1));
+  assert.equal(scheduler.nextTransaction(timeAt(1))?.pages.length, 1, 'the place of req-2');
+  assert.deepEqual(scheduler.nextTransaction(timeAt(6))?.cancelledJobs, ['req-1']);
 });
 
 // A place of a job that waits should never come to be; if one did, by a fault elsewhere, it must still not be started.
@@ -167,16 +154,16 @@
     preemptionNotice: null,
     tasks: [],
   };
-  scheduler.handle({ kind: 'leadership-confirmed', confirmedAt: at(1).monotonic }, at(1));
-  scheduler.handle({ kind: 'heartbeat', heartbeat: report }, at(1));
+  scheduler.handle({ kind: 'leadership-confirmed', confirmedAt: timeAt(1).monotonic }, timeAt(1));
+  scheduler.handle({ kind: 'heartbeat', heartbeat: report }, timeAt(1));
   const machine = state.machines.byName.get('m1');
   const starts = (id: string): boolean => {
     const job = state.jobs.byId.get(id);
     assert.ok(job !== undefined && machine !== undefined);
     const assignment =
-      job.chunks.get(0)?.assignments.get(0) ?? assignTask(state, job, 0, 1, machine, at(1).monotonic);
+      job.chunks.get(0)?.assignments.get(0) ?? assignTask(state, job, 0, 1, machine, timeAt(1).monotonic);
     chunkOf(job, 0).committedVersion = state.records.version;
-    return isStartable(state, machine, assignment, at(1).monotonic);
+    return isStartable(state, machine, assignment, timeAt(1).monotonic);
   };
   assert.equal(starts('req-0'), true);
   assert.equal(starts('req-1'), false);
--- a/test/fleet-sizing.test.ts
+++ b/test/fleet-sizing.test.ts
@@ -1,112 +1,75 @@
+/** @file How many machines the scheduler requests, keeps and drains, and how often it runs a cycle. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { forecastDemand } from '../src/core/capacity/demand-forecast.js';
 import type { JobSpec } from '../src/core/model/job.js';
-import { ClusterScheduler } from '../src/core/cluster-scheduler.js';
 import { minCycleInterval } from '../src/core/scheduling/scheduling-cycle.js';
-import { seconds, toSeconds, type Timestamp } from '../src/core/model/time.js';
-import { DEFAULT_SETTINGS } from '../src/edge/config/operator-settings.js';
-import { CLUSTER_CONFIG, MACHINE_TYPE, jobSpec } from './fixtures/cluster-config.js';
+import { seconds, toSeconds } from '../src/core/model/time.js';
+import { CLUSTER_CONFIG } from './fixtures/cluster-config.js';
+import { timeAt } from './fixtures/clock.js';
+import { createScheduler, createSchedulerWithType, heartbeatOf, openJob } from './fixtures/scheduler.js';
 
-// Seen on a large fleet: machines were rented for what waited, and all that came while they booted waited as long again.
-test('machines are rented ahead for work that comes steadily, not for what came all at once', () => {
-  const wall = new Date(Date.UTC(2030, 0, 1));
-  const at = (s: number): Timestamp => ({
-    monotonic: seconds(1000 + s),
-    wall: new Date(wall.getTime() + s * 1000),
-  });
-  const scheduler = new ClusterScheduler(CLUSTER_CONFIG, DEFAULT_SETTINGS, {
-    fencingToken: 1,
-    startedAt: at(0).monotonic,
-    confirmedAt: at(0).monotonic,
-    previousLeadersDeadline: at(0).monotonic,
-  });
-  scheduler.handle({ kind: 'machine-types', types: [MACHINE_TYPE] }, at(0));
-  scheduler.handle({ kind: 'instance-inventory', machines: [], requestedAt: at(0).monotonic }, at(0));
+// Seen on a large fleet: machines were requested for pending work only, and all work that arrived while they booted waited as
+// long again.
+test('scales out ahead of work that arrives steadily, not for a burst', () => {
+  const scheduler = createSchedulerWithType({ previousLeader: 'none' });
+  scheduler.handle({ kind: 'instance-inventory', machines: [], requestedAt: timeAt(0).monotonic }, timeAt(0));
   let n = 0;
   const submit = (s: number, count: number): void => {
     for (let k = 0; k < count; k++) {
-      const record = { spec: jobSpec(`req-${++n}`), submittedAt: at(s).wall, status: 'open' as const };
-      scheduler.handle({ kind: 'job-changed', id: `req-${n}`, record, modRevision: n + 1 }, at(s));
+      const record = openJob(`req-${++n}`, {}, s);
+      scheduler.handle({ kind: 'job-changed', id: `req-${n}`, record, modRevision: n + 1 }, timeAt(s));
     }
   };
-  // A day begins with much at once: nothing is said of a rate yet.
+  // A burst at the beginning is no arrival rate yet.
   submit(0, 100);
-  assert.equal(forecastDemand(scheduler.state, at(4)).arriving, 0);
+  assert.equal(forecastDemand(scheduler.state, timeAt(4)).arriving, 0);
   // From then on one task a second, half a machine each, for the 30 s of a boot.
   for (let s = 1; s < 60; s++) submit(s, 1);
-  const { arriving: comes } = forecastDemand(scheduler.state, at(59));
-  assert.ok(comes > 13 && comes < 17, `${comes}`);
-  const rented = scheduler
-    .handle({ kind: 'leadership-confirmed', confirmedAt: at(59).monotonic }, at(59))
-    .concat(scheduler.handle({ kind: 'tick' }, at(59)))
+  const { arriving } = forecastDemand(scheduler.state, timeAt(59));
+  assert.ok(arriving > 13 && arriving < 17, `${arriving}`);
+  const requested = scheduler
+    .handle({ kind: 'leadership-confirmed', confirmedAt: timeAt(59).monotonic }, timeAt(59))
+    .concat(scheduler.handle({ kind: 'tick' }, timeAt(59)))
     .reduce((sum, effect) => sum + (effect.kind === 'scale-out' ? effect.request.count : 0), 0);
   const waiting = [...scheduler.state.jobs.pending].length / 2;
-  assert.ok(rented > waiting + 10, `${rented} rented for ${waiting} that wait`);
+  assert.ok(requested > waiting + 10, `${requested} machines requested for ${waiting} pending`);
 });
 
-// Work whose own time is far off leaves the last empty machines to work that is wanted soon, but not for long: no job
-// may wait for 90 s while a machine that fits has room.
-test('patient work leaves the last empty machine whole, and takes it once it has waited a while', () => {
-  const wall = new Date(Date.UTC(2030, 0, 1));
-  const at = (s: number): Timestamp => ({
-    monotonic: seconds(1000 + s),
-    wall: new Date(wall.getTime() + s * 1000),
-  });
+// Work with a distant deadline leaves the last empty machine to urgent work, but not for long: no job may wait for 90 s
+// while a machine that fits has free capacity.
+test('a job with a distant deadline leaves the last empty machine free, and is assigned to it after 45 s', () => {
   const threshold = seconds(5);
-  const facts = { ...CLUSTER_CONFIG, objectives: [{ kind: 'wait', class: 'hasty', threshold, share: 0.9 }] };
-  const scheduler = new ClusterScheduler(facts, DEFAULT_SETTINGS, {
-    fencingToken: 1,
-    startedAt: at(0).monotonic,
-    confirmedAt: at(0).monotonic,
-    previousLeadersDeadline: at(0).monotonic,
-  });
-  scheduler.handle({ kind: 'machine-types', types: [MACHINE_TYPE] }, at(0));
-  const reports = (s: number, seq: number): void => {
-    scheduler.handle({ kind: 'leadership-confirmed', confirmedAt: at(s).monotonic }, at(s));
+  const config = { ...CLUSTER_CONFIG, objectives: [{ kind: 'wait', class: 'hasty', threshold, share: 0.9 }] };
+  const scheduler = createSchedulerWithType({ config, previousLeader: 'none' });
+  const sendHeartbeats = (s: number, sequence: number): void => {
+    scheduler.handle({ kind: 'leadership-confirmed', confirmedAt: timeAt(s).monotonic }, timeAt(s));
     for (let n = 0; n < 17; n++) {
-      const report = {
-        machineName: `m${n}`,
-        endpoint: `m${n}:1`,
-        type: 'big',
-        zone: 'east',
-        spot: false,
-        agentEpoch: 1,
-        sequence: seq,
-        fencingToken: 1,
-        preemptionNotice: null,
-        tasks: [],
-      };
-      scheduler.handle({ kind: 'heartbeat', heartbeat: report }, at(s));
-      scheduler.answerHeartbeat(report, at(s));
+      const heartbeat = heartbeatOf(`m${n}`, { sequence });
+      scheduler.handle({ kind: 'heartbeat', heartbeat }, timeAt(s));
+      scheduler.answerHeartbeat(heartbeat, timeAt(s));
     }
   };
-  const submit = (id: string, over: Parameters<typeof jobSpec>[1]): void => {
-    const record = { spec: jobSpec(id, over), submittedAt: wall, status: 'open' as const };
-    scheduler.handle({ kind: 'job-changed', id, record, modRevision: 5 }, at(0));
+  const submit = (id: string, overrides: Partial<JobSpec>): void => {
+    const record = openJob(id, overrides);
+    scheduler.handle({ kind: 'job-changed', id, record, modRevision: 5 }, timeAt(0));
   };
-  reports(0, 1);
+  sendHeartbeats(0, 1);
   submit('req-1', { taskCount: 16, cpus: 5, kind: 'service', priority: 'production' });
   submit('req-2', { cpus: 5, deadline: seconds(2000) });
-  const placed = (): number => scheduler.state.jobs.byId.get('req-2')?.assignedCount ?? 0;
+  const assigned = (): number => scheduler.state.jobs.byId.get('req-2')?.assignedCount ?? 0;
   assert.equal(scheduler.state.jobs.byId.get('req-1')?.assignedCount, 16);
-  for (let s = 1; s <= 90 && placed() === 0; s++) {
-    reports(s, s + 1);
-    scheduler.handle({ kind: 'tick' }, at(s));
-    assert.equal(placed(), s > 45 ? 1 : 0, `after ${s} s`);
+  for (let s = 1; s <= 90 && assigned() === 0; s++) {
+    sendHeartbeats(s, s + 1);
+    scheduler.handle({ kind: 'tick' }, timeAt(s));
+    assert.equal(assigned(), s > 45 ? 1 : 0, `after ${s} s`);
   }
-  assert.equal(placed(), 1);
+  assert.equal(assigned(), 1);
 });
 
-// Seen on 5 % of a core: passes with blocked gangs followed one another, and workers' leases ran out behind them.
-test('passes that take long are made further apart, but never too far', () => {
-  const t = seconds(1000);
-  const scheduler = new ClusterScheduler(CLUSTER_CONFIG, DEFAULT_SETTINGS, {
-    fencingToken: 1,
-    startedAt: t,
-    confirmedAt: t,
-    previousLeadersDeadline: t,
-  });
+// Seen on 5 % of a core: scheduling cycles with blocked gangs followed one another, and workers' leases expired meanwhile.
+test('slow scheduling cycles run at longer intervals, up to a maximum', () => {
+  const scheduler = createScheduler({ previousLeader: 'none' });
   assert.equal(minCycleInterval(scheduler.state), 0n);
   for (let n = 0; n < 10; n++) scheduler.recordCycleDuration(seconds(0.1));
   const gap = toSeconds(minCycleInterval(scheduler.state));
@@ -117,47 +80,22 @@
   assert.ok(minCycleInterval(scheduler.state) < seconds(0.001));
 });
 
-// Of work without GPUs on some machines and work that takes all GPUs of others, much fits together: room for what comes
-// is kept for what the work needs of the scarcest resource, not for every machine on which something is scarce.
-test('machines are kept for the scarcest resource of the fleet, and the others closed', () => {
-  const wall = new Date(Date.UTC(2030, 0, 1));
-  const at = (s: number): Timestamp => ({
-    monotonic: seconds(1000 + s),
-    wall: new Date(wall.getTime() + s * 1000),
-  });
-  const term = {
-    fencingToken: 1,
-    startedAt: at(0).monotonic,
-    confirmedAt: at(0).monotonic,
-    previousLeadersDeadline: at(0).monotonic,
-  };
-  const scheduler = new ClusterScheduler(CLUSTER_CONFIG, DEFAULT_SETTINGS, term);
-  scheduler.handle({ kind: 'machine-types', types: [MACHINE_TYPE] }, at(0));
+// Work without GPUs on some machines and work that takes all GPUs of others can be packed together: the number of machines
+// kept follows the demand for the scarcest resource, not the number of machines on which some resource is scarce.
+test('the fleet is sized for its scarcest resource, and the machines beyond are drained', () => {
+  const scheduler = createSchedulerWithType({ previousLeader: 'none' });
   for (let n = 0; n < 8; n++) {
-    const about = { machineName: `m${n}`, endpoint: `m${n}:1`, type: 'big', zone: 'east', spot: false };
-    const report = {
-      ...about,
-      agentEpoch: 1,
-      sequence: 1,
-      fencingToken: 1,
-      preemptionNotice: null,
-      tasks: [],
-    };
-    scheduler.handle({ kind: 'heartbeat', heartbeat: report }, at(0));
+    scheduler.handle({ kind: 'heartbeat', heartbeat: heartbeatOf(`m${n}`) }, timeAt(0));
   }
   const whole = { taskCount: 4, priority: 'low' as const };
-  const submit = (id: string, over: Partial<JobSpec>): void => {
-    const record = {
-      spec: jobSpec(id, { ...whole, ...over }),
-      submittedAt: at(0).wall,
-      status: 'open' as const,
-    };
-    scheduler.handle({ kind: 'job-changed', id, record, modRevision: 2 }, at(0));
+  const submit = (id: string, overrides: Partial<JobSpec>): void => {
+    const record = openJob(id, { ...whole, ...overrides });
+    scheduler.handle({ kind: 'job-changed', id, record, modRevision: 2 }, timeAt(0));
   };
   submit('req-1', { cpus: 8, gpus: 0, memory: 1 });
   submit('req-2', { cpus: 0.5, gpus: 2, memory: 1 });
-  scheduler.handle({ kind: 'leadership-confirmed', confirmedAt: at(3).monotonic }, at(3));
-  scheduler.handle({ kind: 'tick' }, at(3));
+  scheduler.handle({ kind: 'leadership-confirmed', confirmedAt: timeAt(3).monotonic }, timeAt(3));
+  scheduler.handle({ kind: 'tick' }, timeAt(3));
   const machines = [...scheduler.state.machines.byName.values()];
   assert.ok(
     machines.every((machine) => machine.assignments.size === 1),
--- a/test/job-completion.test.ts
+++ b/test/job-completion.test.ts
@@ -2,21 +2,15 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { seconds } from '../src/core/model/time.js';
-import { DEFAULT_SETTINGS } from '../src/edge/config/operator-settings.js';
 import { endAssignment, assignTask } from '../src/core/assignments/assignments.js';
 import { getOrAddMachine } from '../src/core/machines/machine-registry.js';
 import { operationCount, onCommitted } from '../src/core/persistence/transactions.js';
-import { ClusterScheduler } from '../src/core/cluster-scheduler.js';
 import { CLUSTER_CONFIG, jobSpec } from './fixtures/cluster-config.js';
+import { createScheduler } from './fixtures/scheduler.js';
 
 test('a job that is done is marked so however many pages go on changing', () => {
   // Seen on a large fleet: pages took every change of every transaction, and users heard of the end 100 s late.
-  const scheduler = new ClusterScheduler(CLUSTER_CONFIG, DEFAULT_SETTINGS, {
-    fencingToken: 1,
-    startedAt: 0n,
-    confirmedAt: 0n,
-    previousLeadersDeadline: 0n,
-  });
+  const scheduler = createScheduler({ startedAt: 0n, previousLeader: 'none' });
   const state = scheduler.state;
   const now = { monotonic: seconds(1), wall: new Date(0) };
   const machine = getOrAddMachine(state, 'm', 0n);
--- a/test/leader-overload.test.ts
+++ b/test/leader-overload.test.ts
@@ -2,23 +2,23 @@
 import { connect, type Socket } from 'node:net';
 import { Duplex } from 'node:stream';
 import { test } from 'node:test';
-import { ClusterScheduler } from '../src/core/cluster-scheduler.js';
 import type { Transaction } from '../src/core/persistence/transactions.js';
 import { minCycleInterval } from '../src/core/scheduling/scheduling-cycle.js';
-import { seconds, type Timestamp } from '../src/core/model/time.js';
+import { seconds } from '../src/core/model/time.js';
 import type { Effect } from '../src/core/model/effects.js';
 import type { WorkerCommand } from '../src/core/model/worker-command.js';
-import { DEFAULT_SETTINGS } from '../src/edge/config/operator-settings.js';
 import { Listener } from '../src/edge/http/listener.js';
 import { parseTarget } from '../src/edge/net/http-client.js';
 import { isHealthy } from '../src/edge/http/health.js';
 import { HeartbeatQueue, readHeartbeats } from '../src/edge/http/heartbeat-reader.js';
 import { WorkerCommandSender } from '../src/edge/workers/worker-command-sender.js';
-import { CLUSTER_CONFIG, MACHINE_TYPE, jobSpec } from './fixtures/cluster-config.js';
+import { jobSpec } from './fixtures/cluster-config.js';
 import { listen } from './standins/http.js';
 import { ownAddress, makeSite, platform, startController, until } from './standins/cluster.js';
 import { StateStandIn } from './standins/state-store.js';
 import { Watch } from './standins/worker.js';
+import { timeAt } from './fixtures/clock.js';
+import { createSchedulerWithType } from './fixtures/scheduler.js';
 
 /**
  * A process that is behind: a takeover on a small share of a core. What is guarded here was lost one after the other
@@ -206,27 +206,14 @@
   running.unsubscribe();
 });
 
-const wall = new Date(Date.UTC(2030, 0, 1));
-const at = (s: number): Timestamp => ({
-  monotonic: seconds(1000 + s),
-  wall: new Date(wall.getTime() + s * 1000),
-});
-
 /** An owner with machines that report, one of which holds a committed replica. */
 class Behind {
-  readonly scheduler = new ClusterScheduler(CLUSTER_CONFIG, DEFAULT_SETTINGS, {
-    fencingToken: 1,
-    startedAt: at(0).monotonic,
-    confirmedAt: at(0).monotonic,
-    previousLeadersDeadline: at(0).monotonic,
-  });
+  readonly scheduler = createSchedulerWithType({ previousLeader: 'none' });
   session = 1;
   private seq = 0;
   private stamp = 10;
 
-  constructor(private readonly machines: number) {
-    this.scheduler.handle({ kind: 'machine-types', types: [MACHINE_TYPE] }, at(0));
-  }
+  constructor(private readonly machines: number) {}
 
   late(s: number): void {
     for (let n = 0; n < 20; n++) this.scheduler.recordEventLoopLag(seconds(s));
@@ -235,7 +222,7 @@
   /** Each machine reports, with what it is told to hold; what its answer carries comes back. */
   report(s: number, token = 1, holds: Record<string, readonly string[]> = {}): WorkerCommand[] {
     this.seq += 1;
-    this.scheduler.handle({ kind: 'leadership-confirmed', confirmedAt: at(s).monotonic }, at(s));
+    this.scheduler.handle({ kind: 'leadership-confirmed', confirmedAt: timeAt(s).monotonic }, timeAt(s));
     const commands: WorkerCommand[] = [];
     for (let n = 0; n < this.machines; n++) {
       const tasks = (holds[`m${n}`] ?? []).map((job) => ({
@@ -257,8 +244,8 @@
         preemptionNotice: null,
         tasks,
       };
-      this.scheduler.handle({ kind: 'heartbeat', heartbeat: whole }, at(s));
-      commands.push(...this.scheduler.answerHeartbeat(whole, at(s)));
+      this.scheduler.handle({ kind: 'heartbeat', heartbeat: whole }, timeAt(s));
+      commands.push(...this.scheduler.answerHeartbeat(whole, timeAt(s)));
     }
     return commands;
   }
@@ -269,20 +256,20 @@
     over: Parameters<typeof jobSpec>[1],
     standing: 'open' | 'cancelled' = 'open',
   ): Effect[] {
-    const record = { spec: jobSpec(id, over), submittedAt: at(s).wall, status: standing };
-    return this.scheduler.handle({ kind: 'job-changed', id, record, modRevision: ++this.stamp }, at(s));
+    const record = { spec: jobSpec(id, over), submittedAt: timeAt(s).wall, status: standing };
+    return this.scheduler.handle({ kind: 'job-changed', id, record, modRevision: ++this.stamp }, timeAt(s));
   }
 
   commit(s: number): Effect[] {
-    const transaction = this.scheduler.nextTransaction(at(s)) as Transaction;
+    const transaction = this.scheduler.nextTransaction(timeAt(s)) as Transaction;
     return this.scheduler.handle(
       { kind: 'transaction-committed', transaction, modRevision: ++this.stamp },
-      at(s),
+      timeAt(s),
     );
   }
 
   tick(s: number): Effect[] {
-    return this.scheduler.handle({ kind: 'tick' }, at(s));
+    return this.scheduler.handle({ kind: 'tick' }, timeAt(s));
   }
 }
 
@@ -322,7 +309,7 @@
     ...{ name, endpoint: `${name}:1`, type: 'big', zone: 'east', spot: false },
     ...{ state: 'running' as const, age: seconds(60) },
   }));
-  b.scheduler.handle({ kind: 'instance-inventory', machines, requestedAt: at(0).monotonic }, at(0));
+  b.scheduler.handle({ kind: 'instance-inventory', machines, requestedAt: timeAt(0).monotonic }, timeAt(0));
 }
 
 test('a new owner asks all machines that nobody hears for its token, but hardly any while it is behind', () => {
@@ -370,9 +357,9 @@
     const returned: Effect[] = [];
     for (let s = 1; s < 9; s++) {
       // All others go on reporting.
-      b.scheduler.handle({ kind: 'leadership-confirmed', confirmedAt: at(s).monotonic }, at(s));
+      b.scheduler.handle({ kind: 'leadership-confirmed', confirmedAt: timeAt(s).monotonic }, timeAt(s));
       for (const machine of b.scheduler.state.machines.byName.values())
-        if (machine !== place) machine.lastHeartbeatAt = at(s).monotonic;
+        if (machine !== place) machine.lastHeartbeatAt = timeAt(s).monotonic;
       returned.push(...b.tick(s).filter((effect) => effect.kind === 'scale-in'));
     }
     assert.equal(returned.length, late === 0 ? 1 : 0);
--- a/test/memory-bounds.test.ts
+++ b/test/memory-bounds.test.ts
@@ -1,15 +1,11 @@
 import assert from 'node:assert/strict';
 import { Subject } from 'rxjs';
 import { test } from 'node:test';
-import { ClusterScheduler } from '../src/core/cluster-scheduler.js';
-import { previousLeadersDeadlineFrom } from '../src/core/state/leadership-timing.js';
-import { seconds, type Timestamp } from '../src/core/model/time.js';
 import { TaskCounts } from '../src/edge/state-store/task-counts.js';
 import { DecodedPageCache } from '../src/edge/state-store/decoded-page-cache.js';
 import { FinishedJobCompactor } from '../src/edge/state-store/finished-job-compactor.js';
 import { createLogger } from '../src/edge/runtime/logger.js';
 import { ImageCacheObserver } from '../src/edge/state-store/image-cache-observer.js';
-import { DEFAULT_SETTINGS } from '../src/edge/config/operator-settings.js';
 import type { KeyChange, ReplicaEntry, StateStore } from '../src/edge/state-store/state-store.js';
 import {
   FinishedJobSummary,
@@ -19,30 +15,14 @@
   encodeJob,
   encodePage,
 } from '../src/wire/records.js';
-import { CLUSTER_CONFIG, MACHINE_TYPE, jobSpec } from './fixtures/cluster-config.js';
+import { jobSpec } from './fixtures/cluster-config.js';
+import { timeAt } from './fixtures/clock.js';
+import { createSchedulerWithType } from './fixtures/scheduler.js';
 
 /**
  * What was won for small machines, guarded by counts: memory that does not grow with the jobs that were ever run, and
  * nothing that is done anew while nothing changes.
  */
-const at = (s: number): Timestamp => ({
-  monotonic: seconds(1000 + s),
-  wall: new Date(Date.UTC(2030, 0, 1) + s * 1000),
-});
-
-function newOwner(): ClusterScheduler {
-  const began = at(0).monotonic;
-  const term = {
-    fencingToken: 1,
-    startedAt: began,
-    confirmedAt: began,
-    previousLeadersDeadline: previousLeadersDeadlineFrom(CLUSTER_CONFIG, began),
-  };
-  const scheduler = new ClusterScheduler(CLUSTER_CONFIG, DEFAULT_SETTINGS, term);
-  scheduler.handle({ kind: 'machine-types', types: [MACHINE_TYPE] }, at(0));
-  return scheduler;
-}
-
 /** A followed copy without a state service. */
 class Copy {
   readonly replica = new Map<string, ReplicaEntry>();
@@ -64,7 +44,7 @@
   job(id: string, standing: 'open' | 'done' | 'cancelled'): void {
     this.put(
       jobKey(id),
-      encodeJob({ spec: jobSpec(id, { taskCount: 3 }), submittedAt: at(0).wall, status: standing }),
+      encodeJob({ spec: jobSpec(id, { taskCount: 3 }), submittedAt: timeAt(0).wall, status: standing }),
     );
   }
 
@@ -161,10 +141,10 @@
 });
 
 test('the owner lets go of jobs that have been over for a while', () => {
-  const scheduler = newOwner();
+  const scheduler = createSchedulerWithType();
   for (let n = 0; n < 3000; n++) {
-    const record = { spec: jobSpec(`req-${n}`), submittedAt: at(n).wall, status: 'open' as const };
-    scheduler.handle({ kind: 'job-changed', id: `req-${n}`, record, modRevision: 2 * n + 1 }, at(n));
+    const record = { spec: jobSpec(`req-${n}`), submittedAt: timeAt(n).wall, status: 'open' as const };
+    scheduler.handle({ kind: 'job-changed', id: `req-${n}`, record, modRevision: 2 * n + 1 }, timeAt(n));
     scheduler.handle(
       {
         kind: 'job-changed',
@@ -172,17 +152,17 @@
         record: { ...record, status: 'cancelled' },
         modRevision: 2 * n + 2,
       },
-      at(n),
+      timeAt(n),
     );
-    scheduler.handle({ kind: 'leadership-confirmed', confirmedAt: at(n).monotonic }, at(n));
-    scheduler.handle({ kind: 'tick' }, at(n));
+    scheduler.handle({ kind: 'leadership-confirmed', confirmedAt: timeAt(n).monotonic }, timeAt(n));
+    scheduler.handle({ kind: 'tick' }, timeAt(n));
   }
   assert.ok(scheduler.state.jobs.byId.size <= 125, `${scheduler.state.jobs.byId.size} jobs are held`);
   assert.equal(scheduler.state.jobs.byId.size, scheduler.state.jobs.finished.size);
 });
 
 test('while nothing waits, passes look at no machine and no report brings one about', () => {
-  const scheduler = newOwner();
+  const scheduler = createSchedulerWithType();
   const hello = (s: number): void => {
     for (let n = 0; n < 20; n++) {
       const machine = { machineName: `m${n}`, endpoint: `m${n}:1`, type: 'big', zone: 'east', spot: false };
@@ -194,17 +174,17 @@
         preemptionNotice: null,
         tasks: [],
       };
-      scheduler.handle({ kind: 'heartbeat', heartbeat: report }, at(s));
-      scheduler.answerHeartbeat(report, at(s));
+      scheduler.handle({ kind: 'heartbeat', heartbeat: report }, timeAt(s));
+      scheduler.answerHeartbeat(report, timeAt(s));
     }
-    scheduler.handle({ kind: 'leadership-confirmed', confirmedAt: at(s).monotonic }, at(s));
-    scheduler.handle({ kind: 'tick' }, at(s));
+    scheduler.handle({ kind: 'leadership-confirmed', confirmedAt: timeAt(s).monotonic }, timeAt(s));
+    scheduler.handle({ kind: 'tick' }, timeAt(s));
   };
   for (let s = 0; s < 5; s++) hello(s);
   const before = scheduler.state.machines.scanned;
   for (let s = 5; s < 25; s++) hello(s);
   assert.equal(scheduler.state.machines.scanned, before);
-  const record = { spec: jobSpec('req-1'), submittedAt: at(25).wall, status: 'open' as const };
-  scheduler.handle({ kind: 'job-changed', id: 'req-1', record, modRevision: 9 }, at(25));
+  const record = { spec: jobSpec('req-1'), submittedAt: timeAt(25).wall, status: 'open' as const };
+  scheduler.handle({ kind: 'job-changed', id: 'req-1', record, modRevision: 9 }, timeAt(25));
   assert.equal(scheduler.state.machines.scanned, before + 20, 'one pass for the new job');
 });
--- a/test/record-pages.test.ts
+++ b/test/record-pages.test.ts
@@ -1,23 +1,17 @@
 /** @file The size limit and the round trip of record pages. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { DEFAULT_SETTINGS } from '../src/edge/config/operator-settings.js';
 import { decode, encode } from '../src/wire/cbor.js';
 import { taskCountsIn, pageKey, parseKey, decodePage, encodePage } from '../src/wire/records.js';
 import { CHUNK_TASKS, chunkRecordOf } from '../src/core/records/chunks.js';
 import { assignTask } from '../src/core/assignments/assignments.js';
 import { getOrAddMachine } from '../src/core/machines/machine-registry.js';
-import { ClusterScheduler } from '../src/core/cluster-scheduler.js';
 import { pageEntriesOf } from '../src/core/records/record-pages.js';
-import { CLUSTER_CONFIG, jobSpec } from './fixtures/cluster-config.js';
+import { jobSpec } from './fixtures/cluster-config.js';
+import { createScheduler } from './fixtures/scheduler.js';
 
 test('a page with the longest names stays below the value limit, and comes back as it was', () => {
-  const scheduler = new ClusterScheduler(CLUSTER_CONFIG, DEFAULT_SETTINGS, {
-    fencingToken: 1,
-    startedAt: 0n,
-    confirmedAt: 0n,
-    previousLeadersDeadline: 0n,
-  });
+  const scheduler = createScheduler({ startedAt: 0n, previousLeader: 'none' });
   const now = { monotonic: 0n, wall: new Date(0) };
   const zone = 'a-zone-with-a-name';
   for (let n = 0; n < 12; n++) {
--- a/test/trace-runner.ts
+++ b/test/trace-runner.ts
@@ -8,12 +8,10 @@
 import type { JobRecord, JobSpec } from '../src/core/model/job.js';
 import type { Heartbeat } from '../src/core/model/heartbeat.js';
 import { pendingJobsInOrder } from '../src/core/scheduling/scheduling-cycle.js';
-import { previousLeadersDeadlineFrom } from '../src/core/state/leadership-timing.js';
 import { seconds, type Timestamp } from '../src/core/model/time.js';
 import type { Effect } from '../src/core/model/effects.js';
-import { DEFAULT_SETTINGS } from '../src/edge/config/operator-settings.js';
 import { timeAt } from './fixtures/clock.js';
-import { CLUSTER_CONFIG, MACHINE_TYPE, jobSpec } from './fixtures/cluster-config.js';
+import { jobSpec } from './fixtures/cluster-config.js';
 import {
   flagOf,
   formatCommand,
@@ -26,6 +24,7 @@
   type TraceArguments,
   type TraceLine,
 } from './trace-language.js';
+import { createSchedulerWithType } from './fixtures/scheduler.js';
 
 type CommandOutcome = 'executed' | 'refused' | 'unknown';
 
@@ -42,14 +41,7 @@
   private readonly sequences = new Map<string, number>();
 
   constructor() {
-    const began = this.now().monotonic;
-    this.scheduler = new ClusterScheduler(CLUSTER_CONFIG, DEFAULT_SETTINGS, {
-      fencingToken: FENCING_TOKEN,
-      startedAt: began,
-      confirmedAt: began,
-      previousLeadersDeadline: previousLeadersDeadlineFrom(CLUSTER_CONFIG, began),
-    });
-    this.handle({ kind: 'machine-types', types: [MACHINE_TYPE] });
+    this.scheduler = createSchedulerWithType({ fencingToken: FENCING_TOKEN });
   }
 
   /** Runs all lines of a trace; an error names the file and the line. */
--- a/test/transactions.test.ts
+++ b/test/transactions.test.ts
@@ -1,68 +1,35 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { ClusterScheduler } from '../src/core/cluster-scheduler.js';
-import { previousLeadersDeadlineFrom } from '../src/core/state/leadership-timing.js';
-import { seconds, type Timestamp } from '../src/core/model/time.js';
-import { DEFAULT_SETTINGS } from '../src/edge/config/operator-settings.js';
-import { CLUSTER_CONFIG, MACHINE_TYPE, jobSpec } from './fixtures/cluster-config.js';
-
-const at = (s: number): Timestamp => ({
-  monotonic: seconds(1000 + s),
-  wall: new Date(Date.UTC(2030, 0, 1) + s * 1000),
-});
+import { CLUSTER_CONFIG, MACHINE_TYPE } from './fixtures/cluster-config.js';
+import { timeAt } from './fixtures/clock.js';
+import { createSchedulerWithType, heartbeatOf, openJob } from './fixtures/scheduler.js';
 
 // After an outage hundreds of one-task jobs are placed in one pass. Each of them has its key guarded when its place is
 // committed, and a page with more of them than a transaction takes conditions could never be written.
 test('however many small jobs start at once, all their places come to be committed', () => {
   for (const txnOps of [4, 8]) {
-    const began = at(0).monotonic;
-    const term = {
-      fencingToken: 1,
-      startedAt: began,
-      confirmedAt: began,
-      previousLeadersDeadline: previousLeadersDeadlineFrom(CLUSTER_CONFIG, began),
-    };
-    const scheduler = new ClusterScheduler(
-      { ...CLUSTER_CONFIG, maxTransactionOperations: txnOps },
-      DEFAULT_SETTINGS,
-      term,
+    const began = timeAt(0).monotonic;
+    const scheduler = createSchedulerWithType(
+      { config: { ...CLUSTER_CONFIG, maxTransactionOperations: txnOps } },
+      { ...MACHINE_TYPE, cpus: 1000, gpus: 1000, memory: 10_000 },
     );
-    scheduler.handle(
-      { kind: 'machine-types', types: [{ ...MACHINE_TYPE, cpus: 1000, gpus: 1000, memory: 10_000 }] },
-      at(0),
-    );
-    for (const seq of [1, 2]) {
-      const machine = { machineName: 'm1', endpoint: 'm1:1', type: 'big', zone: 'east', spot: false };
-      scheduler.handle(
-        {
-          kind: 'heartbeat',
-          heartbeat: {
-            ...machine,
-            agentEpoch: 1,
-            sequence: seq,
-            fencingToken: 1,
-            preemptionNotice: null,
-            tasks: [],
-          },
-        },
-        at(0),
-      );
-    }
+    for (const sequence of [1, 2])
+      scheduler.handle({ kind: 'heartbeat', heartbeat: heartbeatOf('m1', { sequence }) }, timeAt(0));
     scheduler.state.scheduling.cycleNeeded = false;
     for (let n = 0; n < 240; n++) {
-      const record = { spec: jobSpec(`req-${n}`), submittedAt: at(0).wall, status: 'open' as const };
-      scheduler.state.scheduling.lastCycleAt = at(100).monotonic;
-      scheduler.handle({ kind: 'job-changed', id: `req-${n}`, record, modRevision: n + 2 }, at(0));
+      const record = openJob(`req-${n}`);
+      scheduler.state.scheduling.lastCycleAt = timeAt(100).monotonic;
+      scheduler.handle({ kind: 'job-changed', id: `req-${n}`, record, modRevision: n + 2 }, timeAt(0));
     }
     scheduler.state.scheduling.lastCycleAt = began;
-    scheduler.handle({ kind: 'leadership-confirmed', confirmedAt: at(1).monotonic }, at(1));
-    scheduler.handle({ kind: 'tick' }, at(3));
+    scheduler.handle({ kind: 'leadership-confirmed', confirmedAt: timeAt(1).monotonic }, timeAt(1));
+    scheduler.handle({ kind: 'tick' }, timeAt(3));
     let stamp = 1000;
     for (let n = 0; n < 200; n++) {
-      const transaction = scheduler.nextTransaction(at(10));
+      const transaction = scheduler.nextTransaction(timeAt(10));
       if (transaction === null) break;
       assert.ok(transaction.guardedJobs.size + transaction.pages.length + 1 <= 4 * txnOps);
-      scheduler.handle({ kind: 'transaction-committed', transaction, modRevision: ++stamp }, at(10));
+      scheduler.handle({ kind: 'transaction-committed', transaction, modRevision: ++stamp }, timeAt(10));
     }
     const placed = [...scheduler.state.jobs.byId.values()].filter((job) => job.assignedCount > 0);
     assert.equal(placed.length, 240);
--- a/test/zones.test.ts
+++ b/test/zones.test.ts
@@ -3,18 +3,13 @@
 import type { Effect } from '../src/core/model/effects.js';
 import type { JobSpec } from '../src/core/model/job.js';
 import { ClusterScheduler } from '../src/core/cluster-scheduler.js';
-import { seconds, type Timestamp } from '../src/core/model/time.js';
 import type { FleetObservation, ZonePolicy, ZoneAdmissionRequest } from '../src/core/model/zone-policy.js';
-import { DEFAULT_SETTINGS } from '../src/edge/config/operator-settings.js';
-import { CLUSTER_CONFIG, MACHINE_TYPE, jobSpec } from './fixtures/cluster-config.js';
+import { jobSpec } from './fixtures/cluster-config.js';
+import { timeAt } from './fixtures/clock.js';
+import { createSchedulerWithType } from './fixtures/scheduler.js';
 
 // Where the core asks a policy for lost and returning zones, and what it does with the answers.
 
-const at = (s: number): Timestamp => ({
-  monotonic: seconds(1000 + s),
-  wall: new Date(Date.UTC(2030, 0, 1) + s * 1000),
-});
-
 /** A policy that says what it is told to. */
 class Policy implements ZonePolicy {
   seen: FleetObservation | null = null;
@@ -54,15 +49,11 @@
   private seq = 0;
 
   constructor(readonly policy: Policy | null) {
-    const term = {
-      fencingToken: 1,
-      startedAt: at(0).monotonic,
-      confirmedAt: at(0).monotonic,
-      previousLeadersDeadline: at(0).monotonic,
-    };
-    this.scheduler = new ClusterScheduler(CLUSTER_CONFIG, DEFAULT_SETTINGS, term, policy);
-    this.scheduler.handle({ kind: 'machine-types', types: [MACHINE_TYPE] }, at(0));
-    this.scheduler.handle({ kind: 'instance-inventory', machines: [], requestedAt: at(0).monotonic }, at(0));
+    this.scheduler = createSchedulerWithType({ previousLeader: 'none', policy });
+    this.scheduler.handle(
+      { kind: 'instance-inventory', machines: [], requestedAt: timeAt(0).monotonic },
+      timeAt(0),
+    );
   }
 
   report(s: number, ...machines: readonly string[]): void {
@@ -78,18 +69,18 @@
         preemptionNotice: null,
         tasks: [],
       };
-      this.scheduler.handle({ kind: 'heartbeat', heartbeat: report }, at(s));
+      this.scheduler.handle({ kind: 'heartbeat', heartbeat: report }, timeAt(s));
     }
   }
 
   submit(s: number, id: string, over: Partial<JobSpec>): void {
-    const record = { spec: jobSpec(id, over), submittedAt: at(s).wall, status: 'open' as const };
-    this.scheduler.handle({ kind: 'job-changed', id, record, modRevision: 2 }, at(s));
+    const record = { spec: jobSpec(id, over), submittedAt: timeAt(s).wall, status: 'open' as const };
+    this.scheduler.handle({ kind: 'job-changed', id, record, modRevision: 2 }, timeAt(s));
   }
 
   tick(s: number): readonly Effect[] {
-    this.scheduler.handle({ kind: 'leadership-confirmed', confirmedAt: at(s).monotonic }, at(s));
-    return this.scheduler.handle({ kind: 'tick' }, at(s));
+    this.scheduler.handle({ kind: 'leadership-confirmed', confirmedAt: timeAt(s).monotonic }, timeAt(s));
+    return this.scheduler.handle({ kind: 'tick' }, timeAt(s));
   }
 
   on(machine: string): string[] {
