--- a/src/core/assignments/assignments.ts
+++ b/src/core/assignments/assignments.ts
@@ -31,7 +31,7 @@
     zone: machine.zone,
     recordVersion: state.records.version,
     createdAt: now,
-    phase: 'placed',
+    phase: 'assigned',
     stopRequest: null,
     startSentInSequence: null,
     startSentAt: null,
@@ -134,8 +134,8 @@
     endAssignment(state, assignment, false, `never sent: ${reason}`, now);
     return;
   }
-  if (assignment.stopRequest !== null && assignment.stopRequest.grace <= grace) return;
-  assignment.stopRequest = { grace, reason, requestedAt: now };
+  if (assignment.stopRequest !== null && assignment.stopRequest.gracePeriodS <= grace) return;
+  assignment.stopRequest = { gracePeriodS: grace, reason, requestedAt: now };
   const machine = state.machines.byName.get(assignment.machineName);
   if (machine !== undefined) machine.resources = null;
   if (machine === undefined || machine.agentEpoch !== assignment.agentEpoch || !machine.fenced) return;
--- a/src/core/capacity/scale-in.ts
+++ b/src/core/capacity/scale-in.ts
@@ -8,7 +8,7 @@
 import type { Machine, MachineType } from '../model/machine.js';
 import { NO_CAPACITY, PREEMPTION_IN_PROGRESS } from '../scheduling/scheduling-cycle.js';
 import { estimatedSeconds } from '../jobs/deadline-slack.js';
-import type { Resources } from '../scheduling/scoring.js';
+import type { Resources } from '../model/resources.js';
 import { type Timestamp, seconds, toSeconds } from '../model/time.js';
 import { isZoneUnavailable } from '../scheduling/zone-availability.js';
 
--- a/src/core/capacity/scale-out.ts
+++ b/src/core/capacity/scale-out.ts
@@ -9,7 +9,8 @@
 import type { Job } from '../model/job.js';
 import type { MachineType } from '../model/machine.js';
 import { estimatedSeconds, startDeadline } from '../jobs/deadline-slack.js';
-import { type Resources, fits, isZoneAllowed } from '../scheduling/scoring.js';
+import type { Resources } from '../model/resources.js';
+import { fits, isZoneAllowed } from '../scheduling/scoring.js';
 import { type Timestamp, seconds, toSeconds } from '../model/time.js';
 import { isZoneUnavailable } from '../scheduling/zone-availability.js';
 
--- a/src/core/cluster-scheduler.ts
+++ b/src/core/cluster-scheduler.ts
@@ -377,7 +377,7 @@
 
   private affected(transaction: Transaction): Assignment[] {
     const out: Assignment[] = [];
-    for (const id of transaction.guardedJobs.keys()) {
+    for (const id of transaction.jobConditions.keys()) {
       const job = this.state.jobs.byId.get(id);
       if (job !== undefined && job.status === 'open') out.push(...assignmentsOf(job));
     }
--- a/src/core/commands/worker-commands.ts
+++ b/src/core/commands/worker-commands.ts
@@ -116,7 +116,7 @@
 
 /** A task that was told to save but does not end is ended, once it had twice its time. */
 function graceNow(state: ClusterState, assignment: Assignment, now: MonotonicTime): number {
-  const grace = assignment.stopRequest?.grace ?? 0;
+  const grace = assignment.stopRequest?.gracePeriodS ?? 0;
   if (assignment.stopRequest === null || grace === 0) return 0;
   const allowed = seconds(grace * 2) + state.config.gangPeerTimeout + state.config.heartbeatInterval * 2n;
   return now - assignment.stopRequest.requestedAt > allowed ? 0 : grace;
@@ -184,7 +184,7 @@
   const job = state.jobs.byId.get(assignment.jobId);
   if (job === undefined || job.status !== 'open' || assignment.stopRequest !== null) return false;
   if (state.jobs.dependencies.isWaiting(assignment.jobId)) return false;
-  if (assignment.agentEpoch !== machine.agentEpoch || !machine.fenced || assignment.phase !== 'placed')
+  if (assignment.agentEpoch !== machine.agentEpoch || !machine.fenced || assignment.phase !== 'assigned')
     return false;
   if (!isAssignmentCommitted(job, assignment) || !mayStartTasks(state.term.confirmedAt, now)) return false;
   // A gang starts as one: no member before all are committed.
@@ -218,7 +218,7 @@
   let last = 0;
   for (const chunk of job.chunks.values())
     for (const other of chunk.assignments.values()) {
-      if (other === assignment || (other.phase !== 'placed' && other.phase !== 'fetching')) continue;
+      if (other === assignment || (other.phase !== 'assigned' && other.phase !== 'fetching')) continue;
       const passed = other.startSentAt === null ? 0 : toSeconds(now - other.startSentAt);
       last = Math.max(last, fetch(state.machines.byName.get(other.machineName)) - passed);
     }
--- a/src/core/machines/free-resources.ts
+++ b/src/core/machines/free-resources.ts
@@ -3,7 +3,7 @@
 import { leaseExpiry } from '../reconciliation/worker-leases.js';
 import type { Machine } from '../model/machine.js';
 import type { JobSpec } from '../model/job.js';
-import type { Resources } from '../scheduling/scoring.js';
+import type { Resources } from '../model/resources.js';
 import { type MonotonicTime, seconds } from '../model/time.js';
 
 /** Whether a task may be placed here now. */
--- a/src/core/machines/machine-registry.ts
+++ b/src/core/machines/machine-registry.ts
@@ -43,7 +43,10 @@
       hasOrphanedTasks: false,
     };
     state.machines.byName.set(name, machine);
-    state.machines.longestName = Math.max(state.machines.longestName, encodeURIComponent(name).length);
+    state.machines.longestNameBytes = Math.max(
+      state.machines.longestNameBytes,
+      encodeURIComponent(name).length,
+    );
   }
   return machine;
 }
--- a/src/core/model/assignment.ts
+++ b/src/core/model/assignment.ts
@@ -14,7 +14,7 @@
   phase: AssignmentPhase;
   /** Set when the task is to end here; `grace` goes into the `halt`. */
   stopRequest: {
-    readonly grace: number;
+    readonly gracePeriodS: number;
     readonly reason: string;
     readonly requestedAt: MonotonicTime;
   } | null;
@@ -26,7 +26,7 @@
 }
 
 /** How far a placed task has come, as reported. */
-export type AssignmentPhase = 'placed' | 'fetching' | 'waiting' | 'running' | 'saving';
+export type AssignmentPhase = 'assigned' | 'fetching' | 'waiting' | 'running' | 'checkpointing';
 
 /** Names a task. */
 export const taskKey = (job: string, task: number): string => `${job}/${task}`;
--- a/src/core/model/heartbeat.ts
+++ b/src/core/model/heartbeat.ts
@@ -5,7 +5,7 @@
   readonly jobId: string;
   readonly taskIndex: number;
   readonly attempt: number;
-  readonly state: 'fetching' | 'waiting' | 'running' | 'saving' | 'exited';
+  readonly state: 'fetching' | 'waiting' | 'running' | 'checkpointing' | 'exited';
   readonly exitReason: string | null;
   readonly checkpointed: boolean;
 }
--- a/src/core/persistence/recovery.ts
+++ b/src/core/persistence/recovery.ts
@@ -8,7 +8,7 @@
 import { type Assignment, taskKey } from '../model/assignment.js';
 import type { Job, JobRecord } from '../model/job.js';
 import type { RecordPage } from '../model/records.js';
-import type { PageEntry } from '../records/record-pages.js';
+import { type PageEntry, poolOf } from '../records/record-pages.js';
 import type { Timestamp } from '../model/time.js';
 
 /** A job's record as read or followed. New jobs come in; a cancellation stops what may run. */
@@ -81,7 +81,7 @@
 ): void {
   const page: RecordPage = {
     id,
-    pool: 'passing',
+    pool: 'batch',
     modRevision,
     version: 0,
     committedVersion: 0,
@@ -103,7 +103,7 @@
   const chunk = newChunk(id, entry.chunkIndex, img.highestAttempt, img.completedTasks);
   chunk.page = page;
   page.chunks.add(chunk);
-  page.pool = job.spec.kind === 'service' ? 'lasting' : 'passing';
+  page.pool = poolOf(job);
   job.chunks.set(entry.chunkIndex, chunk);
   job.completedCount += chunk.completedTasks.size;
   for (const t of chunk.completedTasks) job.unassignedTasks.delete(t);
@@ -113,7 +113,7 @@
       jobId: id,
       recordVersion: 0,
       createdAt: now.monotonic,
-      phase: 'placed',
+      phase: 'assigned',
       stopRequest: null,
       // It may have been sent by an earlier owner: only proof ends it.
       startSentInSequence: 0,
--- a/src/core/persistence/transactions.ts
+++ b/src/core/persistence/transactions.ts
@@ -23,7 +23,7 @@
 export interface Transaction {
   readonly fencingToken: number;
   /** Jobs whose stamps are guarded. */
-  readonly guardedJobs: ReadonlyMap<string, number>;
+  readonly jobConditions: ReadonlyMap<string, number>;
   readonly pages: readonly PageWrite[];
   readonly completedJobs: readonly string[];
   /** Jobs cancelled through a dependency, whose own records are to say so. */
@@ -129,7 +129,7 @@
   state.records.cancellationsWrittenAt = now;
   return {
     fencingToken: state.term.fencingToken,
-    guardedJobs: jobs,
+    jobConditions: jobs,
     pages: [],
     completedJobs: [],
     cancelledJobs: [...jobs.keys()],
@@ -142,7 +142,7 @@
   if (tied !== undefined)
     return {
       fencingToken: state.term.fencingToken,
-      guardedJobs: startingJobs(state, tied),
+      jobConditions: startingJobs(state, tied),
       pages: writesOf(state, tied),
       completedJobs: [],
       cancelledJobs: [],
@@ -176,7 +176,7 @@
   if (ids.length === 0 && done.length === 0) return cancellations(state, now);
   return {
     fencingToken: state.term.fencingToken,
-    guardedJobs: jobs,
+    jobConditions: jobs,
     pages: writesOf(state, ids),
     completedJobs: done,
     cancelledJobs: [],
--- a/src/core/reconciliation/heartbeats.ts
+++ b/src/core/reconciliation/heartbeats.ts
@@ -159,7 +159,7 @@
   if (!answeredBefore) return;
   // One report that shows nothing of several `run`s counts once.
   if (
-    assignment.phase === 'placed' &&
+    assignment.phase === 'assigned' &&
     assignment.startSentInSequence !== null &&
     assignment.startSentInSequence > 0 &&
     machine.unacknowledgedSequence !== heartbeat.sequence
@@ -167,7 +167,7 @@
     machine.unacknowledgedStarts += 1;
     machine.unacknowledgedSequence = heartbeat.sequence;
   }
-  if (assignment.phase !== 'placed')
+  if (assignment.phase !== 'assigned')
     endAssignment(state, assignment, false, 'gone from the report', now.monotonic);
   else if (assignment.stopRequest !== null)
     endAssignment(state, assignment, false, `not there: ${assignment.stopRequest.reason}`, now.monotonic);
--- a/src/core/records/chunks.ts
+++ b/src/core/records/chunks.ts
@@ -1,6 +1,6 @@
 /** @file Runs of a job's tasks that are recorded together. */
 import type { ClusterState } from '../state/cluster-state.js';
-import type { TaskChunk } from '../model/records.js';
+import type { ChunkRecord, TaskChunk } from '../model/records.js';
 import type { Assignment } from '../model/assignment.js';
 import type { Job } from '../model/job.js';
 import { removeFromPage, pageFor } from './record-pages.js';
@@ -9,22 +9,6 @@
 /** Tasks per chunk: a whole chunk of places, with the longest names, fits a page of the state service. */
 export const CHUNK_TASKS = 40;
 
-/** A chunk as it is written to the state service. */
-export interface ChunkRecord {
-  readonly highestAttempt: number;
-  readonly completedTasks: readonly number[];
-  readonly assignments: readonly AssignmentRecord[];
-}
-
-/** One recorded place of a task. */
-export interface AssignmentRecord {
-  readonly taskIndex: number;
-  readonly attempt: number;
-  readonly machineName: string;
-  readonly agentEpoch: number;
-  readonly zone: string;
-}
-
 /** A chunk with nothing placed yet. */
 export const newChunk = (
   job: string,
--- a/src/core/records/record-pages.ts
+++ b/src/core/records/record-pages.ts
@@ -1,6 +1,5 @@
-import type { ChunkRecord } from './chunks.js';
 import { CHUNK_TASKS } from './chunks.js';
-import type { TaskChunk, RecordPage } from '../model/records.js';
+import type { ChunkRecord, PagePool, TaskChunk, RecordPage } from '../model/records.js';
 import type { Job } from '../model/job.js';
 import type { MonotonicTime } from '../model/time.js';
 import type { ClusterState } from '../state/cluster-state.js';
@@ -31,7 +30,7 @@
  * The most that a chunk's entry can come to take: each task that is not done may have a place, and a result takes less
  * than a place. It only falls as results come, so a page that holds its chunks' bounds never overflows.
  */
-export function maxEntryBytes(state: ClusterState, job: Job, chunk: TaskChunk): number {
+export function entryBytesBound(state: ClusterState, job: Job, chunk: TaskChunk): number {
   const first = chunk.index * CHUNK_TASKS;
   const tasks = Math.min(CHUNK_TASKS, job.spec.taskCount - first) - chunk.completedTasks.size;
   const each =
@@ -40,7 +39,7 @@
     SESSION_DIGITS +
     ZONE_DIGITS +
     PLACE_SIGNS +
-    Math.max(LEAST_NAME, state.machines.longestName);
+    Math.max(LEAST_NAME, state.machines.longestNameBytes);
   // Results stand as runs: at worst every second task, each at most as long as a run of two numbers.
   const runs = Math.min(chunk.completedTasks.size, tasks + 1) * (2 * digits(first + CHUNK_TASKS) + 2);
   return ENTRY_HEAD + job.spec.id.length + tasks * each + runs;
@@ -64,12 +63,12 @@
   Math.floor(3.5 * state.config.maxTransactionOperations) - 2;
 
 /** Services stay for hours and hardly change: beside arrays they would be written again and again. */
-const poolOf = (job: Job): RecordPage['pool'] => (job.spec.kind === 'service' ? 'lasting' : 'passing');
+export const poolOf = (job: Job): PagePool => (job.spec.kind === 'service' ? 'service' : 'batch');
 
 /** The page that holds a chunk, chosen when the chunk is first recorded. */
 export function pageFor(state: ClusterState, job: Job, chunk: TaskChunk): RecordPage {
   if (chunk.page !== null) return chunk.page;
-  const need = maxEntryBytes(state, job, chunk);
+  const need = entryBytesBound(state, job, chunk);
   const pool = poolOf(job);
   let best: RecordPage | null = null;
   let bestUsed = -1;
@@ -126,7 +125,7 @@
   let count = 0;
   for (const chunk of [...page.chunks]) {
     const job = state.jobs.byId.get(chunk.jobId);
-    const need = job === undefined ? 0 : maxEntryBytes(state, job, chunk);
+    const need = job === undefined ? 0 : entryBytesBound(state, job, chunk);
     if (count > 0 && (used + need > room(state) || count >= mostChunks(state))) {
       target = newPage(state, page.pool);
       group.push(target);
@@ -145,7 +144,7 @@
   return group;
 }
 
-function newPage(state: ClusterState, pool: RecordPage['pool']): RecordPage {
+function newPage(state: ClusterState, pool: PagePool): RecordPage {
   let id = 0;
   while (state.records.pages.has(id)) id += 1;
   const page: RecordPage = {
@@ -166,7 +165,7 @@
     page.reservedBytes = 0;
     for (const chunk of page.chunks) {
       const job = state.jobs.byId.get(chunk.jobId);
-      if (job !== undefined) page.reservedBytes += maxEntryBytes(state, job, chunk);
+      if (job !== undefined) page.reservedBytes += entryBytesBound(state, job, chunk);
     }
   }
   return page.reservedBytes;
--- a/src/core/scheduling/preemption.ts
+++ b/src/core/scheduling/preemption.ts
@@ -6,9 +6,9 @@
 import type { Assignment } from '../model/assignment.js';
 import type { Job } from '../model/job.js';
 import type { Machine } from '../model/machine.js';
+import type { Resources } from '../model/resources.js';
 import {
   type Candidate,
-  type Resources,
   type ResourceShape,
   fits,
   imageFetchDelay,
--- a/src/core/scheduling/scheduling-cycle.ts
+++ b/src/core/scheduling/scheduling-cycle.ts
@@ -70,7 +70,7 @@
 export function schedulableCandidates(state: ClusterState, now: Timestamp): Candidate[] {
   const out: Candidate[] = [];
   for (const machine of state.machines.byName.values()) {
-    state.machines.scanned += 1;
+    state.machines.scannedCount += 1;
     const type = state.machines.types.get(machine.type);
     if (type === undefined || !isUsable(state, machine, now.monotonic)) continue;
     const view = resourcesOf(state, machine);
@@ -121,7 +121,7 @@
 ): Map<string, number> {
   const pulls = new Map<string, number>();
   for (const assignment of machine.assignments.values()) {
-    if (assignment.phase !== 'placed' && assignment.phase !== 'fetching') continue;
+    if (assignment.phase !== 'assigned' && assignment.phase !== 'fetching') continue;
     const job = state.jobs.byId.get(assignment.jobId);
     if (job === undefined || machine.cachedImages.has(job.spec.image)) continue;
     const rest = Math.max(
--- a/src/core/scheduling/scoring.ts
+++ b/src/core/scheduling/scoring.ts
@@ -1,18 +1,13 @@
+/**
+ * @file The design's core: filter by request, score by weighted delays plus contention, pick the largest smaller free
+ * share within the band. The names are the paper's: r (free resources), c (request), ζ (tasks held), Ω, Γ, λ.
+ */
 import type { Job, JobSpec } from '../model/job.js';
 import type { OperatorSettings } from '../model/operator-settings.js';
 import type { Machine, MachineType } from '../model/machine.js';
+import type { Resources } from '../model/resources.js';
 import { toSeconds } from '../model/time.js';
 
-/**
- * The design's core: filter by request, score by weighted delays plus contention, pick the largest smaller free
- * share within the band. The names are the paper's: r (free resources), c (request), ζ (tasks held), Ω, Γ, λ.
- */
-export interface Resources {
-  cpus: number;
-  gpus: number;
-  memory: number;
-}
-
 /** A machine that may take tasks, as one pass sees it. */
 export interface Candidate {
   readonly machine: Machine;
--- a/src/core/scheduling/zone-availability.ts
+++ b/src/core/scheduling/zone-availability.ts
@@ -69,7 +69,7 @@
     const rate = state.machines.types.get(machine.type)?.fetchGbPerS ?? 0;
     if (rate <= 0) continue;
     for (const assignment of machine.assignments.values()) {
-      if (assignment.phase !== 'placed' && assignment.phase !== 'fetching') continue;
+      if (assignment.phase !== 'assigned' && assignment.phase !== 'fetching') continue;
       const job = state.jobs.byId.get(assignment.jobId);
       if (job !== undefined && !machine.cachedImages.has(job.spec.image))
         slowest = Math.max(slowest, job.spec.imageGb / rate);
--- a/src/core/state/dependency-graph.ts
+++ b/src/core/state/dependency-graph.ts
@@ -23,7 +23,7 @@
   /** Unfinished jobs that need a job. */
   private readonly dependents = new Map<string, Set<string>>();
   /** Dependencies looked at so far: tests count that the work does not grow with the number of jobs. */
-  steps = 0;
+  visitedDependencies = 0;
 
   /** Whether the job is cancelled, by its own user or through a dependency. */
   isCancelled(id: string): boolean {
@@ -45,7 +45,7 @@
     if (dependencies.length === 0 || this.ended.has(id) || this.unmet.has(id)) return NOTHING;
     const unmet = new Set<string>();
     for (const dependency of dependencies) {
-      this.steps += 1;
+      this.visitedDependencies += 1;
       const end = this.ended.get(dependency);
       if (end === 'cancelled') return this.markFinished(id, 'cancelled', true);
       if (end === undefined) unmet.add(dependency);
@@ -70,7 +70,7 @@
       this.ended.set(next, 'cancelled');
       this.release(next);
       for (const dependent of this.dependents.get(next) ?? []) {
-        this.steps += 1;
+        this.visitedDependencies += 1;
         if (this.ended.has(dependent)) continue;
         this.ended.set(dependent, 'cancelled');
         cancelled.push(dependent);
@@ -86,7 +86,7 @@
     this.release(id);
     const ready: string[] = [];
     for (const dependent of this.dependents.get(id) ?? []) {
-      this.steps += 1;
+      this.visitedDependencies += 1;
       const unmet = this.unmet.get(dependent);
       unmet?.delete(id);
       if (unmet?.size !== 0) continue;
@@ -100,7 +100,7 @@
   /** The job needs nothing any more. */
   private release(id: string): void {
     for (const dependency of this.unmet.get(id) ?? []) {
-      this.steps += 1;
+      this.visitedDependencies += 1;
       this.dependents.get(dependency)?.delete(id);
     }
     this.unmet.delete(id);
--- a/src/core/state/machine-table.ts
+++ b/src/core/state/machine-table.ts
@@ -20,9 +20,9 @@
   /** An inventory of the cloud was received in this term. */
   inventorySeen: boolean;
   /** Length of the longest encoded name seen: bounds the size of a recorded assignment. */
-  longestName: number;
+  longestNameBytes: number;
   /** Machines that scheduling cycles looked at: tests count that an idle cycle looks at none. */
-  scanned: number;
+  scannedCount: number;
 }
 
 /** An empty table. */
@@ -32,6 +32,6 @@
   booting: new Map(),
   terminated: new Map(),
   inventorySeen: false,
-  longestName: 0,
-  scanned: 0,
+  longestNameBytes: 0,
+  scannedCount: 0,
 });
--- a/src/edge/leadership/commit-loop.ts
+++ b/src/edge/leadership/commit-loop.ts
@@ -126,7 +126,7 @@
       { key: leaderKey(this.term.dependencies.partition), modRevision: transaction.fencingToken },
     ];
     const writes: WriteOperation[] = [];
-    for (const [id, modRevision] of transaction.guardedJobs) guards.push({ key: jobKey(id), modRevision });
+    for (const [id, modRevision] of transaction.jobConditions) guards.push({ key: jobKey(id), modRevision });
     for (const page of transaction.pages) {
       const key = pageKey(this.term.dependencies.partition, page.id);
       guards.push({ key, modRevision: page.modRevision });
--- a/src/wire/protocol.ts
+++ b/src/wire/protocol.ts
@@ -94,7 +94,7 @@
   pulling: 'fetching',
   gathering: 'waiting',
   running: 'running',
-  saving: 'saving',
+  saving: 'checkpointing',
   exited: 'exited',
 } as const;
 
--- a/src/wire/records.ts
+++ b/src/wire/records.ts
@@ -1,5 +1,5 @@
 import * as z from 'zod';
-import type { ChunkRecord } from '../core/records/chunks.js';
+import type { ChunkRecord } from '../core/model/records.js';
 import type { PageEntry } from '../core/records/record-pages.js';
 import type { JobRecord, JobKind, JobSpec, JobStatus } from '../core/model/job.js';
 import { seconds, toSeconds } from '../core/model/time.js';
--- a/test/bounded.test.ts
+++ b/test/bounded.test.ts
@@ -201,10 +201,10 @@
     scheduler.handle({ kind: 'tick' }, at(s));
   };
   for (let s = 0; s < 5; s++) hello(s);
-  const before = scheduler.state.machines.scanned;
+  const before = scheduler.state.machines.scannedCount;
   for (let s = 5; s < 25; s++) hello(s);
-  assert.equal(scheduler.state.machines.scanned, before);
+  assert.equal(scheduler.state.machines.scannedCount, before);
   const record = { spec: spec('req-1'), submittedAt: at(25).wall, status: 'open' as const };
   scheduler.handle({ kind: 'job-changed', id: 'req-1', record, modRevision: 9 }, at(25));
-  assert.equal(scheduler.state.machines.scanned, before + 20, 'one pass for the new job');
+  assert.equal(scheduler.state.machines.scannedCount, before + 20, 'one pass for the new job');
 });
--- a/test/cancelled-dependents.test.ts
+++ b/test/cancelled-dependents.test.ts
@@ -47,7 +47,7 @@
 
   /** Carries a transaction out; false if one of its guards fails. */
   carryOut(transaction: Transaction): number | null {
-    for (const [id, stamp] of transaction.guardedJobs)
+    for (const [id, stamp] of transaction.jobConditions)
       if (this.jobs.get(id)?.modRevision !== stamp) return null;
     const stamp = ++this.stamp;
     this.changes += operationCount(transaction);
--- a/test/dependencies.test.ts
+++ b/test/dependencies.test.ts
@@ -54,12 +54,15 @@
   const done = chain(size);
   for (let n = 0; n < size - 1; n++)
     assert.deepEqual(done.markFinished(`j${n}`, 'done').ready, [`j${n + 1}`]);
-  assert.ok(done.steps <= 4 * size, `${done.steps} steps along a chain`);
+  assert.ok(done.visitedDependencies <= 4 * size, `${done.visitedDependencies} steps along a chain`);
   const cancelled = chain(size);
   assert.equal(cancelled.markFinished('j0', 'cancelled').cancelled.length, size - 1);
-  assert.ok(cancelled.steps <= 4 * size, `${cancelled.steps} steps to cancel a chain`);
+  assert.ok(
+    cancelled.visitedDependencies <= 4 * size,
+    `${cancelled.visitedDependencies} steps to cancel a chain`,
+  );
   const fan = new DependencyGraph();
   for (let n = 0; n < size; n++) fan.add(`f${n}`, ['root']);
   assert.equal(fan.markFinished('root', 'done').ready.length, size);
-  assert.ok(fan.steps <= 4 * size, `${fan.steps} steps for a fan`);
+  assert.ok(fan.visitedDependencies <= 4 * size, `${fan.visitedDependencies} steps for a fan`);
 });
--- a/test/golden-requests.test.ts
+++ b/test/golden-requests.test.ts
@@ -272,7 +272,14 @@
       exitReason: null,
       checkpointed: false,
     },
-    { jobId: 'req-000412', taskIndex: 3, attempt: 2, state: 'saving', exitReason: null, checkpointed: false },
+    {
+      jobId: 'req-000412',
+      taskIndex: 3,
+      attempt: 2,
+      state: 'checkpointing',
+      exitReason: null,
+      checkpointed: false,
+    },
     {
       jobId: 'req-000398',
       taskIndex: 0,
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -86,13 +86,13 @@
   const walked = countWalks(fleet.scheduler.state.machines.byName);
   for (let n = 0; n < 100; n++) fleet.hello(n);
   const stepsOfReports = walked.steps;
-  const scanned = fleet.scheduler.state.machines.scanned;
+  const scanned = fleet.scheduler.state.machines.scannedCount;
   fleet.commits = 0;
   walked.steps = 0;
   rest(fleet, REST_S);
   return {
     stepsOfReports,
-    scannedAtRest: fleet.scheduler.state.machines.scanned - scanned,
+    scannedAtRest: fleet.scheduler.state.machines.scannedCount - scanned,
     stepsAtRest: walked.steps,
     commitsAtRest: fleet.commits,
     changesPerPlacedTask,
--- a/test/limits-next.test.ts
+++ b/test/limits-next.test.ts
@@ -131,7 +131,7 @@
     }));
     const transaction = {
       fencingToken: 1,
-      guardedJobs: new Map(),
+      jobConditions: new Map(),
       pages,
       completedJobs: [],
       cancelledJobs: [],
--- a/test/outbox.test.ts
+++ b/test/outbox.test.ts
@@ -61,7 +61,7 @@
     for (let n = 0; n < 200; n++) {
       const transaction = scheduler.nextTransaction(at(10));
       if (transaction === null) break;
-      assert.ok(transaction.guardedJobs.size + transaction.pages.length + 1 <= 4 * txnOps);
+      assert.ok(transaction.jobConditions.size + transaction.pages.length + 1 <= 4 * txnOps);
       scheduler.handle({ kind: 'transaction-committed', transaction, modRevision: ++stamp }, at(10));
     }
     const placed = [...scheduler.state.jobs.byId.values()].filter((job) => job.assignedCount > 0);
--- a/test/random.test.ts
+++ b/test/random.test.ts
@@ -351,7 +351,7 @@
   /** What the state service does with a transaction: null if one of its guards fails. */
   private carryOut(transaction: Transaction): number | null {
     if (transaction.fencingToken !== this.part) return null;
-    for (const [id, stamp] of transaction.guardedJobs) if (this.jobs.get(id)?.stamp !== stamp) return null;
+    for (const [id, stamp] of transaction.jobConditions) if (this.jobs.get(id)?.stamp !== stamp) return null;
     for (const page of transaction.pages)
       if ((this.pages.get(page.id)?.stamp ?? 0) !== page.modRevision) return null;
     const stamp = ++this.rev;
