--- a/src/core/model/assignment.ts
+++ b/src/core/model/assignment.ts
@@ -1,6 +1,21 @@
+/** @file Assignments of tasks to machines, and the keys that name tasks and attempts. */
 import type { MonotonicTime } from './time.js';
 
-/** One possible place of a task. It is committed before any `run` for it leaves this process. */
+/** How far an assigned task has come, by its worker's heartbeats. */
+export type AssignmentPhase = 'assigned' | 'fetching' | 'waiting' | 'running' | 'checkpointing';
+
+/** Why and how an assigned task is to end. */
+export interface StopRequest {
+  /** Seconds that the task is given for a checkpoint. */
+  readonly gracePeriodS: number;
+  readonly reason: string;
+  readonly requestedAt: MonotonicTime;
+}
+
+/**
+ * One attempt of a task, assigned to a machine. It is committed before any start command for it leaves this process,
+ * and from then on the task may be running there until the opposite is proven.
+ */
 export interface Assignment {
   readonly jobId: string;
   readonly taskIndex: number;
@@ -8,28 +23,25 @@
   readonly machineName: string;
   readonly agentEpoch: number;
   readonly zone: string;
-  /** The world's version that first holds this intent; recorded once its chunk's committed version reaches it. */
+  /**
+   * `RecordState.version` that first holds this assignment; it is committed once its chunk's committed version reaches
+   * it.
+   */
   readonly recordVersion: number;
   readonly createdAt: MonotonicTime;
   phase: AssignmentPhase;
-  /** Set when the task is to end here; `grace` goes into the `halt`. */
-  stopRequest: {
-    readonly gracePeriodS: number;
-    readonly reason: string;
-    readonly requestedAt: MonotonicTime;
-  } | null;
-  /** Sequence number of the report whose response last carried the `run`; null if none did. */
+  /** Set when the task is to end on this machine. */
+  stopRequest: StopRequest | null;
+  /** Sequence number of the heartbeat whose answer last carried the start command; null: none did. */
   startSentInSequence: number | null;
-  /** When the `run` was first sent in this term. */
+  /** When the start command was first sent in this term. */
   startSentAt: MonotonicTime | null;
   runningSince: MonotonicTime | null;
 }
 
-/** How far a placed task has come, as reported. */
-export type AssignmentPhase = 'assigned' | 'fetching' | 'waiting' | 'running' | 'checkpointing';
-
 /** Names a task. */
-export const taskKey = (job: string, task: number): string => `${job}/${task}`;
+export const taskKey = (jobId: string, taskIndex: number): string => `${jobId}/${taskIndex}`;
 
 /** Names one attempt of a task. */
-export const attemptKey = (job: string, task: number, attempt: number): string => `${job}/${task}#${attempt}`;
+export const attemptKey = (jobId: string, taskIndex: number, attempt: number): string =>
+  `${jobId}/${taskIndex}#${attempt}`;
--- a/src/core/model/effects.ts
+++ b/src/core/model/effects.ts
@@ -1,7 +1,11 @@
-import type { WorkerCommand } from './worker-command.js';
+/** @file What the core wants done outside: it performs no input or output itself. */
 import type { ScaleOutRequest } from './scale-out.js';
+import type { WorkerCommand } from './worker-command.js';
+
+/** Values of a log line, by name. */
+export type LogFields = Readonly<Record<string, string | number | boolean | null | readonly string[]>>;
 
-/** What the core wants done outside. */
+/** One action for the caller to carry out after the event. */
 export type Effect =
   | {
       readonly kind: 'send-commands';
@@ -12,13 +16,14 @@
   | { readonly kind: 'scale-out'; readonly request: ScaleOutRequest }
   | { readonly kind: 'scale-in'; readonly machineNames: readonly string[]; readonly reason: string }
   | { readonly kind: 'advance-token'; readonly reason: string }
+  /** A worker showed a higher fencing token: another leader is in office. */
   | { readonly kind: 'superseded'; readonly fencingToken: number }
   | { readonly kind: 'step-down'; readonly reason: string }
-  /** What the next owner must know of zones. */
+  /** What the next leader must know of lost and returning zones. */
   | { readonly kind: 'persist-zones'; readonly record: unknown }
   | {
       readonly kind: 'log';
       readonly level: 'info' | 'debug';
       readonly message: string;
-      readonly fields: Record<string, unknown>;
+      readonly fields: LogFields;
     };
--- a/src/core/model/machine.ts
+++ b/src/core/model/machine.ts
@@ -1,13 +1,15 @@
-import type { Resources } from './resources.js';
-import type { Duration, MonotonicTime } from './time.js';
+/** @file Machines: types that the cloud offers, instances as the cloud lists them, and what the leader knows of each. */
 import type { Assignment } from './assignment.js';
 import type { ReportedTask } from './heartbeat.js';
+import type { Resources } from './resources.js';
+import type { Duration, MonotonicTime } from './time.js';
 
-/** A type of machine that the cloud rents. */
+/** A type of machine that the cloud offers. */
 export interface MachineType {
   readonly name: string;
   readonly cpus: number;
   readonly gpus: number;
+  /** In GB. */
   readonly memory: number;
   readonly cacheGb: number;
   readonly fetchGbPerS: number;
@@ -17,7 +19,7 @@
   readonly zones: readonly string[];
 }
 
-/** A machine as the cloud lists it. */
+/** A machine as the cloud's inventory lists it. */
 export interface CloudInstance {
   readonly name: string;
   readonly endpoint: string;
@@ -28,51 +30,57 @@
   readonly age: Duration;
 }
 
-/** A machine in the owner's memory. */
+/** A machine as the leader knows it. */
 export interface Machine {
   readonly name: string;
   endpoint: string;
   type: string;
   zone: string;
   spot: boolean;
-  /** 0: no report seen yet. */
+  /** 0: no heartbeat seen yet. */
   agentEpoch: number;
   sequence: number;
   fencingToken: number;
+  /** When a spot machine is announced to be taken away; null: no notice. */
   preemptionAt: MonotonicTime | null;
-  /** When the last report was answered by us, or when an earlier owner may last have answered one. */
+  /** When this leader last answered a heartbeat, or the last moment at which a previous leader may have. */
   lastAcknowledgedAt: MonotonicTime;
   lastHeartbeatAt: MonotonicTime;
-  /** When its first report of its own accord came in this term; null: none has. */
+  /** When the first heartbeat of its own accord came in this term; null: none has. */
   firstHeartbeatAt: MonotonicTime | null;
-  /** The worker has shown the token of this term: only our answers reach it, and absence counts. */
+  /** The worker has shown the fencing token of this term: only this leader's answers reach it, and absence counts. */
   fenced: boolean;
-  /** Sessions up to this one are over: their tasks are gone, and nothing starts in them. */
+  /** Agent epochs up to this one are over: their tasks are gone, and nothing starts in them. */
   lastExpiredEpoch: number;
   readonly assignments: Map<string, Assignment>;
-  /** Tasks last reported and not exited, by key, with their attempt. */
+  /** Tasks last reported and not exited, by task key. */
   reportedTasks: Map<string, ReportedTask>;
   readonly cachedImages: Map<string, { gb: number; lastUsedAt: MonotonicTime }>;
   failuresByJob: Map<string, MonotonicTime>;
   quarantined: boolean;
   quarantinedSince: MonotonicTime | null;
   idleSince: MonotonicTime | null;
+  /** As last listed by the cloud; null: not listed yet. */
   instanceState: CloudInstance['state'] | null;
   lastListedAt: MonotonicTime | null;
+  /** Its scale-in was requested. */
   releasing: boolean;
-  /** The fleet would like to empty it: it is used only when nothing else fits. */
+  /** Preferred for scale-in: it takes new tasks only when nothing else fits. */
   draining: boolean;
   firstSeenAt: MonotonicTime;
-  /** Sequence numbers of reports lately asked to be answered, in this session: the same one again is a copy. */
+  /** Sequence numbers of recently answered heartbeats of this agent epoch: the same number again is a duplicate. */
   answeredSequences: number[];
-  /** Answers in a row that carried a `run` of which the next reports showed nothing. */
+  /** Answers in a row that carried a start command of which the next heartbeats showed nothing. */
   unacknowledgedStarts: number;
   unacknowledgedSequence: number;
-  /** Its reports come, but nothing shows that what we send reaches it; since when. */
+  /** Since when its heartbeats come while nothing shows that commands reach it; null: commands do reach it. */
   unreachableSince: MonotonicTime | null;
   probedAt: MonotonicTime | null;
-  /** What is free, counted anew after a change: `r` without, `room` with what is being stopped. */
+  /**
+   * Free resources, computed again after a change (null). `free` is what no assigned or reported task takes;
+   * `projected` adds what tasks that are being stopped will free.
+   */
   resources: { readonly free: Resources; readonly projected: Resources } | null;
-  /** It reports tasks that no intent covers; they take room too. */
+  /** It reports tasks that no assignment covers; they take resources too. */
   hasOrphanedTasks: boolean;
 }
--- a/src/core/model/operator-settings.ts
+++ b/src/core/model/operator-settings.ts
@@ -1,6 +1,7 @@
+/** @file Settings that operators may change. */
 import type { Duration } from './time.js';
 
-/** Parameters of the design (the paper's symbols) and of what was added to it; operators may set them. */
+/** Parameters of the scheduling design (by the symbols of its paper) and of what was added to it. */
 export interface OperatorSettings {
   readonly alpha: number;
   readonly lambda: number;
@@ -9,10 +10,10 @@
   readonly phi: number;
   /** Image bandwidth in GB/s; null: the machine type's own. */
   readonly bandwidth: number | null;
-  /** An idle machine that is not needed is returned after this long. */
+  /** A machine that is not needed is released after being idle for this long. */
   readonly idleTimeout: Duration;
-  /** Room kept free beyond what is in use, as a share of it. */
+  /** Capacity kept free beyond what is in use, as a share of it. */
   readonly reserveShare: number;
-  /** Different jobs failing on a machine before it is set aside. */
+  /** A machine is quarantined once tasks of this many different jobs have failed on it. */
   readonly quarantineThreshold: number;
 }
--- a/src/core/model/scale-out.ts
+++ b/src/core/model/scale-out.ts
@@ -1,6 +1,7 @@
+/** @file Requests for further machines. */
 import type { MonotonicTime } from './time.js';
 
-/** Machines of one kind to rent together. */
+/** Machines of one type, zone and kind that are requested together. */
 export interface ScaleOutRequest {
   readonly type: string;
   readonly zone: string;
@@ -8,7 +9,7 @@
   readonly count: number;
 }
 
-/** A rental under way or recently refused. */
+/** A request that the cloud has not answered yet. */
 export interface PendingScaleOut {
   readonly request: ScaleOutRequest;
   readonly requestedAt: MonotonicTime;
--- a/src/core/model/time.ts
+++ b/src/core/model/time.ts
@@ -1,9 +1,11 @@
 /**
- * Steady time and spans of it are nanoseconds as `process.hrtime.bigint()` gives them; time of day is a `Date`.
- * Nothing in the core reads a clock: every event comes with its `now`.
+ * @file Moments and spans of time. Nothing in the core reads a clock: every event comes with its `now`.
  */
+
+/** A moment of the monotonic clock in nanoseconds, as `process.hrtime.bigint()` gives it. Time of day is a `Date`. */
 export type MonotonicTime = bigint;
-/** A span of steady time, in nanoseconds. */
+
+/** A span of monotonic time, in nanoseconds. */
 export type Duration = bigint;
 
 /** The moment of an event by both clocks. */
@@ -15,9 +17,11 @@
 const NANOS_PER_SECOND = 1_000_000_000;
 
 /** Seconds as a span. */
-export const seconds = (n: number): Duration => BigInt(Math.round(n * NANOS_PER_SECOND));
+export const seconds = (count: number): Duration => BigInt(Math.round(count * NANOS_PER_SECOND));
+
 /** A span in seconds. */
-export const toSeconds = (s: Duration): number => Number(s) / NANOS_PER_SECOND;
+export const toSeconds = (span: Duration): number => Number(span) / NANOS_PER_SECOND;
+
 /** The later of two moments. */
 export const laterOf = (a: MonotonicTime, b: MonotonicTime): MonotonicTime => (a > b ? a : b);
 
--- a/src/core/model/worker-command.ts
+++ b/src/core/model/worker-command.ts
@@ -1,11 +1,13 @@
+/** @file Commands to workers, and what a heartbeat is answered with. */
 import type { MonotonicTime } from './time.js';
 
-/** What a worker is told to do with one attempt of a task. */
+/** What a worker is to do with one attempt of a task. */
 export interface WorkerCommand {
   readonly op: 'start' | 'stop' | 'forget';
   readonly jobId: string;
   readonly taskIndex: number;
   readonly attempt: number;
+  /** Of a stop: seconds that the task is given for a checkpoint. */
   readonly gracePeriodS?: number;
 }
 
@@ -20,7 +22,9 @@
   readonly jobId: string;
   readonly taskIndex: number;
   readonly attempt: number;
+  /** The chunk that records the result; null: the job or chunk is unknown, so nothing has to be committed first. */
   readonly chunkIndex: number | null;
+  /** Version of the chunk that has to be committed first. */
   readonly recordVersion: number;
   readonly requestedAt: MonotonicTime;
 }
--- a/src/core/persistence/recovery.ts
+++ b/src/core/persistence/recovery.ts
@@ -6,7 +6,7 @@
 import { stopAllAssignments, requestCompletion } from '../assignments/assignments.js';
 import { getOrAddMachine } from '../machines/machine-registry.js';
 import { type Assignment, taskKey } from '../model/assignment.js';
-import type { Job, JobRecord } from '../model/job.js';
+import { newJob, type JobRecord } from '../model/job.js';
 import type { RecordPage } from '../model/records.js';
 import { type PageEntry, poolOf } from '../records/record-pages.js';
 import type { Timestamp } from '../model/time.js';
@@ -21,28 +21,7 @@
 ): void {
   const known = state.jobs.byId.get(id);
   if (known === undefined) {
-    const job: Job = {
-      spec: record.spec,
-      submittedAt: record.submittedAt,
-      status: record.status,
-      modRevision,
-      chunks: new Map(),
-      completedCount: 0,
-      assignedCount: 0,
-      completionRequested: false,
-      failuresByMachine: new Map(),
-      failureCount: 0,
-      preemptionCount: 0,
-      retryNotBefore: 0n,
-      unassignedTasks: new Set(),
-      firstSeenAt: now.monotonic,
-      replicaLostAt: null,
-      pendingReason: 'new',
-      withinFairShare: false,
-      readySince: record.submittedAt,
-      priority: record.spec.priority,
-      latestCompletion: Infinity,
-    };
+    const job = newJob(record, modRevision, now.monotonic);
     state.jobs.byId.set(id, job);
     if (record.status === 'open') {
       for (let t = 0; t < record.spec.taskCount; t++) job.unassignedTasks.add(t);
--- a/src/core/state/command-state.ts
+++ b/src/core/state/command-state.ts
@@ -1,4 +1,4 @@
-/** @file Commands whose fate is not known yet, and results that workers may not forget yet. */
+/** @file Commands whose outcome is not known yet, and results that workers may not forget yet. */
 import type { Assignment } from '../model/assignment.js';
 import { attemptKey } from '../model/assignment.js';
 import type { PendingForget } from '../model/worker-command.js';
@@ -9,7 +9,7 @@
   readonly pendingForgets: Map<string, Map<string, PendingForget>>;
   /** Start commands of unknown outcome that may still arrive, by attempt key, with the fencing token they carry. */
   readonly unresolvedStarts: Map<string, Map<string, number>>;
-  /** Start commands sent directly that have no answer yet, by attempt key, with their number. */
+  /** How many start commands sent directly to a worker have no answer yet, by attempt key. */
   readonly startsInFlight: Map<string, Map<string, number>>;
 }
 
@@ -20,7 +20,7 @@
   startsInFlight: new Map(),
 });
 
-/** Whether some copy of the assignment's start command may still reach its machine. */
+/** Whether a start command of the assignment may still reach its machine. */
 export function startMayStillArrive(commands: CommandState, assignment: Assignment): boolean {
   const key = attemptKey(assignment.jobId, assignment.taskIndex, assignment.attempt);
   return (
--- a/src/core/state/dependency-graph.ts
+++ b/src/core/state/dependency-graph.ts
@@ -1,108 +1,120 @@
-/** What becomes known when a job is added or ends. */
+/**
+ * @file Which jobs wait for which other jobs. It owns the dependency edges and how jobs finished; it must never look at
+ * jobs beyond the edges of the one that changes.
+ */
+
+/** What follows when a job is added or finishes. */
 export interface GraphChange {
-  /** Jobs whose last dependency is done by now. */
+  /** Jobs whose last dependency is now done. */
   readonly ready: readonly string[];
-  /** Jobs that can never run, since a job that they need, directly or through others, was cancelled. */
+  /** Jobs that can never run, since a direct or indirect dependency was cancelled. */
   readonly cancelled: readonly string[];
 }
 
-const NOTHING: GraphChange = { ready: [], cancelled: [] };
+const NO_CHANGE: GraphChange = { ready: [], cancelled: [] };
 
 /**
- * Which jobs wait for which. It takes jobs and their ends in any order, as they are read or followed, and costs constant
- * work for each dependency of a job, however many jobs there are.
+ * The dependency graph of all jobs. It takes in jobs and how they finish in any order, as they are read or watched, and
+ * costs constant work for each dependency of a job, however many jobs there are.
  *
- * A cancellation passes on without a write of its own: a dependent of a cancelled job is cancelled by that fact alone.
+ * A cancellation propagates without a write of its own: a dependent of a cancelled job is cancelled by that fact alone.
  * None of its tasks can ever have started, since a job that was cancelled was never done.
  */
 export class DependencyGraph {
-  /** How jobs ended; cancelled ones include those cancelled through a dependency. */
-  private readonly ended = new Map<string, 'done' | 'cancelled'>();
-  /** Dependencies that are not done yet, of each job that waits. */
-  private readonly unmet = new Map<string, Set<string>>();
-  /** Unfinished jobs that need a job. */
+  /** How jobs finished; cancelled ones include those cancelled through a dependency. */
+  private readonly finished = new Map<string, 'done' | 'cancelled'>();
+  /** Dependencies that are not done yet, by waiting job. */
+  private readonly unmetDependencies = new Map<string, Set<string>>();
+  /** Unfinished dependents, by job. */
   private readonly dependents = new Map<string, Set<string>>();
-  /** Dependencies looked at so far: tests count that the work does not grow with the number of jobs. */
+  /** Dependencies visited so far: tests check that the work does not grow with the number of jobs. */
   visitedDependencies = 0;
 
   /** Whether the job is cancelled, by its own user or through a dependency. */
   isCancelled(id: string): boolean {
-    return this.ended.get(id) === 'cancelled';
+    return this.finished.get(id) === 'cancelled';
   }
 
-  /** Whether the job still waits for another. */
+  /** Whether the job still waits for a dependency. */
   isWaiting(id: string): boolean {
-    return this.unmet.has(id);
+    return this.unmetDependencies.has(id);
   }
 
-  /** Jobs known to need this one that neither ended nor became ready. */
+  /** Dependents of the job that have neither finished nor become ready. */
   dependentsOf(id: string): Iterable<string> {
     return this.dependents.get(id) ?? [];
   }
 
   /** Takes in an unfinished job. */
   add(id: string, dependencies: readonly string[]): GraphChange {
-    if (dependencies.length === 0 || this.ended.has(id) || this.unmet.has(id)) return NOTHING;
+    if (dependencies.length === 0 || this.finished.has(id) || this.unmetDependencies.has(id))
+      return NO_CHANGE;
     const unmet = new Set<string>();
     for (const dependency of dependencies) {
       this.visitedDependencies += 1;
-      const end = this.ended.get(dependency);
-      if (end === 'cancelled') return this.markFinished(id, 'cancelled', true);
-      if (end === undefined) unmet.add(dependency);
+      const status = this.finished.get(dependency);
+      if (status === 'cancelled') return this.markFinished(id, 'cancelled', true);
+      if (status === undefined) unmet.add(dependency);
     }
     if (unmet.size === 0) return { ready: [id], cancelled: [] };
-    this.unmet.set(id, unmet);
+    this.unmetDependencies.set(id, unmet);
     for (const dependency of unmet) {
-      const known = this.dependents.get(dependency);
-      if (known === undefined) this.dependents.set(dependency, new Set([id]));
-      else known.add(id);
+      const dependents = this.dependents.get(dependency);
+      if (dependents === undefined) this.dependents.set(dependency, new Set([id]));
+      else dependents.add(id);
     }
-    return NOTHING;
+    return NO_CHANGE;
   }
 
-  /** Takes in that a job ended. `derived`: through a dependency, so that it is told among the cancelled. */
+  /** Takes in that a job finished. `derived`: through a dependency, so that it is among the cancelled returned. */
   markFinished(id: string, status: 'done' | 'cancelled', derived = false): GraphChange {
-    if (this.ended.has(id)) return NOTHING;
+    if (this.finished.has(id)) return NO_CHANGE;
     if (status === 'done') return { ready: this.markDone(id), cancelled: [] };
+    return { ready: [], cancelled: this.markCancelled(id, derived) };
+  }
+
+  /** Cancels the job and all its direct and indirect dependents; returns those cancelled through a dependency. */
+  private markCancelled(id: string, derived: boolean): string[] {
     const cancelled: string[] = derived ? [id] : [];
     const stack = [id];
     for (let next = stack.pop(); next !== undefined; next = stack.pop()) {
-      this.ended.set(next, 'cancelled');
-      this.release(next);
+      this.finished.set(next, 'cancelled');
+      this.removeEdgesOf(next);
       for (const dependent of this.dependents.get(next) ?? []) {
         this.visitedDependencies += 1;
-        if (this.ended.has(dependent)) continue;
-        this.ended.set(dependent, 'cancelled');
+        if (this.finished.has(dependent)) continue;
+        this.finished.set(dependent, 'cancelled');
         cancelled.push(dependent);
         stack.push(dependent);
       }
       this.dependents.delete(next);
     }
-    return { ready: [], cancelled };
+    return cancelled;
   }
 
+  /** Returns the jobs that become ready. */
   private markDone(id: string): string[] {
-    this.ended.set(id, 'done');
-    this.release(id);
+    this.finished.set(id, 'done');
+    this.removeEdgesOf(id);
     const ready: string[] = [];
     for (const dependent of this.dependents.get(id) ?? []) {
       this.visitedDependencies += 1;
-      const unmet = this.unmet.get(dependent);
+      const unmet = this.unmetDependencies.get(dependent);
       unmet?.delete(id);
       if (unmet?.size !== 0) continue;
-      this.unmet.delete(dependent);
+      this.unmetDependencies.delete(dependent);
       ready.push(dependent);
     }
     this.dependents.delete(id);
     return ready;
   }
 
-  /** The job needs nothing any more. */
-  private release(id: string): void {
-    for (const dependency of this.unmet.get(id) ?? []) {
+  /** The job no longer waits for its dependencies. */
+  private removeEdgesOf(id: string): void {
+    for (const dependency of this.unmetDependencies.get(id) ?? []) {
       this.visitedDependencies += 1;
       this.dependents.get(dependency)?.delete(id);
     }
-    this.unmet.delete(id);
+    this.unmetDependencies.delete(id);
   }
 }
--- a/src/core/state/job-table.ts
+++ b/src/core/state/job-table.ts
@@ -1,6 +1,9 @@
-/** @file The jobs that the leader knows: which are active, pending or finished, and what they wait for. */
+/**
+ * @file The jobs that the leader knows: which are active, pending or finished, and what they wait for. It owns the
+ * sets of jobs; it must never touch records or machines.
+ */
 import type { ClusterConfig } from '../model/cluster-config.js';
-import type { Job } from '../model/job.js';
+import type { Job, JobStatus } from '../model/job.js';
 import type { MonotonicTime } from '../model/time.js';
 import { DependencyGraph } from './dependency-graph.js';
 import { TeamQuotas } from './team-quotas.js';
@@ -18,7 +21,7 @@
   /** Deadlines of unfinished jobs that were not yet logged as missed, in seconds of wall time. */
   readonly deadlines: Map<string, number>;
   readonly quotas: TeamQuotas;
-  /** Correction of the submitted estimate by class, learned from completed tasks. */
+  /** Correction factor for the submitted estimate by class, learned from completed tasks. */
   readonly durationFactors: Map<string, number>;
   /** The set of active jobs has changed since fair shares were last updated. */
   fairSharesStale: boolean;
@@ -36,3 +39,29 @@
   durationFactors: new Map(),
   fairSharesStale: true,
 });
+
+/**
+ * A job is no longer to be scheduled: it leaves all queues. `status` is as recorded; nothing that the job still has
+ * assigned is touched.
+ */
+export function markJobFinished(jobs: JobTable, job: Job, status: JobStatus, now: MonotonicTime): void {
+  const { id } = job.spec;
+  job.status = status;
+  job.unassignedTasks.clear();
+  jobs.active.delete(id);
+  jobs.pending.delete(id);
+  jobs.finished.set(id, now);
+  jobs.fairSharesStale = true;
+}
+
+/** A task needs no assignment now: it got one, or its result. */
+export function removeUnassignedTask(jobs: JobTable, job: Job, taskIndex: number): void {
+  job.unassignedTasks.delete(taskIndex);
+  if (job.unassignedTasks.size === 0) jobs.pending.delete(job.spec.id);
+}
+
+/** A task has lost its assignment without a result: its job is pending again. */
+export function addUnassignedTask(jobs: JobTable, job: Job, taskIndex: number): void {
+  job.unassignedTasks.add(taskIndex);
+  jobs.pending.add(job.spec.id);
+}
--- a/src/core/state/leadership-timing.ts
+++ b/src/core/state/leadership-timing.ts
@@ -1,33 +1,42 @@
+/**
+ * @file How long a leader may act after its last contact with the state store. Previous and next leader apply the same
+ * spans, so they must never be made longer on one side alone.
+ */
 import type { ClusterConfig } from '../model/cluster-config.js';
 import { seconds, type Duration, type MonotonicTime } from '../model/time.js';
 import { withClockDrift } from '../model/clock-drift.js';
 
+/** For delays between a decision and its effect. */
+const ACKNOWLEDGEMENT_MARGIN = seconds(2);
+const PREVIOUS_LEADER_MARGIN = seconds(0.5);
+const START_WINDOW = seconds(3);
+
 /**
- * How long an owner that has lost the state service may go on answering reports. A user can be told "cancelled" by
- * another controller right after our last contact; from then on every task must be gone within `cancel`. A report
- * answered at the last moment keeps its worker's lease for `lease` more, so both together must fit.
+ * How long a leader that has lost the state store may go on acknowledging heartbeats. A user can get a cancellation
+ * confirmed by another controller right after the last contact; from then on every task must be gone within
+ * `cancellationDeadline`. A heartbeat acknowledged at the last moment renews its worker's lease for `workerLease` more,
+ * so both together must fit.
  */
 export function acknowledgementWindow(config: ClusterConfig): Duration {
-  const margin = seconds(2);
-  const span = config.cancellationDeadline - withClockDrift(config.workerLease) - margin;
+  const span = config.cancellationDeadline - withClockDrift(config.workerLease) - ACKNOWLEDGEMENT_MARGIN;
   return span > 0n ? span : 0n;
 }
 
-/** From when on no earlier owner answers: each lost contact before our term began. */
-export function previousLeadersDeadlineFrom(config: ClusterConfig, began: MonotonicTime): MonotonicTime {
-  return began + withClockDrift(acknowledgementWindow(config)) + seconds(0.5);
+/** The moment after which no previous leader acknowledges heartbeats: each lost its contact before this term began. */
+export function previousLeadersDeadlineFrom(config: ClusterConfig, startedAt: MonotonicTime): MonotonicTime {
+  return startedAt + withClockDrift(acknowledgementWindow(config)) + PREVIOUS_LEADER_MARGIN;
 }
 
-/** Whether an owner with such a last contact may still answer reports. */
+/** Whether a leader whose leadership was last confirmed at that moment may still acknowledge heartbeats. */
 export function mayAcknowledgeHeartbeats(
   config: ClusterConfig,
-  contact: MonotonicTime,
+  confirmedAt: MonotonicTime,
   now: MonotonicTime,
 ): boolean {
-  return now - contact <= acknowledgementWindow(config);
+  return now - confirmedAt <= acknowledgementWindow(config);
 }
 
-/** Starting anything needs a recent word from the state service: an owner cut from it starts nothing. */
-export function mayStartTasks(contact: MonotonicTime, now: MonotonicTime): boolean {
-  return now - contact <= seconds(3);
+/** Starting a task needs a recent confirmation by the state store: a leader that is partitioned from it starts none. */
+export function mayStartTasks(confirmedAt: MonotonicTime, now: MonotonicTime): boolean {
+  return now - confirmedAt <= START_WINDOW;
 }
--- a/src/core/state/log-effects.ts
+++ b/src/core/state/log-effects.ts
@@ -1,11 +1,13 @@
+/** @file Log lines of the core. */
+import type { LogFields } from '../model/effects.js';
 import type { ClusterState } from './cluster-state.js';
 
-/** Has a line written to the log. */
+/** Has a line written to the log: a short event text, with the values in fields. */
 export function emitLog(
-  state: ClusterState,
-  text: string,
-  about: Record<string, unknown>,
+  state: Pick<ClusterState, 'effects'>,
+  message: string,
+  fields: LogFields,
   level: 'info' | 'debug' = 'debug',
 ): void {
-  state.effects.push({ kind: 'log', level, message: text, fields: about });
+  state.effects.push({ kind: 'log', level, message, fields });
 }
--- a/src/core/state/machine-table.ts
+++ b/src/core/state/machine-table.ts
@@ -1,4 +1,4 @@
-/** @file The machines that the leader knows, and their types. */
+/** @file The machines that the leader knows, their types, and names of machines that are gone. */
 import type { Machine, MachineType } from '../model/machine.js';
 import type { MonotonicTime } from '../model/time.js';
 
@@ -19,9 +19,9 @@
   readonly terminated: Map<string, MonotonicTime>;
   /** An inventory of the cloud was received in this term. */
   inventorySeen: boolean;
-  /** Length of the longest encoded name seen: bounds the size of a recorded assignment. */
+  /** Length of the longest encoded machine name seen: bounds the size of a recorded assignment. */
   longestNameBytes: number;
-  /** Machines that scheduling cycles looked at: tests count that an idle cycle looks at none. */
+  /** Machines that scheduling cycles looked at: tests check that an idle cycle looks at none. */
   scannedCount: number;
 }
 
--- a/src/core/state/maps.ts
+++ b/src/core/state/maps.ts
@@ -1,9 +1,11 @@
-/** The inner map under a key, made when it is missing. */
+/** @file Nested maps. */
+
+/** The inner map under a key, created when it is missing. */
 export function getOrCreateMap<K, V>(outer: Map<string, Map<K, V>>, key: string): Map<K, V> {
-  let m = outer.get(key);
-  if (m === undefined) {
-    m = new Map();
-    outer.set(key, m);
+  let inner = outer.get(key);
+  if (inner === undefined) {
+    inner = new Map();
+    outer.set(key, inner);
   }
-  return m;
+  return inner;
 }
--- a/src/core/state/scaling-state.ts
+++ b/src/core/state/scaling-state.ts
@@ -2,7 +2,7 @@
 import type { PendingScaleOut } from '../model/scale-out.js';
 import type { MonotonicTime } from '../model/time.js';
 
-/** What the leader has asked of the cloud. */
+/** The leader's requests to the cloud. */
 export interface ScalingState {
   /** Requests without an answer, by request name. */
   readonly pending: Map<string, PendingScaleOut>;
--- a/src/core/state/scheduling-state.ts
+++ b/src/core/state/scheduling-state.ts
@@ -1,11 +1,11 @@
 /** @file What scheduling cycles keep from one to the next. */
 import type { Duration, MonotonicTime } from '../model/time.js';
 
-/** The gang that has waited longest for room, and the machines that are drained for it. */
+/** The gang that has waited longest for capacity, and the machines that are drained for it. */
 export interface StarvedGang {
   readonly job: string;
   machines: ReadonlySet<string>;
-  /** It has waited so long that it goes before all but production work. */
+  /** It has waited so long that it is scheduled before all but production jobs. */
   readonly prioritized: boolean;
 }
 
--- a/src/core/state/team-quotas.ts
+++ b/src/core/state/team-quotas.ts
@@ -1,13 +1,20 @@
+/** @file What each team's tasks hold, against the team's quota. */
 import type { JobSpec } from '../model/job.js';
 import type { Team } from '../model/cluster-config.js';
 
-/** What a team's tasks may hold anywhere, by its recorded intents. */
+/** Fractions of CPUs and GPUs add up with rounding errors. */
+const EPSILON = 1e-6;
+
+/** Whether usage is within a quota; 0 means no quota. */
+const isWithin = (usage: number, quota: number): boolean => quota <= 0 || usage <= quota + EPSILON;
+
+/** What a team's tasks may hold on any machine, by their assignments. */
 export interface ResourceUsage {
   cpus: number;
   gpus: number;
 }
 
-/** What each team's tasks hold, against the team's limit. */
+/** CPU and GPU usage of all teams. Every assignment acquires once and releases once when it ends. */
 export class TeamQuotas {
   private readonly usage = new Map<string, ResourceUsage>();
   private readonly teams: ReadonlyMap<string, Team>;
@@ -37,24 +44,22 @@
     usage.gpus -= spec.gpus;
   }
 
-  /** Whether `count` more tasks stay within the team's limit. 0 means no limit. */
+  /** Whether `count` more tasks of the job stay within the team's quota. Teams that are not configured have none. */
   allows(spec: JobSpec, count = 1): boolean {
     const team = this.teams.get(spec.team);
     if (team === undefined) return false;
     const usage = this.usageOf(spec.team);
-    const over = (used: number, each: number, max: number): boolean =>
-      max > 0 && used + each * count > max + 1e-6;
-    return !over(usage.cpus, spec.cpus, team.cpuQuota) && !over(usage.gpus, spec.gpus, team.gpuQuota);
+    return (
+      isWithin(usage.cpus + spec.cpus * count, team.cpuQuota) &&
+      isWithin(usage.gpus + spec.gpus * count, team.gpuQuota)
+    );
   }
 }
 
-/** Whether a job as submitted could ever be inside its team's limit. */
+/** Whether a job as submitted could ever run within its team's quota: an array's tasks may run one by one. */
 export function fitsQuota(spec: JobSpec, teams: readonly Team[]): boolean {
   const team = teams.find((team) => team.name === spec.team);
   if (team === undefined) return false;
-  const n = spec.kind === 'array' ? 1 : spec.taskCount;
-  return (
-    (team.cpuQuota <= 0 || spec.cpus * n <= team.cpuQuota + 1e-6) &&
-    (team.gpuQuota <= 0 || spec.gpus * n <= team.gpuQuota + 1e-6)
-  );
+  const leastTasks = spec.kind === 'array' ? 1 : spec.taskCount;
+  return isWithin(spec.cpus * leastTasks, team.cpuQuota) && isWithin(spec.gpus * leastTasks, team.gpuQuota);
 }
--- a/src/core/state/term-state.ts
+++ b/src/core/state/term-state.ts
@@ -1,7 +1,7 @@
-/** @file The leader's term: its fencing token, and how surely the state store still confirms the leadership. */
+/** @file The leadership term: its fencing token, and when the state store last confirmed the leadership. */
 import type { Duration, MonotonicTime } from '../model/time.js';
 
-/** What a term begins with. */
+/** What a leadership term begins with. */
 export interface LeadershipTerm {
   readonly fencingToken: number;
   readonly startedAt: MonotonicTime;
@@ -14,20 +14,20 @@
   readonly previousLeadersDeadline: MonotonicTime;
 }
 
-/** The term as it goes on. */
+/** The current leadership term. */
 export interface TermState {
-  /** The token now in force: it advances within a term. */
+  /** The fencing token now in force: it advances within a term. */
   fencingToken: number;
-  /** The token with which the term began: a worker that shows it obeys this term. */
+  /** The fencing token with which the term began: a worker that shows it obeys this term. */
   readonly firstFencingToken: number;
   readonly startedAt: MonotonicTime;
   readonly previousLeadersDeadline: MonotonicTime;
-  /** Last moment at which the state store surely knew this process as leader, with a replica that was current. */
+  /** Last moment at which the state store is known to have had this process as leader, with an up-to-date replica. */
   confirmedAt: MonotonicTime;
   tokenAdvancedAt: MonotonicTime;
   /** When a machine last sent its first heartbeat of this term. */
   lastWorkerJoinedAt: MonotonicTime;
-  /** Moving average of how late timers fire in this process. */
+  /** Moving average of the event-loop lag: how late timers fire in this process. */
   eventLoopLag: Duration;
 }
 
