--- a/src/core/persistence/recovery.ts
+++ b/src/core/persistence/recovery.ts
@@ -6,9 +6,9 @@
 import { stopAllAssignments, requestCompletion } from '../assignments/assignments.js';
 import { getOrAddMachine } from '../machines/machine-registry.js';
 import { type Assignment, taskKey } from '../model/assignment.js';
-import type { Job, JobRecord } from '../model/job.js';
+import { newJob, type JobRecord } from '../model/job.js';
 import type { RecordPage } from '../model/records.js';
-import type { PageEntry } from '../records/record-pages.js';
+import { type PageEntry, poolOf } from '../records/record-pages.js';
 import type { Timestamp } from '../model/time.js';
 
 /** A job's record as read or followed. New jobs come in; a cancellation stops what may run. */
@@ -21,28 +21,7 @@
 ): void {
   const known = state.jobs.byId.get(id);
   if (known === undefined) {
-    const job: Job = {
-      spec: record.spec,
-      submittedAt: record.submittedAt,
-      status: record.status,
-      modRevision,
-      chunks: new Map(),
-      completedCount: 0,
-      assignedCount: 0,
-      completionRequested: false,
-      failuresByMachine: new Map(),
-      failureCount: 0,
-      preemptionCount: 0,
-      retryNotBefore: 0n,
-      unassignedTasks: new Set(),
-      firstSeenAt: now.monotonic,
-      replicaLostAt: null,
-      pendingReason: 'new',
-      withinFairShare: false,
-      readySince: record.submittedAt,
-      priority: record.spec.priority,
-      latestCompletion: Infinity,
-    };
+    const job = newJob(record, modRevision, now.monotonic);
     state.jobs.byId.set(id, job);
     if (record.status === 'open') {
       for (let t = 0; t < record.spec.taskCount; t++) job.unassignedTasks.add(t);
@@ -81,7 +60,7 @@
 ): void {
   const page: RecordPage = {
     id,
-    pool: 'passing',
+    pool: 'batch',
     modRevision,
     version: 0,
     committedVersion: 0,
@@ -103,7 +82,7 @@
   const chunk = newChunk(id, entry.chunkIndex, img.highestAttempt, img.completedTasks);
   chunk.page = page;
   page.chunks.add(chunk);
-  page.pool = job.spec.kind === 'service' ? 'lasting' : 'passing';
+  page.pool = poolOf(job);
   job.chunks.set(entry.chunkIndex, chunk);
   job.completedCount += chunk.completedTasks.size;
   for (const t of chunk.completedTasks) job.unassignedTasks.delete(t);
@@ -113,7 +92,7 @@
       jobId: id,
       recordVersion: 0,
       createdAt: now.monotonic,
-      phase: 'placed',
+      phase: 'assigned',
       stopRequest: null,
       // It may have been sent by an earlier owner: only proof ends it.
       startSentInSequence: 0,
--- a/src/core/state/machine-table.ts
+++ b/src/core/state/machine-table.ts
@@ -1,4 +1,4 @@
-/** @file The machines that the leader knows, and their types. */
+/** @file The machines that the leader knows, their types, and names of machines that are gone. */
 import type { Machine, MachineType } from '../model/machine.js';
 import type { MonotonicTime } from '../model/time.js';
 
@@ -19,10 +19,10 @@
   readonly terminated: Map<string, MonotonicTime>;
   /** An inventory of the cloud was received in this term. */
   inventorySeen: boolean;
-  /** Length of the longest encoded name seen: bounds the size of a recorded assignment. */
-  longestName: number;
-  /** Machines that scheduling cycles looked at: tests count that an idle cycle looks at none. */
-  scanned: number;
+  /** Length of the longest encoded machine name seen: bounds the size of a recorded assignment. */
+  longestNameBytes: number;
+  /** Machines that scheduling cycles looked at: tests check that an idle cycle looks at none. */
+  scannedCount: number;
 }
 
 /** An empty table. */
@@ -32,6 +32,6 @@
   booting: new Map(),
   terminated: new Map(),
   inventorySeen: false,
-  longestName: 0,
-  scanned: 0,
+  longestNameBytes: 0,
+  scannedCount: 0,
 });
