--- a/src/core/machines/free-resources.ts
+++ b/src/core/machines/free-resources.ts
@@ -4,7 +4,8 @@
 import type { Machine } from '../model/machine.js';
 import type { JobSpec } from '../model/job.js';
 import type { Resources } from '../scheduling/scoring.js';
-import { type MonotonicTime, seconds } from '../model/time.js';
+import type { MonotonicTime } from '../model/time.js';
+import { isSuspected } from './suspicion.js';
 
 /** Whether a task may be placed here now. */
 export function isUsable(state: ClusterState, machine: Machine, now: MonotonicTime): boolean {
@@ -20,10 +21,7 @@
     return false;
   // Without an answer to it the worker goes on to its next session soon, and what it holds is gone.
   if (now >= leaseExpiry(state, machine)) return false;
-  return (
-    now - machine.lastHeartbeatAt <= (state.config.heartbeatInterval * 5n) / 2n + seconds(1) &&
-    state.machines.types.has(machine.type)
-  );
+  return !isSuspected(state.config, machine, now) && state.machines.types.has(machine.type);
 }
 
 /** What is free on a machine, counted again only after a change there. */
--- a/src/core/scheduling/zone-availability.ts
+++ b/src/core/scheduling/zone-availability.ts
@@ -5,6 +5,7 @@
 import type { Assignment } from '../model/assignment.js';
 import type { Job } from '../model/job.js';
 import type { Machine } from '../model/machine.js';
+import { failoverSettlingTime, isSuspected } from '../machines/suspicion.js';
 import { mayStartTasks } from '../state/leadership-timing.js';
 import { type Candidate, fits, isMachineAllowed, isZoneAllowed } from './scoring.js';
 import { type Timestamp, type Duration, seconds } from '../model/time.js';
@@ -17,13 +18,10 @@
   readonly tasks: ReadonlySet<number>;
 }
 
-/** How long a machine may be silent before it counts as not heard. */
-const quietAfter = (state: ClusterState): Duration => (state.config.heartbeatInterval * 5n) / 2n + seconds(1);
-
 const isHeard = (state: ClusterState, machine: Machine, now: Timestamp): boolean =>
   machine.agentEpoch > 0 &&
   machine.lastHeartbeatAt > 0n &&
-  now.monotonic - machine.lastHeartbeatAt <= quietAfter(state);
+  !isSuspected(state.config, machine, now.monotonic);
 
 interface ZoneTally {
   known: number;
@@ -87,15 +85,12 @@
   return missing;
 }
 
-/** From a term's beginning, workers need this long to find their new owner. */
-const settling = (state: ClusterState): Duration => quietAfter(state) + state.config.heartbeatInterval * 2n;
-
 function observeFleet(state: ClusterState, now: Timestamp): FleetObservation {
   return {
     zones: tallyZones(state, now),
     leadershipConfirmed:
       mayStartTasks(state.term.confirmedAt, now.monotonic) &&
-      now.monotonic - state.term.startedAt > settling(state),
+      now.monotonic - state.term.startedAt > failoverSettlingTime(state.config),
     replicasMissing: replicasMissing(state),
     slowestStart: slowestStart(state),
   };
