--- /dev/null
+++ b/src/core/capacity/draining.ts
@@ -0,0 +1,112 @@
+/**
+ * @file Chooses the machines to keep and those to drain. Placement spreads tasks over all machines; without this none
+ * would ever be empty, and all would be paid for.
+ */
+import { estimatedSeconds } from '../jobs/deadline-slack.js';
+import { freeOn, isUsable } from '../machines/free-resources.js';
+import type { Job } from '../model/job.js';
+import type { Machine, MachineType } from '../model/machine.js';
+import { NO_GANG_CAPACITY } from '../model/pending-reasons.js';
+import { type Timestamp, toSeconds } from '../model/time.js';
+import { NO_CAPACITY, PREEMPTION_IN_PROGRESS } from '../scheduling/scheduling-cycle.js';
+import type { Resources } from '../scheduling/scoring.js';
+import type { ClusterState } from '../state/cluster-state.js';
+import { usedShare } from './utilization.js';
+
+/** Up to so many machines in use the reserve is a fixed share of them. */
+const FULL_RESERVE_LIMIT = 30;
+
+/** How the reserve grows with larger fleets. */
+const RESERVE_EXPONENT = 0.65;
+
+/** A task with more than this to go keeps its machine from being drained soon. */
+const LONG_REMAINING_S = 60;
+
+/** How hard a machine is to drain: replicas stay for good, long tasks for long, others finish soon. */
+const DRAIN_EFFORT = { replica: 3, longTask: 2, none: 0 } as const;
+
+interface DrainCandidate {
+  readonly machine: Machine;
+  readonly used: number;
+  readonly effort: number;
+  readonly price: number;
+}
+
+/**
+ * Keeps enough machines for what is in use and a reserve: first those that are hard to drain, then the cheap ones, then
+ * the fullest. The rest are drained.
+ */
+export function chooseDrainingMachines(state: ClusterState, blocked: readonly Job[], now: Timestamp): void {
+  const candidates: DrainCandidate[] = [];
+  const inUse = new MachinesInUse();
+  for (const machine of state.machines.byName.values()) {
+    const type = state.machines.types.get(machine.type);
+    if (type === undefined || !isUsable(state, machine, now.monotonic)) continue;
+    const free = freeOn(state, machine);
+    inUse.add(type, free);
+    candidates.push({
+      machine,
+      used: usedShare(type, free),
+      effort: drainEffort(state, machine, now),
+      price: machine.spot ? type.spotPrice : type.price,
+    });
+  }
+  candidates.sort(byDrainOrder);
+
+  const wanted = inUse.count + Math.max(reserveFor(inUse.count, state.settings.reserveShare), 1);
+  // Only a lack of capacity is a reason to keep machines: one job that was pending for another reason kept a whole fleet.
+  const capacityLacking = blocked.some(lacksCapacity);
+  candidates.forEach(({ machine }, index) => {
+    machine.draining = !capacityLacking && index >= wanted;
+  });
+}
+
+const byDrainOrder = (a: DrainCandidate, b: DrainCandidate): number =>
+  b.effort - a.effort || a.price - b.price || b.used - a.used || (a.machine.name < b.machine.name ? -1 : 1);
+
+/**
+ * How many whole machines the work in use comes to, by the resource that is scarcest in the fleet. Counted by what is
+ * scarcest on each machine, a machine full of work without GPUs and one with all its GPUs taken came to two, though
+ * the work of both fits one and a bit: the reserve then paid for the leftovers too.
+ */
+class MachinesInUse {
+  private cpus = 0;
+  private gpus = 0;
+  private memory = 0;
+
+  add(type: MachineType, free: Readonly<Resources>): void {
+    this.cpus += 1 - free.cpus / type.cpus;
+    this.gpus += type.gpus > 0 ? 1 - free.gpus / type.gpus : 0;
+    this.memory += 1 - free.memory / type.memory;
+  }
+
+  get count(): number {
+    return Math.max(this.cpus, this.gpus, this.memory);
+  }
+}
+
+const lacksCapacity = (job: Job): boolean =>
+  job.pendingReason === NO_CAPACITY ||
+  job.pendingReason === NO_GANG_CAPACITY ||
+  job.pendingReason === PREEMPTION_IN_PROGRESS;
+
+/**
+ * Machines kept beyond those in use. The more work there is, the more its ups and downs even out, so that the share
+ * that is needed falls with the size of the fleet.
+ */
+function reserveFor(inUse: number, reserveShare: number): number {
+  if (inUse <= FULL_RESERVE_LIMIT) return inUse * reserveShare;
+  return FULL_RESERVE_LIMIT * reserveShare * (inUse / FULL_RESERVE_LIMIT) ** RESERVE_EXPONENT;
+}
+
+function drainEffort(state: ClusterState, machine: Machine, now: Timestamp): number {
+  let effort: number = DRAIN_EFFORT.none;
+  for (const { jobId, runningSince } of machine.assignments.values()) {
+    const job = state.jobs.byId.get(jobId);
+    if (job === undefined) continue;
+    if (job.spec.kind === 'service') return DRAIN_EFFORT.replica;
+    const ranForS = runningSince === null ? 0 : toSeconds(now.monotonic - runningSince);
+    if (estimatedSeconds(state, job) - ranForS > LONG_REMAINING_S) effort = DRAIN_EFFORT.longTask;
+  }
+  return effort;
+}
--- /dev/null
+++ b/src/core/capacity/expected-slots.ts
@@ -0,0 +1,82 @@
+/** @file The capacity that will be there for pending tasks: on usable machines, and on machines that are on their way. */
+import { isUsable, resourcesOf } from '../machines/free-resources.js';
+import type { Job } from '../model/job.js';
+import type { MachineType } from '../model/machine.js';
+import type { Timestamp } from '../model/time.js';
+import { type Resources, fits, isZoneAllowed } from '../scheduling/scoring.js';
+import { isZoneUnavailable } from '../scheduling/zone-availability.js';
+import type { ClusterState } from '../state/cluster-state.js';
+import type { MachineKind } from './machine-kind.js';
+
+/** A machine that exists, is booting, or is to be requested. */
+export interface Slot extends MachineKind {
+  /** What planned tasks leave free. */
+  readonly free: Resources;
+}
+
+/** An empty machine of a type. */
+export const resourcesOfType = (type: MachineType): Resources => ({
+  cpus: type.cpus,
+  gpus: type.gpus,
+  memory: type.memory,
+});
+
+/** Slots of all usable machines, then of those that are booting, then of those requested. */
+export function expectedSlots(state: ClusterState, now: Timestamp): Slot[] {
+  const slots: Slot[] = [];
+  for (const machine of state.machines.byName.values()) {
+    if (!isUsable(state, machine, now.monotonic) || isZoneUnavailable(state, machine.zone)) continue;
+    const { type, zone, spot } = machine;
+    slots.push({ type, zone, spot, free: { ...resourcesOf(state, machine).projected } });
+  }
+  for (const kind of state.machines.booting.values()) addEmptySlots(state, slots, kind, 1);
+  for (const { request } of state.scaling.pending.values())
+    addEmptySlots(state, slots, request, request.count);
+  return slots;
+}
+
+function addEmptySlots(state: ClusterState, slots: Slot[], kind: MachineKind, count: number): void {
+  const type = state.machines.types.get(kind.type);
+  if (type === undefined) return;
+  for (let n = 0; n < count; n++)
+    slots.push({ type: kind.type, zone: kind.zone, spot: kind.spot, free: resourcesOfType(type) });
+}
+
+/**
+ * Finds slots that fit a task of a job, first to last. Where the allowed zones do not depend on the job's other tasks, a
+ * slot that did not fit once never will, and none is looked at twice.
+ */
+export class SlotFinder {
+  private next = 0;
+  private readonly zonesAreFixed: boolean;
+
+  constructor(
+    private readonly job: Job,
+    private readonly slots: readonly Slot[],
+    private readonly assignedByZone: ReadonlyMap<string, number>,
+  ) {
+    this.zonesAreFixed = !job.spec.singleZone && !job.spec.spreadAcrossZones;
+  }
+
+  /** A slot with capacity for one more task; it is returned again until it is full. */
+  find(): Slot | undefined {
+    for (let index = this.zonesAreFixed ? this.next : 0; index < this.slots.length; index++) {
+      const slot = this.slots[index];
+      if (slot === undefined || !this.isSuitable(slot)) continue;
+      this.next = index;
+      return slot;
+    }
+    this.next = this.slots.length;
+    return undefined;
+  }
+
+  private isSuitable(slot: Slot): boolean {
+    const { spec } = this.job;
+    return (
+      fits(spec, slot.free) &&
+      (!slot.spot || spec.allowSpot) &&
+      (spec.machineTypes === null || spec.machineTypes.includes(slot.type)) &&
+      isZoneAllowed(this.job, slot.zone, this.assignedByZone)
+    );
+  }
+}
--- /dev/null
+++ b/src/core/capacity/fleet-sizing.ts
@@ -0,0 +1,25 @@
+/** @file One round of fleet sizing: what to drain, what to scale out, what to scale in. */
+import type { Job } from '../model/job.js';
+import type { Timestamp } from '../model/time.js';
+import { runSchedulingCycle } from '../scheduling/scheduling-cycle.js';
+import { displacedReplicas } from '../scheduling/zone-availability.js';
+import type { ClusterState } from '../state/cluster-state.js';
+import { chooseDrainingMachines } from './draining.js';
+import { machinesToRelease } from './machine-release.js';
+import { requestScaleIn } from './scale-in-requests.js';
+import { planScaleOut } from './scale-out-planning.js';
+import { requestScaleOut } from './scale-out-requests.js';
+
+/** Sizes the fleet for what a scheduling cycle leaves without capacity. */
+export function sizeFleet(state: ClusterState, now: Timestamp): void {
+  const blocked = runSchedulingCycle(state, now);
+  chooseDrainingMachines(state, blocked, now);
+  const demand = [...displacedJobs(state, now), ...blocked];
+  for (const request of planScaleOut(state, demand, now)) requestScaleOut(state, request);
+  for (const { machineNames, reason } of machinesToRelease(state, now))
+    requestScaleIn(state, machineNames, reason);
+}
+
+/** Replicas that may have to start elsewhere, as jobs that lack capacity: machines are requested before it is certain. */
+const displacedJobs = (state: ClusterState, now: Timestamp): Job[] =>
+  displacedReplicas(state, now).map(({ job, tasks }) => ({ ...job, unassignedTasks: new Set(tasks) }));
--- /dev/null
+++ b/src/core/capacity/machine-release.ts
@@ -0,0 +1,101 @@
+/** @file Finds machines that are no longer worth their price: idle ones, and those that can do no work. */
+import type { Machine } from '../model/machine.js';
+import { type Timestamp, seconds } from '../model/time.js';
+import { manySuspected } from '../reconciliation/failure-detector.js';
+import { leaseExpiry } from '../reconciliation/worker-leases.js';
+import { isZoneUnavailable } from '../scheduling/zone-availability.js';
+import type { ClusterState } from '../state/cluster-state.js';
+
+/** The cloud charges for at least this long: until then an idle machine may as well stay. */
+const MIN_BILLED_TIME = seconds(60);
+
+/** The cloud takes no more names in one request. */
+const MAX_MACHINES_PER_SCALE_IN = 100;
+
+/** A machine that can do no work is released after so many leases: a short cut has passed by then. */
+const OUTAGE_LEASES = 2n;
+
+/** A machine that has not sent a heartbeat after so many boot times never will. */
+const MAX_BOOT_TIMES = 5n;
+
+/** Machines to release together. */
+export interface MachineRelease {
+  readonly machineNames: readonly string[];
+  readonly reason: string;
+}
+
+/** Machines without tasks and assignments that are idle or useless, in requests as large as the cloud takes. */
+export function machinesToRelease(state: ClusterState, now: Timestamp): MachineRelease[] {
+  const namesByReason = new Map<string, string[]>();
+  const manyAreSuspected = manySuspected(state, now);
+  for (const machine of state.machines.byName.values()) {
+    if (machine.releasing || machine.assignments.size > 0 || machine.reportedTasks.size > 0) {
+      machine.idleSince = null;
+      continue;
+    }
+    const reason =
+      uselessnessReason(state, machine, manyAreSuspected, now) ?? idlenessReason(state, machine, now);
+    if (reason === null) continue;
+    const names = namesByReason.get(reason);
+    if (names === undefined) namesByReason.set(reason, [machine.name]);
+    else names.push(machine.name);
+  }
+  return [...namesByReason].flatMap(([reason, names]) => splitIntoRequests(names, reason));
+}
+
+function splitIntoRequests(names: readonly string[], reason: string): MachineRelease[] {
+  const requests: MachineRelease[] = [];
+  for (let start = 0; start < names.length; start += MAX_MACHINES_PER_SCALE_IN)
+    requests.push({ machineNames: names.slice(start, start + MAX_MACHINES_PER_SCALE_IN), reason });
+  return requests;
+}
+
+function idlenessReason(state: ClusterState, machine: Machine, now: Timestamp): string | null {
+  // Machines of an unavailable zone are idle because of the zone policy: work is to come back to them.
+  if (machine.agentEpoch === 0 || isZoneUnavailable(state, machine.zone)) return null;
+  machine.idleSince ??= now.monotonic;
+  const idleLongEnough =
+    now.monotonic - machine.idleSince >= state.settings.idleTimeout &&
+    now.monotonic - machine.firstSeenAt >= MIN_BILLED_TIME;
+  return machine.draining && machine.fenced && idleLongEnough ? 'idle' : null;
+}
+
+function uselessnessReason(
+  state: ClusterState,
+  machine: Machine,
+  manyAreSuspected: boolean,
+  now: Timestamp,
+): string | null {
+  if (machine.instanceState === 'failed') return 'failed';
+  if (machine.agentEpoch > 0 && machine.quarantined) return 'quarantined';
+  // When many are suspected together it is more likely the leader that is cut off.
+  if (!manyAreSuspected && isUnreachableForLong(state, machine, now)) return 'unreachable';
+  if (!manyAreSuspected && isUnresponsiveForLong(state, machine, now)) return 'unresponsive';
+  return hasBootTimedOut(state, machine, now) ? 'boot timeout' : null;
+}
+
+function isUnreachableForLong(state: ClusterState, machine: Machine, now: Timestamp): boolean {
+  return (
+    machine.unreachableSince !== null &&
+    now.monotonic - machine.unreachableSince > state.config.workerLease * OUTAGE_LEASES
+  );
+}
+
+function isUnresponsiveForLong(state: ClusterState, machine: Machine, now: Timestamp): boolean {
+  return (
+    machine.agentEpoch > 0 &&
+    now.monotonic - machine.lastHeartbeatAt > state.config.workerLease * OUTAGE_LEASES &&
+    now.monotonic > leaseExpiry(state, machine)
+  );
+}
+
+function hasBootTimedOut(state: ClusterState, machine: Machine, now: Timestamp): boolean {
+  const booting = state.machines.booting.get(machine.name);
+  const type = state.machines.types.get(machine.type);
+  return (
+    machine.agentEpoch === 0 &&
+    booting !== undefined &&
+    type !== undefined &&
+    now.monotonic - booting.since > type.bootTime * MAX_BOOT_TIMES
+  );
+}
--- /dev/null
+++ b/src/core/capacity/scale-in-requests.ts
@@ -0,0 +1,29 @@
+/** @file Scale-in requests to the cloud and their answers. A machine's `releasing` flag is set and cleared here. */
+import type { Timestamp } from '../model/time.js';
+import { onMachinesReleased } from '../reconciliation/instance-inventory.js';
+import type { ClusterState } from '../state/cluster-state.js';
+
+/** Has machines released. From now on they take no tasks. */
+export function requestScaleIn(state: ClusterState, names: readonly string[], reason: string): void {
+  if (names.length === 0) return;
+  setReleasing(state, names, true);
+  state.effects.push({ kind: 'scale-in', machineNames: names, reason });
+}
+
+/** Takes in the answer to a scale-in request; machines that were not released may be used again. */
+export function onScaleInAnswered(
+  state: ClusterState,
+  names: readonly string[],
+  succeeded: boolean,
+  now: Timestamp,
+): void {
+  if (succeeded) onMachinesReleased(state, names, now);
+  else setReleasing(state, names, false);
+}
+
+function setReleasing(state: ClusterState, names: readonly string[], releasing: boolean): void {
+  for (const name of names) {
+    const machine = state.machines.byName.get(name);
+    if (machine !== undefined) machine.releasing = releasing;
+  }
+}
--- /dev/null
+++ b/src/core/capacity/scale-out-planning.ts
@@ -0,0 +1,131 @@
+/**
+ * @file Plans which machines to request: for pending work that neither free capacity, nor capacity that running tasks
+ * will leave, nor machines on their way will hold; and for work that will arrive while machines boot.
+ */
+import { assignmentsByZone } from '../assignments/assignments.js';
+import type { Job } from '../model/job.js';
+import type { MachineType } from '../model/machine.js';
+import type { ScaleOutRequest } from '../model/scale-out.js';
+import { type Timestamp, toSeconds } from '../model/time.js';
+import type { ClusterState } from '../state/cluster-state.js';
+import { forecastDemand } from './demand-forecast.js';
+import { type Slot, SlotFinder, expectedSlots } from './expected-slots.js';
+import { RequestedMachines } from './machine-choice.js';
+import { type Turnover, expectedTurnovers, slotsNeeded, turnoversFor } from './task-turnover.js';
+import { usedShare } from './utilization.js';
+
+/** New machines requested in one round: the answers come before the next. */
+const MAX_NEW_MACHINES_PER_ROUND = 400;
+
+/** Requests for what the blocked jobs, in this order, and the forecast need. */
+export function planScaleOut(
+  state: ClusterState,
+  blocked: readonly Job[],
+  now: Timestamp,
+): ScaleOutRequest[] {
+  if (state.machines.types.size === 0 || !state.machines.inventorySeen) return [];
+  const plan = new ScaleOutPlan(state, now);
+  for (const job of blocked) {
+    plan.addPendingTasks(job);
+    if (plan.isFull) break;
+  }
+  plan.addForecast();
+  return plan.requests();
+}
+
+class ScaleOutPlan {
+  private readonly slots: Slot[];
+  private readonly turnovers: readonly Turnover[];
+  private readonly requested: RequestedMachines;
+  private newMachines = 0;
+
+  constructor(
+    private readonly state: ClusterState,
+    private readonly now: Timestamp,
+  ) {
+    this.slots = expectedSlots(state, now);
+    this.turnovers = expectedTurnovers(state, now);
+    this.requested = new RequestedMachines(state, now);
+  }
+
+  get isFull(): boolean {
+    return this.newMachines >= MAX_NEW_MACHINES_PER_ROUND;
+  }
+
+  requests(): ScaleOutRequest[] {
+    return this.requested.requests();
+  }
+
+  /** Plans a job's pending tasks into expected slots, then onto turnovers, then onto new machines. */
+  addPendingTasks(job: Job): void {
+    const { state, now } = this;
+    const assignedByZone = assignmentsByZone(job);
+    const types = allowedTypes(state, job);
+    const needed = slotsNeeded(state, job, shortestBootSeconds(types), now);
+    const finder = new SlotFinder(job, this.slots, assignedByZone);
+    const turnovers = turnoversFor(state, job, this.turnovers, now);
+    for (let task = 0; task < needed && !this.isFull; task++) {
+      if (!state.jobs.quotas.allows(job.spec, task + 1)) return;
+      let slot = finder.find();
+      if (slot === undefined) {
+        if (takeNext(turnovers)) continue;
+        slot = this.addMachine(job, types, assignedByZone);
+        if (slot === undefined) return;
+      }
+      slot.free.cpus -= job.spec.cpus;
+      slot.free.gpus -= job.spec.gpus;
+      slot.free.memory -= job.spec.memory;
+      assignedByZone.set(slot.zone, (assignedByZone.get(slot.zone) ?? 0) + 1);
+    }
+  }
+
+  /** Plans machines for the work that arrives while they boot, beyond what will be free by then. */
+  addForecast(): void {
+    const { arriving, finishing, sampleJob } = forecastDemand(this.state, this.now);
+    if (sampleJob === null || arriving <= finishing) return;
+    const types = allowedTypes(this.state, sampleJob);
+    const lacking = Math.floor(arriving - finishing - this.freeMachines());
+    const limit = MAX_NEW_MACHINES_PER_ROUND - this.newMachines;
+    for (let n = Math.min(limit, lacking); n > 0; n--)
+      if (this.requested.add(sampleJob, types, new Map()) === null) return;
+  }
+
+  private addMachine(
+    job: Job,
+    types: readonly MachineType[],
+    assignedByZone: ReadonlyMap<string, number>,
+  ): Slot | undefined {
+    const slot = this.requested.add(job, types, assignedByZone);
+    if (slot === null) return undefined;
+    this.newMachines += 1;
+    this.slots.push(slot);
+    return slot;
+  }
+
+  /** What is free on all slots, in whole machines. */
+  private freeMachines(): number {
+    let free = 0;
+    for (const slot of this.slots) {
+      const type = this.state.machines.types.get(slot.type);
+      if (type !== undefined) free += Math.max(0, 1 - usedShare(type, slot.free));
+    }
+    return free;
+  }
+}
+
+/** Has a pending task follow on the next turnover, if there is one. */
+function takeNext(turnovers: Generator<Turnover>): boolean {
+  const next = turnovers.next();
+  if (next.done === true) return false;
+  next.value.taken = true;
+  return true;
+}
+
+const allowedTypes = (state: ClusterState, job: Job): MachineType[] =>
+  [...state.machines.types.values()].filter(
+    (type) => job.spec.machineTypes === null || job.spec.machineTypes.includes(type.name),
+  );
+
+function shortestBootSeconds(types: readonly MachineType[]): number {
+  return types.length === 0 ? 0 : Math.min(...types.map((type) => toSeconds(type.bootTime)));
+}
--- /dev/null
+++ b/src/core/commands/command-outcomes.ts
@@ -0,0 +1,44 @@
+/** @file What became of commands that were sent directly. */
+import type { CommandsAnswered } from '../events.js';
+import { attemptKey } from '../model/assignment.js';
+import type { Machine } from '../model/machine.js';
+import type { Timestamp } from '../model/time.js';
+import type { WorkerCommand } from '../model/worker-command.js';
+import { retryFencing } from '../reconciliation/fencing.js';
+import { applyHeartbeat } from '../reconciliation/heartbeat-intake.js';
+import { markReachable } from '../reconciliation/reachability.js';
+import type { ClusterState } from '../state/cluster-state.js';
+import { getOrCreateMap } from '../state/maps.js';
+
+/** Takes in the outcome of direct commands, and the heartbeat if the worker itself answered. */
+export function onCommandsAnswered(state: ClusterState, answer: CommandsAnswered, now: Timestamp): void {
+  const machine = state.machines.byName.get(answer.machineName);
+  if (answer.outcome !== 'unknown' && answer.heartbeat !== null && machine !== undefined)
+    markReachable(state, machine);
+  for (const command of answer.commands)
+    if (command.op === 'start') settleStart(state, machine, answer, command);
+  if (answer.heartbeat === null) return;
+  applyHeartbeat(state, answer.heartbeat, now);
+  if (answer.outcome === 'refused') retryFencing(state, answer.machineName);
+}
+
+function settleStart(
+  state: ClusterState,
+  machine: Machine | undefined,
+  answer: CommandsAnswered,
+  command: WorkerCommand,
+): void {
+  const key = attemptKey(command.jobId, command.taskIndex, command.attempt);
+  const inFlight = getOrCreateMap(state.commands.startsInFlight, answer.machineName);
+  const remaining = (inFlight.get(key) ?? 1) - 1;
+  if (remaining > 0) inFlight.set(key, remaining);
+  else inFlight.delete(key);
+  // It may still arrive, unless the worker has gone on to a newer epoch or a higher token and would refuse it.
+  if (
+    answer.outcome === 'unknown' &&
+    machine !== undefined &&
+    machine.agentEpoch === answer.agentEpoch &&
+    machine.fencingToken <= answer.fencingToken
+  )
+    getOrCreateMap(state.commands.unresolvedStarts, answer.machineName).set(key, answer.fencingToken);
+}
--- /dev/null
+++ b/src/core/commands/direct-starts.ts
@@ -0,0 +1,73 @@
+/** @file Start commands that are sent straight to workers once a commit allows them, ahead of the next heartbeat. */
+import { assignmentsOf } from '../assignments/assignments.js';
+import { type Assignment, attemptKey } from '../model/assignment.js';
+import type { Machine } from '../model/machine.js';
+import type { MonotonicTime, Timestamp } from '../model/time.js';
+import type { Transaction } from '../persistence/transactions.js';
+import type { ClusterState } from '../state/cluster-state.js';
+import { startMayStillArrive } from '../state/command-state.js';
+import { getOrCreateMap } from '../state/maps.js';
+import { isOverloaded } from '../state/overload.js';
+import { isStartable } from './start-conditions.js';
+import { startCommand } from './worker-commands.js';
+
+/**
+ * Sends the starts that a commit allows. In an overloaded process they are left to the answers to the machines' next
+ * heartbeats, which carry them anyway.
+ */
+export function sendCommittedStarts(state: ClusterState, transaction: Transaction, now: Timestamp): void {
+  if (isOverloaded(state.term)) return;
+  for (const [machine, assignments] of startableByMachine(state, transaction, now.monotonic))
+    sendStarts(state, machine, assignments, now.monotonic);
+}
+
+function startableByMachine(
+  state: ClusterState,
+  transaction: Transaction,
+  now: MonotonicTime,
+): Map<Machine, Assignment[]> {
+  const byMachine = new Map<Machine, Assignment[]>();
+  for (const id of transaction.guardedJobs.keys()) {
+    const job = state.jobs.byId.get(id);
+    if (job === undefined || job.status !== 'open') continue;
+    for (const assignment of assignmentsOf(job)) {
+      const machine = state.machines.byName.get(assignment.machineName);
+      if (machine === undefined || !mayStartDirectly(state, machine, assignment, now)) continue;
+      const assignments = byMachine.get(machine);
+      if (assignments === undefined) byMachine.set(machine, [assignment]);
+      else assignments.push(assignment);
+    }
+  }
+  return byMachine;
+}
+
+const mayStartDirectly = (
+  state: ClusterState,
+  machine: Machine,
+  assignment: Assignment,
+  now: MonotonicTime,
+): boolean =>
+  assignment.startSentInSequence === null &&
+  !startMayStillArrive(state.commands, assignment) &&
+  isStartable(state, machine, assignment, now);
+
+function sendStarts(
+  state: ClusterState,
+  machine: Machine,
+  assignments: readonly Assignment[],
+  now: MonotonicTime,
+): void {
+  const inFlight = getOrCreateMap(state.commands.startsInFlight, machine.name);
+  for (const assignment of assignments) {
+    const key = attemptKey(assignment.jobId, assignment.taskIndex, assignment.attempt);
+    inFlight.set(key, (inFlight.get(key) ?? 0) + 1);
+    assignment.startSentInSequence = 0;
+    assignment.startSentAt ??= now;
+  }
+  state.effects.push({
+    kind: 'send-commands',
+    machineName: machine.name,
+    agentEpoch: machine.agentEpoch,
+    commands: assignments.map(startCommand),
+  });
+}
--- /dev/null
+++ b/src/core/commands/forgets.ts
@@ -0,0 +1,45 @@
+/**
+ * @file When workers may forget exited tasks: once their results are committed, and no start command for them can still
+ * arrive. New requests come from the handling of exits; this file carries them out and drops them.
+ */
+import { attemptKey } from '../model/assignment.js';
+import type { Heartbeat } from '../model/heartbeat.js';
+import type { Machine } from '../model/machine.js';
+import type { PendingForget } from '../model/worker-command.js';
+import type { ClusterState } from '../state/cluster-state.js';
+
+/** The exited tasks that the machine's worker may forget now. */
+export function forgetsFor(state: ClusterState, machine: Machine): PendingForget[] {
+  const allowed: PendingForget[] = [];
+  for (const forget of state.commands.pendingForgets.get(machine.name)?.values() ?? [])
+    if (mayForget(state, machine, forget)) allowed.push(forget);
+  return allowed;
+}
+
+function mayForget(state: ClusterState, machine: Machine, forget: PendingForget): boolean {
+  const key = attemptKey(forget.jobId, forget.taskIndex, forget.attempt);
+  // A worker that has forgotten an attempt does not know it: a delayed start command would start it again.
+  if (
+    state.commands.unresolvedStarts.get(machine.name)?.has(key) === true ||
+    (state.commands.startsInFlight.get(machine.name)?.get(key) ?? 0) > 0
+  )
+    return false;
+  if (!machine.fenced) return false;
+  const job = state.jobs.byId.get(forget.jobId);
+  // A job that is finished needs no more results.
+  if (job === undefined || forget.chunkIndex === null || job.status !== 'open') return true;
+  return (job.chunks.get(forget.chunkIndex)?.committedVersion ?? 0) >= forget.recordVersion;
+}
+
+/** Drops the forgets that a heartbeat shows to be carried out. */
+export function dropCompletedForgets(state: ClusterState, heartbeat: Heartbeat): void {
+  const pending = state.commands.pendingForgets.get(heartbeat.machineName);
+  if (pending === undefined) return;
+  const exited = new Set(
+    heartbeat.tasks
+      .filter((task) => task.state === 'exited')
+      .map((task) => attemptKey(task.jobId, task.taskIndex, task.attempt)),
+  );
+  for (const [task, forget] of pending)
+    if (!exited.has(attemptKey(forget.jobId, forget.taskIndex, forget.attempt))) pending.delete(task);
+}
--- /dev/null
+++ b/src/core/periodic/maintenance.ts
@@ -0,0 +1,102 @@
+/**
+ * @file What only the passing of time changes: lease expiry, failure detection, fencing, advances of the token, fleet
+ * sizing. It owns the times of the last runs; the work itself belongs to the modules that it calls.
+ */
+import { sizeFleet } from '../capacity/fleet-sizing.js';
+import { logFleetSummary } from '../capacity/fleet-summary.js';
+import { requestScaleIn } from '../capacity/scale-in-requests.js';
+import { logMissedDeadlines } from '../jobs/dependencies.js';
+import { type Duration, type MonotonicTime, type Timestamp, seconds } from '../model/time.js';
+import { evictFinishedJobs } from '../persistence/finished-jobs.js';
+import { findUnresponsiveMachines, isCutOffFromWorkers } from '../reconciliation/failure-detector.js';
+import { fenceMachines, tokenAdvanceReason } from '../reconciliation/fencing.js';
+import { handlePreemptionNotices } from '../reconciliation/preemption-notices.js';
+import { probeUnreachableMachines } from '../reconciliation/reachability.js';
+import { expireLeases } from '../reconciliation/worker-leases.js';
+import { observeZones } from '../scheduling/zone-availability.js';
+import type { ClusterState } from '../state/cluster-state.js';
+import { mayStartTasks } from '../state/leadership-timing.js';
+import { isOverloaded } from '../state/overload.js';
+
+/** Each sweep walks all machines, so that it runs a few times a second at most. */
+const SWEEP_INTERVAL = seconds(0.4);
+
+/** How often slow changes are looked at. */
+const SLOW_CHECK_INTERVAL = seconds(1);
+
+/** How often the fleet is sized. */
+const FLEET_SIZING_INTERVAL = seconds(2);
+
+/** How often the fleet is sized in an overloaded process: after everything else, but not never. */
+const OVERLOADED_FLEET_SIZING_INTERVAL = seconds(6);
+
+/** How often the fleet is summed up in the log. */
+const FLEET_SUMMARY_INTERVAL = seconds(10);
+
+/** Runs periodic work when it is due. */
+export class PeriodicMaintenance {
+  private sweptAt: MonotonicTime = 0n;
+  private slowChecksAt: MonotonicTime = 0n;
+  private fleetSizedAt: MonotonicTime = 0n;
+  private fleetSummaryAt: MonotonicTime = 0n;
+
+  constructor(private readonly state: ClusterState) {}
+
+  /** Does what is due, in a fixed order. */
+  run(now: Timestamp): void {
+    if (now.monotonic - this.sweptAt >= SWEEP_INTERVAL) this.sweep(now);
+    this.requestTokenAdvance(now);
+    if (now.monotonic - this.fleetSizedAt > this.fleetSizingInterval() && this.mayStartTasks(now)) {
+      this.fleetSizedAt = now.monotonic;
+      sizeFleet(this.state, now);
+    }
+  }
+
+  private sweep(now: Timestamp): void {
+    this.sweptAt = now.monotonic;
+    // After a pause of the process every worker looks unresponsive: nothing is concluded before the state store has
+    // confirmed the leadership again.
+    if (this.mayStartTasks(now)) this.detectFailures(now);
+    if (now.monotonic - this.fleetSummaryAt >= FLEET_SUMMARY_INTERVAL) {
+      this.fleetSummaryAt = now.monotonic;
+      logFleetSummary(this.state, now);
+    }
+    fenceMachines(this.state, now);
+    if (now.monotonic - this.slowChecksAt >= SLOW_CHECK_INTERVAL) this.runSlowChecks(now);
+  }
+
+  private detectFailures(now: Timestamp): void {
+    const { state } = this;
+    expireLeases(state, now);
+    if (isCutOffFromWorkers(state, now))
+      state.effects.push({ kind: 'step-down', reason: 'cut off from workers' });
+    handlePreemptionNotices(state, now);
+    probeUnreachableMachines(state, now);
+    requestScaleIn(state, findUnresponsiveMachines(state, now), 'unresponsive with replicas');
+  }
+
+  private runSlowChecks(now: Timestamp): void {
+    const { state } = this;
+    this.slowChecksAt = now.monotonic;
+    // Retry delays end, machines become suspected, pending work becomes urgent: none of that is an event.
+    state.scheduling.cycleNeeded = state.scheduling.cycleNeeded || state.jobs.pending.size > 0;
+    evictFinishedJobs(state, now.monotonic);
+    logMissedDeadlines(state, now);
+    observeZones(state, now);
+  }
+
+  private requestTokenAdvance(now: Timestamp): void {
+    const reason = tokenAdvanceReason(this.state, now);
+    if (reason === null) return;
+    this.state.term.tokenAdvancedAt = now.monotonic;
+    this.state.effects.push({ kind: 'advance-token', reason });
+  }
+
+  private fleetSizingInterval(): Duration {
+    return isOverloaded(this.state.term) ? OVERLOADED_FLEET_SIZING_INTERVAL : FLEET_SIZING_INTERVAL;
+  }
+
+  private mayStartTasks(now: Timestamp): boolean {
+    return mayStartTasks(this.state.term.confirmedAt, now.monotonic);
+  }
+}
--- /dev/null
+++ b/src/core/reconciliation/assignment-reconciliation.ts
@@ -0,0 +1,99 @@
+/**
+ * @file Compares the tasks in a machine's newest heartbeat with the assignments recorded for it: updates their phases,
+ * and ends those that the heartbeat proves gone.
+ */
+import { endAssignment } from '../assignments/assignments.js';
+import { recordImageUse } from '../machines/image-cache.js';
+import { type Assignment, attemptKey, taskKey } from '../model/assignment.js';
+import type { Heartbeat, ReportedTask } from '../model/heartbeat.js';
+import type { Machine } from '../model/machine.js';
+import type { Timestamp } from '../model/time.js';
+import type { ClusterState } from '../state/cluster-state.js';
+import { startMayStillArrive } from '../state/command-state.js';
+import { countUnacknowledgedStart, detectLostStarts } from './reachability.js';
+
+/** Takes in the tasks of a machine's newest heartbeat. */
+export function reconcileAssignments(
+  state: ClusterState,
+  machine: Machine,
+  heartbeat: Heartbeat,
+  now: Timestamp,
+): void {
+  const listedAttempts = new Set<string>();
+  machine.reportedTasks.clear();
+  for (const task of heartbeat.tasks) {
+    listedAttempts.add(attemptKey(task.jobId, task.taskIndex, task.attempt));
+    if (task.state !== 'exited') machine.reportedTasks.set(taskKey(task.jobId, task.taskIndex), task);
+  }
+  for (const assignment of [...machine.assignments.values()])
+    if (assignment.agentEpoch === heartbeat.agentEpoch)
+      reconcileAssignment(state, machine, heartbeat, assignment, listedAttempts, now);
+  detectLostStarts(state, machine, now.monotonic);
+  findOrphanedTasks(state, machine);
+}
+
+function reconcileAssignment(
+  state: ClusterState,
+  machine: Machine,
+  heartbeat: Heartbeat,
+  assignment: Assignment,
+  listedAttempts: ReadonlySet<string>,
+  now: Timestamp,
+): void {
+  const { jobId, taskIndex, attempt } = assignment;
+  const reported = machine.reportedTasks.get(taskKey(jobId, taskIndex));
+  if (reported !== undefined && reported.attempt === attempt)
+    return onTaskReported(state, machine, assignment, reported, now);
+  // What is listed here has exited, and was handled as such.
+  if (listedAttempts.has(attemptKey(jobId, taskIndex, attempt))) return;
+  // Absence proves something only if the worker has this term's token and no start command can still arrive.
+  if (!machine.fenced || startMayStillArrive(state.commands, assignment)) return;
+  // A heartbeat that is no newer than the one whose answer carried the start command cannot show the task.
+  if (assignment.startSentInSequence !== null && heartbeat.sequence <= assignment.startSentInSequence) return;
+  onTaskAbsent(state, machine, heartbeat, assignment, now);
+}
+
+function onTaskReported(
+  state: ClusterState,
+  machine: Machine,
+  assignment: Assignment,
+  reported: ReportedTask,
+  now: Timestamp,
+): void {
+  if (reported.state !== 'exited') assignment.phase = reported.state;
+  machine.unacknowledgedStarts = 0;
+  if (reported.state === 'running' && assignment.runningSince === null)
+    assignment.runningSince = now.monotonic;
+  // An earlier leader sent the start command.
+  if (assignment.startSentInSequence === null) assignment.startSentInSequence = 0;
+  const job = state.jobs.byId.get(assignment.jobId);
+  if (reported.state !== 'fetching' && job !== undefined)
+    recordImageUse(state, machine, job.spec, now.monotonic);
+}
+
+function onTaskAbsent(
+  state: ClusterState,
+  machine: Machine,
+  heartbeat: Heartbeat,
+  assignment: Assignment,
+  now: Timestamp,
+): void {
+  if (assignment.phase !== 'placed') {
+    endAssignment(state, assignment, false, 'missing from heartbeat', now.monotonic);
+    return;
+  }
+  if (assignment.startSentInSequence !== null && assignment.startSentInSequence > 0)
+    countUnacknowledgedStart(machine, heartbeat.sequence);
+  if (assignment.stopRequest !== null)
+    endAssignment(state, assignment, false, `not started: ${assignment.stopRequest.reason}`, now.monotonic);
+}
+
+/** Tasks on the machine without an assignment take resources there until they are stopped. */
+function findOrphanedTasks(state: ClusterState, machine: Machine): void {
+  const hadOrphanedTasks = machine.hasOrphanedTasks;
+  machine.hasOrphanedTasks = false;
+  for (const [key, task] of machine.reportedTasks)
+    if (machine.assignments.get(key)?.attempt !== task.attempt) machine.hasOrphanedTasks = true;
+  if (hadOrphanedTasks || machine.hasOrphanedTasks) machine.resources = null;
+  if (hadOrphanedTasks && !machine.hasOrphanedTasks) state.scheduling.cycleNeeded = true;
+}
--- a/src/core/reconciliation/failure-detector.ts
+++ b/src/core/reconciliation/failure-detector.ts
@@ -1,152 +1,91 @@
-import { gracePeriod } from '../scheduling/preemption.js';
-import { assignmentsOf, stopAssignment } from '../assignments/assignments.js';
+/**
+ * @file Concludes from missing heartbeats which machines have failed, and whether it is rather the leader that is cut
+ * off. It releases nothing itself. Without proof nothing counts as gone: a lease expires, or the cloud terminates the
+ * machine.
+ */
+import { requestProbe } from '../commands/probes.js';
+import { failoverSettlingTime, isSuspected, suspicionTimeout } from '../machines/suspicion.js';
 import type { Machine } from '../model/machine.js';
-import { estimatedSeconds } from '../jobs/deadline-slack.js';
-import { seconds, toSeconds, type Timestamp, type Duration } from '../model/time.js';
-import { isOverloaded } from '../state/overload.js';
-import { emitLog } from '../state/log-effects.js';
+import { type Timestamp, seconds } from '../model/time.js';
 import type { ClusterState } from '../state/cluster-state.js';
+import { isOverloaded } from '../state/overload.js';
 
-/** How long a worker may be silent before it is suspected: reports come up to a quarter late, and packets get lost. */
-const suspectAfter = (state: ClusterState): Duration =>
-  (state.config.heartbeatInterval * 5n) / 2n + seconds(1);
-/** How long after that it has to answer a direct call. */
-const LAST_WORD = seconds(2.5);
+/** How long a suspected machine with replicas has to answer a probe. */
+const PROBE_ANSWER_TIMEOUT = seconds(2.5);
 
-const holdsReplica = (state: ClusterState, machine: Machine): boolean =>
-  [...machine.assignments.values()].some(
-    (assignment) => state.jobs.byId.get(assignment.jobId)?.spec.kind === 'service',
-  );
+/** With fewer machines than this, their silence says little about the leader. */
+const MIN_MACHINES_FOR_CUT_OFF = 3;
 
-const known = (state: ClusterState): Machine[] =>
-  [...state.machines.byName.values()].filter(
-    (machine) =>
-      machine.fenced && !machine.releasing && machine.instanceState !== 'failed' && machine.agentEpoch > 0,
-  );
+/** Whether so many of the machines are missing that it is more likely the leader that is cut off. */
+const isLargeShare = (missing: number, all: number): boolean => missing > Math.max(1, all / 5);
 
-/** So many machines silent at once that it is more likely we who are cut off: none of them is returned then. */
+/** Whether so many machines are suspected together that none of them may be released for it. */
 export function manySuspected(state: ClusterState, now: Timestamp): boolean {
-  const all = known(state);
-  const silent = all.filter(
-    (machine) => now.monotonic - machine.lastHeartbeatAt > suspectAfter(state),
-  ).length;
-  return silent > Math.max(1, all.length / 5);
+  const machines = fencedMachines(state);
+  return isLargeShare(countSuspected(state, machines, now), machines.length);
 }
 
 /**
- * An owner that still has the state service but hears hardly any worker keeps their leases from being renewed by
- * anybody: the other controllers send the workers back to it. It gives the part up, in time for another to answer
- * before the leases end.
+ * A leader that reaches the state store but hardly any worker keeps their leases from being renewed by anybody: the
+ * other controllers send the workers back to it. It steps down, in time for another leader to acknowledge heartbeats
+ * before the leases expire.
  */
 export function isCutOffFromWorkers(state: ClusterState, now: Timestamp): boolean {
   if (now.monotonic - state.term.startedAt < state.config.workerLease / 2n) return false;
-  const all = known(state);
-  const silent = all.filter(
-    (machine) => now.monotonic - machine.lastHeartbeatAt > suspectAfter(state),
-  ).length;
-  return all.length >= 3 && silent * 4 >= all.length * 3;
+  const machines = fencedMachines(state);
+  const suspected = countSuspected(state, machines, now);
+  return machines.length >= MIN_MACHINES_FOR_CUT_OFF && suspected * 4 >= machines.length * 3;
 }
 
 /**
- * Machines that fell silent with replicas on them. Waiting for the lease would leave users without those replicas, so
- * the machine is asked directly and, if it has no last word, returned: that proves its tasks gone. When many fall
- * silent together it is more likely that we are cut off, and nothing is returned: their leases decide.
+ * Machines with replicas that became unresponsive. Waiting for their leases would leave users without those replicas,
+ * so that each is probed and, if it does not answer, returned here to be released: its termination proves its tasks
+ * gone. When many are suspected together the leader is more likely cut off: then their leases decide.
  */
 export function findUnresponsiveMachines(state: ClusterState, now: Timestamp): string[] {
-  // In a process that is behind, what is missing may well be here and not yet looked at.
+  // In an overloaded process heartbeats that seem to be missing may have arrived and not been read yet.
   if (isOverloaded(state.term)) return [];
-  const after = suspectAfter(state);
-  const out = neverHeard(state, now);
-  if (
-    now.monotonic - state.term.startedAt < after + state.config.heartbeatInterval * 2n ||
-    manySuspected(state, now)
-  )
-    return out;
-  const silent = known(state).filter(
-    (machine) =>
-      machine.agentEpoch > machine.lastExpiredEpoch && now.monotonic - machine.lastHeartbeatAt > after,
-  );
-  for (const machine of silent) {
+  if (now.monotonic - state.term.startedAt < failoverSettlingTime(state.config)) return [];
+  const unresponsive = machinesNeverSeen(state);
+  if (manySuspected(state, now)) return unresponsive;
+  const releaseAfter = suspicionTimeout(state.config) + PROBE_ANSWER_TIMEOUT;
+  for (const machine of fencedMachines(state)) {
+    if (machine.agentEpoch <= machine.lastExpiredEpoch || !isSuspected(state.config, machine, now.monotonic))
+      continue;
     if (!holdsReplica(state, machine)) continue;
-    if (now.monotonic - machine.lastHeartbeatAt > after + LAST_WORD) out.push(machine.name);
-    else
-      state.effects.push({
-        kind: 'send-commands',
-        machineName: machine.name,
-        agentEpoch: machine.agentEpoch,
-        commands: [],
-      });
+    if (now.monotonic - machine.lastHeartbeatAt > releaseAfter) unresponsive.push(machine.name);
+    else requestProbe(state, machine);
   }
-  return out;
+  return unresponsive;
 }
 
 /**
- * Machines with recorded replicas that this owner never heard, while it heard nearly all others with work. An earlier
- * owner may have answered them until shortly before it ended and long after, so their leases prove nothing for most of
- * a minute; a machine that is cut off around a takeover would leave its users without replicas for all that time.
+ * Machines with recorded replicas that sent no heartbeat in this term, while nearly all others with work did. An earlier
+ * leader may have acknowledged their heartbeats until shortly before it ended, so that their leases prove nothing for
+ * most of a minute; a machine that is cut off around a failover would leave its users without replicas for that time.
  */
-function neverHeard(state: ClusterState, now: Timestamp): string[] {
-  if (now.monotonic - state.term.startedAt < suspectAfter(state) + state.config.heartbeatInterval * 2n)
-    return [];
-  let working = 0;
-  const never: Machine[] = [];
+function machinesNeverSeen(state: ClusterState): string[] {
+  let withAssignments = 0;
+  const neverSeen: Machine[] = [];
   for (const machine of state.machines.byName.values()) {
     if (machine.assignments.size === 0) continue;
-    working += 1;
-    if (machine.lastHeartbeatAt === 0n && !machine.releasing) never.push(machine);
+    withAssignments += 1;
+    if (machine.lastHeartbeatAt === 0n && !machine.releasing) neverSeen.push(machine);
   }
-  if (never.length > Math.max(1, working / 5)) return [];
-  return never.filter((machine) => holdsReplica(state, machine)).map((machine) => machine.name);
+  if (isLargeShare(neverSeen.length, withAssignments)) return [];
+  return neverSeen.filter((machine) => holdsReplica(state, machine)).map((machine) => machine.name);
 }
 
-const PROBE = seconds(3);
+const fencedMachines = (state: ClusterState): Machine[] =>
+  [...state.machines.byName.values()].filter(
+    (machine) =>
+      machine.fenced && !machine.releasing && machine.instanceState !== 'failed' && machine.agentEpoch > 0,
+  );
 
-/** A machine that nothing reaches is asked directly now and then: an answer shows that it can be reached again. */
-export function probeUnreachableMachines(state: ClusterState, now: Timestamp): void {
-  for (const machine of state.machines.byName.values()) {
-    if (
-      machine.unreachableSince === null ||
-      machine.releasing ||
-      machine.endpoint === '' ||
-      machine.agentEpoch === 0
-    )
-      continue;
-    if (machine.probedAt !== null && now.monotonic - machine.probedAt < PROBE) continue;
-    machine.probedAt = now.monotonic;
-    state.effects.push({
-      kind: 'send-commands',
-      machineName: machine.name,
-      agentEpoch: machine.agentEpoch,
-      commands: [],
-    });
-  }
-}
+const countSuspected = (state: ClusterState, machines: readonly Machine[], now: Timestamp): number =>
+  machines.filter((machine) => isSuspected(state.config, machine, now.monotonic)).length;
 
-/** Tasks on a machine that is about to be taken: what will not be done by then saves in time and goes elsewhere. */
-export function handlePreemptionNotices(state: ClusterState, now: Timestamp): void {
-  for (const machine of state.machines.byName.values()) {
-    if (machine.preemptionAt === null || !machine.fenced) continue;
-    const left = toSeconds(machine.preemptionAt - now.monotonic);
-    for (const assignment of [...machine.assignments.values()]) {
-      const job = state.jobs.byId.get(assignment.jobId);
-      if (job === undefined || assignment.stopRequest !== null) continue;
-      const ran = assignment.runningSince === null ? 0 : toSeconds(now.monotonic - assignment.runningSince);
-      const ends =
-        assignment.runningSince !== null &&
-        job.spec.kind !== 'service' &&
-        estimatedSeconds(state, job) - ran < left - 2;
-      const grace = gracePeriod(job);
-      // A notice may be half its nominal length: what has to save is stopped while there surely is time.
-      if (ends && left > grace + 2) continue;
-      emitLog(
-        state,
-        'stopped ahead of a spot notice',
-        { task: `${assignment.jobId}/${assignment.taskIndex}`, machine: machine.name, left },
-        'info',
-      );
-      if (job.spec.kind === 'gang')
-        for (const other of assignmentsOf(job)) stopAssignment(state, other, grace, 'notice', now.monotonic);
-      else stopAssignment(state, assignment, grace, 'notice', now.monotonic);
-    }
-  }
-}
+const holdsReplica = (state: ClusterState, machine: Machine): boolean =>
+  [...machine.assignments.values()].some(
+    (assignment) => state.jobs.byId.get(assignment.jobId)?.spec.kind === 'service',
+  );
--- a/src/core/reconciliation/fencing.ts
+++ b/src/core/reconciliation/fencing.ts
@@ -1,86 +1,109 @@
-/** @file Making sure that machines obey this term alone. */
-import type { ClusterState } from '../state/cluster-state.js';
-import { isOverloaded } from '../state/overload.js';
-import { attemptKey } from '../model/assignment.js';
+/** @file Makes sure that workers obey this term alone, and finds out when only a higher fencing token helps. */
 import { startNeverSent } from '../assignments/assignments.js';
+import { requestProbe } from '../commands/probes.js';
+import { attemptKey, taskKey } from '../model/assignment.js';
 import type { Machine } from '../model/machine.js';
-import { taskKey } from '../model/assignment.js';
-import { mayStartTasks } from '../state/leadership-timing.js';
 import { type Timestamp, seconds } from '../model/time.js';
+import type { ClusterState } from '../state/cluster-state.js';
+import { mayStartTasks } from '../state/leadership-timing.js';
+import { isOverloaded } from '../state/overload.js';
 
-/** Machines asked in one go: after a takeover of a large fleet all of them would otherwise be called at once. */
-const FENCE_AT_ONCE = 50;
+/** Machines probed in one sweep: after a failover all of a large fleet would otherwise be called at once. */
+const MAX_PROBES = 50;
 
-/** While workers are still finding their way to us, or the process is behind, only so many are called. */
-const FENCE_BUSY = 1;
+/** Machines probed in one sweep while workers are still joining by themselves or the process is overloaded. */
+const MAX_PROBES_WHEN_BUSY = 1;
 
-/** With no machine arriving for so long, those that have not are not on their way by themselves. */
-const FENCE_QUIET = seconds(1);
+/** When no worker has joined for so long, the rest are not about to join by themselves. */
+const JOINING_PAUSE = seconds(1);
 
 /**
- * How long a machine that reports to us has to show this term's token by itself: a higher token makes it report again
- * half a second later.
+ * How long a machine that has sent a heartbeat has to show this term's token by itself: a higher token makes it send
+ * the next heartbeat half a second later.
  */
-const SHOWS_TOKEN = seconds(1.5);
+const TOKEN_ECHO_TIMEOUT = seconds(1.5);
+
+/** How often one machine is probed. */
+const PROBE_INTERVAL = seconds(2);
+
+/** Without a heartbeat for so many intervals a worker would not show a higher token either. */
+const MAX_HEARTBEAT_INTERVALS_MISSED = 3n;
 
 /**
- * Asks machines that have not shown this term's token to take it: it is raised before anything else is done. A machine
- * whose reports come shows it by itself in the one after the first that is answered, so it is asked only when it does
- * not; a direct call costs several times as much as a report. Those with work to do are asked first.
+ * Probes machines that have not shown this term's token, so that they take it before anything else is done. A machine
+ * whose heartbeats come shows the token in the heartbeat after the first that was acknowledged, so it is probed only if
+ * it does not; a direct call costs several times as much as a heartbeat. Machines with assignments come first.
  */
 export function fenceMachines(state: ClusterState, now: Timestamp): void {
-  const asked: Machine[] = [];
-  for (const machine of state.machines.byName.values()) {
-    if (
-      machine.fenced ||
-      machine.endpoint === '' ||
-      machine.instanceState === 'booting' ||
-      machine.instanceState === 'failed'
-    )
-      continue;
-    if (machine.probedAt !== null && now.monotonic - machine.probedAt < seconds(2)) continue;
-    if (machine.firstHeartbeatAt !== null && now.monotonic - machine.firstHeartbeatAt < SHOWS_TOKEN) continue;
-    asked.push(machine);
-  }
-  const coming = now.monotonic - state.term.lastWorkerJoinedAt < FENCE_QUIET;
-  const most = coming || isOverloaded(state.term) ? FENCE_BUSY : FENCE_AT_ONCE;
-  if (asked.length > most) asked.sort((a, b) => b.assignments.size - a.assignments.size);
-  for (const machine of asked.slice(0, most)) {
+  const unfenced: Machine[] = [];
+  for (const machine of state.machines.byName.values()) if (needsProbe(machine, now)) unfenced.push(machine);
+  const stillJoining = now.monotonic - state.term.lastWorkerJoinedAt < JOINING_PAUSE;
+  const limit = stillJoining || isOverloaded(state.term) ? MAX_PROBES_WHEN_BUSY : MAX_PROBES;
+  if (unfenced.length > limit) unfenced.sort((a, b) => b.assignments.size - a.assignments.size);
+  for (const machine of unfenced.slice(0, limit)) {
     machine.probedAt = now.monotonic;
-    state.effects.push({
-      kind: 'send-commands',
-      machineName: machine.name,
-      agentEpoch: Math.max(machine.agentEpoch, 1),
-      commands: [],
-    });
+    // A machine that sent no heartbeat has an unknown epoch; its refusal shows the right one.
+    requestProbe(state, machine, Math.max(machine.agentEpoch, 1));
   }
 }
 
-/** Whether some copy of a `run` blocks progress and only a higher token can settle that it never comes. */
+function needsProbe(machine: Machine, now: Timestamp): boolean {
+  if (machine.fenced || machine.endpoint === '') return false;
+  if (machine.instanceState === 'booting' || machine.instanceState === 'failed') return false;
+  if (machine.probedAt !== null && now.monotonic - machine.probedAt < PROBE_INTERVAL) return false;
+  return machine.firstHeartbeatAt === null || now.monotonic - machine.firstHeartbeatAt >= TOKEN_ECHO_TIMEOUT;
+}
+
+/** Probes a machine again at once whose worker refused the token: its refusal has shown its agent epoch. */
+export function retryFencing(state: ClusterState, machineName: string): void {
+  const machine = state.machines.byName.get(machineName);
+  if (machine === undefined || machine.fenced || machine.agentEpoch === 0) return;
+  requestProbe(state, machine);
+}
+
+/**
+ * Why a higher fencing token is needed; null: it is not. An unresolved start command may block progress, and only a
+ * higher token on the worker proves that it will never be carried out.
+ */
 export function tokenAdvanceReason(state: ClusterState, now: Timestamp): string | null {
   if (
     now.monotonic - state.term.tokenAdvancedAt < state.config.workerLease / 2n ||
     !mayStartTasks(state.term.confirmedAt, now.monotonic)
   )
     return null;
-  for (const [name, loose] of state.commands.unresolvedStarts) {
-    const machine = state.machines.byName.get(name);
+  for (const [machineName, unresolved] of state.commands.unresolvedStarts) {
+    const machine = state.machines.byName.get(machineName);
     if (
       machine === undefined ||
-      loose.size === 0 ||
-      now.monotonic - machine.lastHeartbeatAt > state.config.heartbeatInterval * 3n
+      unresolved.size === 0 ||
+      now.monotonic - machine.lastHeartbeatAt >
+        state.config.heartbeatInterval * MAX_HEARTBEAT_INTERVALS_MISSED
     )
       continue;
-    for (const forget of state.commands.pendingForgets.get(name)?.values() ?? [])
-      if (loose.has(attemptKey(forget.jobId, forget.taskIndex, forget.attempt)))
-        return `a result on ${name} cannot be forgotten`;
-    for (const assignment of machine.assignments.values())
-      if (
-        assignment.stopRequest !== null &&
-        !machine.reportedTasks.has(taskKey(assignment.jobId, assignment.taskIndex)) &&
-        !startNeverSent(state, assignment)
-      )
-        return `a stop on ${name} cannot be proven`;
+    if (blocksForget(state, machineName, unresolved))
+      return `unresolved start blocks a forget: ${machineName}`;
+    if (blocksStop(state, machine)) return `unresolved start blocks a stop: ${machineName}`;
   }
   return null;
 }
+
+function blocksForget(
+  state: ClusterState,
+  machineName: string,
+  unresolved: ReadonlyMap<string, number>,
+): boolean {
+  for (const forget of state.commands.pendingForgets.get(machineName)?.values() ?? [])
+    if (unresolved.has(attemptKey(forget.jobId, forget.taskIndex, forget.attempt))) return true;
+  return false;
+}
+
+function blocksStop(state: ClusterState, machine: Machine): boolean {
+  for (const assignment of machine.assignments.values())
+    if (
+      assignment.stopRequest !== null &&
+      !machine.reportedTasks.has(taskKey(assignment.jobId, assignment.taskIndex)) &&
+      !startNeverSent(state, assignment)
+    )
+      return true;
+  return false;
+}
--- /dev/null
+++ b/src/core/reconciliation/heartbeat-intake.ts
@@ -0,0 +1,94 @@
+/**
+ * @file Takes in workers' heartbeats, whichever way they come: decides which are current, and updates the machine. What
+ * a current heartbeat proves about tasks is concluded by the modules that it calls.
+ */
+import { dropCompletedForgets } from '../commands/forgets.js';
+import { isUsable } from '../machines/free-resources.js';
+import { getOrAddMachine } from '../machines/machine-registry.js';
+import type { Heartbeat } from '../model/heartbeat.js';
+import type { Machine } from '../model/machine.js';
+import type { Timestamp } from '../model/time.js';
+import type { ClusterState } from '../state/cluster-state.js';
+import { emitLog } from '../state/log-effects.js';
+import { beginAgentEpoch } from './agent-epochs.js';
+import { reconcileAssignments } from './assignment-reconciliation.js';
+import { onTaskExited } from './task-exits.js';
+
+/** Handles a heartbeat that a worker sent by itself. */
+export function onWorkerHeartbeat(state: ClusterState, heartbeat: Heartbeat, now: Timestamp): void {
+  applyHeartbeat(state, heartbeat, now);
+  recordJoin(state, heartbeat.machineName, now);
+  dropCompletedForgets(state, heartbeat);
+}
+
+/**
+ * Takes in a heartbeat, whether a worker sent it by itself or in the answer to direct commands. Exits count even in
+ * delayed heartbeats; the absence of a task counts only in current ones.
+ */
+export function applyHeartbeat(state: ClusterState, heartbeat: Heartbeat, now: Timestamp): void {
+  if (heartbeat.fencingToken > state.term.fencingToken) {
+    state.effects.push({ kind: 'superseded', fencingToken: heartbeat.fencingToken });
+    return;
+  }
+  if (state.machines.terminated.has(heartbeat.machineName)) {
+    emitLog(state, 'heartbeat of a terminated machine ignored', {
+      machine: heartbeat.machineName,
+      sequence: heartbeat.sequence,
+    });
+    return;
+  }
+  const machine = getOrAddMachine(state, heartbeat.machineName, now.monotonic);
+  for (const task of heartbeat.tasks)
+    if (task.state === 'exited') onTaskExited(state, machine, heartbeat, task, now);
+  if (!isCurrent(machine, heartbeat)) {
+    emitLog(state, 'delayed heartbeat', {
+      machine: heartbeat.machineName,
+      agentEpoch: heartbeat.agentEpoch,
+      sequence: heartbeat.sequence,
+    });
+    return;
+  }
+  const wasUsable = isUsable(state, machine, now.monotonic);
+  updateMachine(state, machine, heartbeat, now);
+  dropFencedStarts(state, machine);
+  reconcileAssignments(state, machine, heartbeat, now);
+  if (isUsable(state, machine, now.monotonic) !== wasUsable) state.scheduling.cycleNeeded = true;
+}
+
+/** Heartbeats are ordered by agent epoch, then by sequence; one that is not newer says nothing about the present. */
+const isCurrent = (machine: Machine, heartbeat: Heartbeat): boolean =>
+  heartbeat.agentEpoch > machine.agentEpoch ||
+  (heartbeat.agentEpoch === machine.agentEpoch && heartbeat.sequence > machine.sequence);
+
+/** A machine that joined by itself needs no direct call to be fenced for a while. */
+function recordJoin(state: ClusterState, machineName: string, now: Timestamp): void {
+  const machine = state.machines.byName.get(machineName);
+  if (machine === undefined || machine.firstHeartbeatAt !== null) return;
+  machine.firstHeartbeatAt = now.monotonic;
+  state.term.lastWorkerJoinedAt = now.monotonic;
+}
+
+function updateMachine(state: ClusterState, machine: Machine, heartbeat: Heartbeat, now: Timestamp): void {
+  machine.endpoint = heartbeat.endpoint;
+  if (machine.type !== heartbeat.type) machine.resources = null;
+  machine.type = heartbeat.type;
+  machine.zone = heartbeat.zone;
+  machine.spot = heartbeat.spot;
+  state.machines.booting.delete(machine.name);
+  if (heartbeat.agentEpoch > machine.agentEpoch)
+    beginAgentEpoch(state, machine, heartbeat.agentEpoch, now.monotonic);
+  machine.sequence = heartbeat.sequence;
+  machine.fencingToken = heartbeat.fencingToken;
+  machine.lastHeartbeatAt = now.monotonic;
+  machine.preemptionAt =
+    heartbeat.preemptionNotice === null ? null : now.monotonic + heartbeat.preemptionNotice;
+  if (heartbeat.fencingToken >= state.term.firstFencingToken) machine.fenced = true;
+}
+
+/** A delayed start command that carries a lower token than the worker has seen is refused there. */
+function dropFencedStarts(state: ClusterState, machine: Machine): void {
+  const unresolved = state.commands.unresolvedStarts.get(machine.name);
+  if (unresolved === undefined) return;
+  for (const [attempt, fencingToken] of unresolved)
+    if (machine.fencingToken > fencingToken) unresolved.delete(attempt);
+}
--- a/src/core/reconciliation/instance-inventory.ts
+++ b/src/core/reconciliation/instance-inventory.ts
@@ -1,110 +1,108 @@
-/** @file The cloud's word on machines: the list, and what was returned. */
+/** @file Compares the cloud's inventory and its list of machine types with the machines that the leader knows. */
+import { getOrAddMachine } from '../machines/machine-registry.js';
+import type { CloudInstance, Machine, MachineType } from '../model/machine.js';
+import { type MonotonicTime, type Timestamp, laterOf, seconds } from '../model/time.js';
 import type { ClusterState } from '../state/cluster-state.js';
 import { emitLog } from '../state/log-effects.js';
-import { endAssignment } from '../assignments/assignments.js';
-import { getOrAddMachine } from '../machines/machine-registry.js';
+import { removeMachine, removeTerminatedMachine } from './machine-removal.js';
 import { leaseExpiry } from './worker-leases.js';
-import type { CloudInstance, Machine } from '../model/machine.js';
-import { type Timestamp, type MonotonicTime, seconds } from '../model/time.js';
 
-/** Takes in a whole list of the cloud's. */
+/** A machine without assignments that is unlisted and sends no heartbeats is dropped after so many inventory lags. */
+const UNLISTED_RETENTION_LAGS = 6n;
+
+/** Kept, with half a lag, beyond the two lags by which an inventory may be older than its request. */
+const INVENTORY_PROOF_MARGIN = seconds(2);
+
+/** Takes in the cloud's machine types. */
+export function updateMachineTypes(state: ClusterState, types: readonly MachineType[]): void {
+  for (const type of types) state.machines.types.set(type.name, type);
+  for (const machine of state.machines.byName.values()) machine.resources = null;
+  state.scheduling.cycleNeeded = true;
+}
+
+/** Takes in a whole inventory of the cloud's, requested at that time. */
 export function reconcileInventory(
   state: ClusterState,
-  list: readonly CloudInstance[],
-  sent: MonotonicTime,
+  instances: readonly CloudInstance[],
+  requestedAt: MonotonicTime,
   now: Timestamp,
 ): void {
-  const names = new Set<string>();
+  const listedNames = new Set<string>();
   state.machines.inventorySeen = true;
-  for (const listed of list) {
-    names.add(listed.name);
-    // Lists lag: what is proven gone stays on them for a while.
-    if (state.machines.terminated.has(listed.name)) continue;
-    const machine = getOrAddMachine(state, listed.name, now.monotonic);
-    if (machine.endpoint === '') machine.endpoint = listed.endpoint;
-    if (machine.agentEpoch === 0) {
-      if (machine.type !== listed.type) machine.resources = null;
-      machine.type = listed.type;
-      machine.zone = listed.zone;
-      machine.spot = listed.spot;
-      if (!state.machines.booting.has(listed.name) && listed.state === 'booting')
-        state.machines.booting.set(listed.name, {
-          type: listed.type,
-          zone: listed.zone,
-          spot: listed.spot,
-          since: now.monotonic - listed.age,
-        });
-    }
-    if (machine.instanceState !== listed.state) state.scheduling.cycleNeeded = true;
-    machine.instanceState = listed.state;
-    machine.lastListedAt = now.monotonic;
+  for (const instance of instances) {
+    listedNames.add(instance.name);
+    // Inventories lag: a machine that is proven to be terminated stays listed for a while.
+    if (!state.machines.terminated.has(instance.name)) updateFromInstance(state, instance, now);
   }
-  // The list lags and may go back in time: only what has long been missing and silent is dropped.
-  const long = state.config.inventoryLag * 6n;
-  for (const machine of [...state.machines.byName.values()]) {
-    if (names.has(machine.name)) continue;
-    if (machine.assignments.size > 0) {
-      onUnlisted(state, machine, sent, now);
-      continue;
-    }
-    const last = [machine.lastHeartbeatAt, machine.lastListedAt ?? 0n, machine.firstSeenAt].reduce((a, b) =>
-      a > b ? a : b,
-    );
-    if (now.monotonic - last > long && now.monotonic > leaseExpiry(state, machine)) {
-      state.machines.byName.delete(machine.name);
-      state.machines.booting.delete(machine.name);
-      state.commands.unresolvedStarts.delete(machine.name);
-      state.commands.startsInFlight.delete(machine.name);
-      state.commands.pendingForgets.delete(machine.name);
-    }
+  for (const machine of [...state.machines.byName.values()])
+    if (!listedNames.has(machine.name)) onUnlisted(state, machine, requestedAt, now);
+}
+
+function updateFromInstance(state: ClusterState, instance: CloudInstance, now: Timestamp): void {
+  const machine = getOrAddMachine(state, instance.name, now.monotonic);
+  if (machine.endpoint === '') machine.endpoint = instance.endpoint;
+  // Once the worker has sent a heartbeat, that is the better source.
+  if (machine.agentEpoch === 0) {
+    if (machine.type !== instance.type) machine.resources = null;
+    machine.type = instance.type;
+    machine.zone = instance.zone;
+    machine.spot = instance.spot;
+    if (!state.machines.booting.has(instance.name) && instance.state === 'booting')
+      state.machines.booting.set(instance.name, {
+        type: instance.type,
+        zone: instance.zone,
+        spot: instance.spot,
+        since: now.monotonic - instance.age,
+      });
   }
+  if (machine.instanceState !== instance.state) state.scheduling.cycleNeeded = true;
+  machine.instanceState = instance.state;
+  machine.lastListedAt = now.monotonic;
+}
+
+function onUnlisted(state: ClusterState, machine: Machine, requestedAt: MonotonicTime, now: Timestamp): void {
+  if (machine.assignments.size > 0) {
+    if (isProvenTerminated(state, machine, requestedAt)) onUnlistedWithAssignments(state, machine, now);
+    return;
+  }
+  // Inventories lag and may go back in time: only what has been unlisted and without heartbeats for long is dropped.
+  const lastSeenAt = laterOf(
+    laterOf(machine.lastHeartbeatAt, machine.lastListedAt ?? 0n),
+    machine.firstSeenAt,
+  );
+  if (
+    now.monotonic - lastSeenAt > state.config.inventoryLag * UNLISTED_RETENTION_LAGS &&
+    now.monotonic > leaseExpiry(state, machine)
+  )
+    removeMachine(state, machine.name);
 }
 
 /**
- * A list describes a moment at most twice its lag before it was asked for, and holds every machine that was there then
- * and had been for so long. A machine that reported, or had a place recorded, before that moment and is not listed is
- * gone with all it held: taken back, or deleted. Without this proof the tasks of spot machines that were taken just
- * before a takeover waited for leases that an earlier owner might have renewed, and again after each further one.
+ * An inventory describes a moment at most twice its lag before it was requested, and lists every machine that existed
+ * then and had for so long. A machine that sent a heartbeat, or had an assignment recorded, before that moment and is
+ * not listed is terminated: preempted or deleted. Without this proof the tasks of spot machines that were preempted just
+ * before a failover waited for leases that an earlier leader might have renewed, and again after each further failover.
  */
-function onUnlisted(state: ClusterState, machine: Machine, sent: MonotonicTime, now: Timestamp): void {
-  const existed = machine.lastHeartbeatAt > 0n ? machine.lastHeartbeatAt : state.term.startedAt;
-  if (sent < existed + (state.config.inventoryLag * 5n) / 2n + seconds(2)) return;
+function isProvenTerminated(state: ClusterState, machine: Machine, requestedAt: MonotonicTime): boolean {
+  const existedAt = machine.lastHeartbeatAt > 0n ? machine.lastHeartbeatAt : state.term.startedAt;
+  return requestedAt >= existedAt + (state.config.inventoryLag * 5n) / 2n + INVENTORY_PROOF_MARGIN;
+}
+
+function onUnlistedWithAssignments(state: ClusterState, machine: Machine, now: Timestamp): void {
   emitLog(
     state,
-    'not listed any more: gone',
+    'machine terminated: not in the inventory',
     { machine: machine.name, tasks: machine.assignments.size },
     'info',
   );
-  for (const assignment of [...machine.assignments.values()])
-    endAssignment(state, assignment, false, 'machine gone', now.monotonic);
-  dropMachine(state, machine.name, now.monotonic);
+  removeTerminatedMachine(state, machine, 'machine terminated', now);
 }
 
-/** The cloud has answered: these machines and all they held are gone. */
+/** Takes in that the cloud has terminated these machines. */
 export function onMachinesReleased(state: ClusterState, names: readonly string[], now: Timestamp): void {
   for (const name of names) {
     const machine = state.machines.byName.get(name);
-    if (machine === undefined) continue;
-    for (const assignment of [...machine.assignments.values()])
-      endAssignment(state, assignment, false, 'machine returned', now.monotonic);
-    dropMachine(state, name, now.monotonic);
+    if (machine !== undefined) removeTerminatedMachine(state, machine, 'machine released', now);
   }
   state.scheduling.cycleNeeded = true;
 }
-
-/** Copies of a gone machine's reports come late, but hardly later than this. */
-const COPIES_COME = seconds(600);
-
-/** Proven gone. A late copy of its reports would otherwise make it look alive, and work would be sent there. */
-function dropMachine(state: ClusterState, name: string, now: MonotonicTime): void {
-  state.machines.byName.delete(name);
-  state.machines.booting.delete(name);
-  state.commands.unresolvedStarts.delete(name);
-  state.commands.startsInFlight.delete(name);
-  state.commands.pendingForgets.delete(name);
-  state.machines.terminated.set(name, now);
-  for (const [old, at] of state.machines.terminated) {
-    if (now - at < COPIES_COME) break;
-    state.machines.terminated.delete(old);
-  }
-}
--- /dev/null
+++ b/src/core/reconciliation/machine-removal.ts
@@ -0,0 +1,41 @@
+/** @file Removes machines from the state, with everything that is kept by machine name. */
+import { endAssignment } from '../assignments/assignments.js';
+import type { Machine } from '../model/machine.js';
+import { type MonotonicTime, type Timestamp, seconds } from '../model/time.js';
+import type { ClusterState } from '../state/cluster-state.js';
+
+/** Delayed copies of a terminated machine's heartbeats arrive hardly later than this. */
+const TERMINATED_RETENTION = seconds(600);
+
+/** Removes a machine that may still exist: should it send a heartbeat, it becomes known again. */
+export function removeMachine(state: ClusterState, name: string): void {
+  state.machines.byName.delete(name);
+  state.machines.booting.delete(name);
+  state.commands.unresolvedStarts.delete(name);
+  state.commands.startsInFlight.delete(name);
+  state.commands.pendingForgets.delete(name);
+}
+
+/**
+ * Removes a machine that is proven to be terminated, and ends its assignments. Its name is kept for a while: a delayed
+ * copy of a heartbeat would otherwise make it look alive, and tasks would be assigned to it.
+ */
+export function removeTerminatedMachine(
+  state: ClusterState,
+  machine: Machine,
+  reason: string,
+  now: Timestamp,
+): void {
+  for (const assignment of [...machine.assignments.values()])
+    endAssignment(state, assignment, false, reason, now.monotonic);
+  removeMachine(state, machine.name);
+  state.machines.terminated.set(machine.name, now.monotonic);
+  dropOldTerminations(state.machines.terminated, now.monotonic);
+}
+
+function dropOldTerminations(terminated: Map<string, MonotonicTime>, now: MonotonicTime): void {
+  for (const [name, terminatedAt] of terminated) {
+    if (now - terminatedAt < TERMINATED_RETENTION) break;
+    terminated.delete(name);
+  }
+}
--- a/src/edge/leadership/leader-term.ts
+++ b/src/edge/leadership/leader-term.ts
@@ -5,7 +5,8 @@
 import type { HeartbeatAnswer } from '../../core/model/worker-command.js';
 import type { ScaleOutRequest } from '../../core/model/scale-out.js';
 import type { Heartbeat } from '../../core/model/heartbeat.js';
-import { ClusterScheduler, type Event } from '../../core/cluster-scheduler.js';
+import { ClusterScheduler } from '../../core/cluster-scheduler.js';
+import type { Event } from '../../core/events.js';
 import {
   mayAcknowledgeHeartbeats,
   mayStartTasks,
--- a/src/edge/leadership/term-startup-profile.ts
+++ b/src/edge/leadership/term-startup-profile.ts
@@ -1,4 +1,4 @@
-import type { Event } from '../../core/cluster-scheduler.js';
+import type { Event } from '../../core/events.js';
 import type { Logger } from '../runtime/logger.js';
 
 /** What the beginning of a term is spent on, step by step. */
--- a/test/cancelled-dependents.test.ts
+++ b/test/cancelled-dependents.test.ts
@@ -3,7 +3,7 @@
 import type { JobRecord } from '../src/core/model/job.js';
 import { chunkOf } from '../src/core/records/chunks.js';
 import { assignTask } from '../src/core/assignments/assignments.js';
-import { isStartable } from '../src/core/commands/worker-commands.js';
+import { isStartable } from '../src/core/commands/start-conditions.js';
 import { operationCount, type Transaction } from '../src/core/persistence/transactions.js';
 import { ClusterScheduler } from '../src/core/cluster-scheduler.js';
 import { CLUSTER_CONFIG, MACHINE_TYPE, jobSpec } from './fixtures/cluster-config.js';
