--- a/src/core/capacity/expected-slots.ts
+++ b/src/core/capacity/expected-slots.ts
@@ -58,7 +58,7 @@
     this.zonesAreFixed = !job.spec.singleZone && !job.spec.spreadAcrossZones;
   }
 
-  /** A slot with capacity for one more task; it is returned again until it is full. */
+  /** A slot with capacity for one more task; the same one is found again until it is full. */
   find(): Slot | undefined {
     for (let index = this.zonesAreFixed ? this.next : 0; index < this.slots.length; index++) {
       const slot = this.slots[index];
--- a/src/core/capacity/scale-out-planning.ts
+++ b/src/core/capacity/scale-out-planning.ts
@@ -17,7 +17,7 @@
 /** New machines requested in one round: the answers come before the next. */
 const MAX_NEW_MACHINES_PER_ROUND = 400;
 
-/** Requests for what the blocked jobs, in this order, and the forecast need. */
+/** Requests for what the blocked jobs, first to last, and then the forecast need. */
 export function planScaleOut(
   state: ClusterState,
   blocked: readonly Job[],
--- a/src/core/commands/heartbeat-commands.ts
+++ b/src/core/commands/heartbeat-commands.ts
@@ -13,13 +13,13 @@
 import { isStartable } from './start-conditions.js';
 import { forgetCommand, startCommand, stopCommand } from './worker-commands.js';
 
-/** Answered heartbeats that are remembered per machine: copies come late, but seldom after so many others. */
+/** Answered heartbeats that are remembered per machine: duplicates arrive late, but seldom after so many others. */
 const MAX_ANSWERED_SEQUENCES = 64;
 
 /**
  * The commands for the answer to a heartbeat. A delayed heartbeat gets none: its worker has gone on, and commands for
  * it would fit an older list of tasks. Its answer may still renew the lease, since a heartbeat can be overtaken by the
- * answer to a direct command; only the same heartbeat again is surely a copy, whose answer reaches nobody.
+ * answer to a direct command; only the same heartbeat again is surely a duplicate, whose answer reaches nobody.
  */
 export function commandsForHeartbeat(
   state: ClusterState,
@@ -41,7 +41,7 @@
   return commands;
 }
 
-/** Records that a heartbeat of the current epoch is answered. False: it was answered before, this is a copy. */
+/** Records that a heartbeat of the current epoch is answered. False: it is a duplicate of one answered before. */
 function recordAnswered(machine: Machine, sequence: number): boolean {
   const answered = machine.answeredSequences;
   if (answered.includes(sequence)) return false;
--- a/src/core/reconciliation/failure-detector.ts
+++ b/src/core/reconciliation/failure-detector.ts
@@ -39,7 +39,7 @@
 
 /**
  * Machines with replicas that became unresponsive. Waiting for their leases would leave users without those replicas,
- * so that each is probed and, if it does not answer, returned here to be released: its termination proves its tasks
+ * so that each is probed and, if it does not answer, listed here to be released: its termination proves its tasks
  * gone. When many are suspected together the leader is more likely cut off: then their leases decide.
  */
 export function findUnresponsiveMachines(state: ClusterState, now: Timestamp): string[] {
--- a/src/core/reconciliation/machine-removal.ts
+++ b/src/core/reconciliation/machine-removal.ts
@@ -4,7 +4,7 @@
 import { type MonotonicTime, type Timestamp, seconds } from '../model/time.js';
 import type { ClusterState } from '../state/cluster-state.js';
 
-/** Delayed copies of a terminated machine's heartbeats arrive hardly later than this. */
+/** Delayed heartbeats of a terminated machine arrive hardly later than this. */
 const TERMINATED_RETENTION = seconds(600);
 
 /** Removes a machine that may still exist: should it send a heartbeat, it becomes known again. */
@@ -18,7 +18,7 @@
 
 /**
  * Removes a machine that is proven to be terminated, and ends its assignments. Its name is kept for a while: a delayed
- * copy of a heartbeat would otherwise make it look alive, and tasks would be assigned to it.
+ * heartbeat would otherwise make it look alive, and tasks would be assigned to it.
  */
 export function removeTerminatedMachine(
   state: ClusterState,
