--- a/measure/memory.ts
+++ b/measure/memory.ts
@@ -10,8 +10,12 @@
 import { FinishedJobCompactor } from '../src/edge/state-store/finished-job-compactor.js';
 import { DEFAULT_SETTINGS } from '../src/edge/config/operator-settings.js';
 import { HeartbeatQueue, readHeartbeats } from '../src/edge/http/heartbeat-reader.js';
-import type { KeyChange, ReplicaEntry, StateStore } from '../src/edge/state-store/state-store.js';
-import { jobKey, pageKey, encodeJob, encodePage, type FinishedJobSummary } from '../src/wire/records.js';
+import type { KeyChange, ReplicaEntry } from '../src/edge/state-store/replica-view.js';
+import type { StateStore } from '../src/edge/state-store/state-store.js';
+import { jobKey, pageKey } from '../src/wire/keys.js';
+import { encodeJob } from '../src/wire/job-record.js';
+import { encodePage } from '../src/wire/page-record.js';
+import type { FinishedJobSummary } from '../src/wire/finished-job-summary.js';
 import { decode, encode } from '../src/wire/cbor.js';
 import { FACTS, TYPE, spec } from '../test/player.js';
 
--- a/packages/zone-recovery/test/loopback.test.ts
+++ b/packages/zone-recovery/test/loopback.test.ts
@@ -2,7 +2,7 @@
 import { after, before, test } from 'node:test';
 import type { Subscription } from 'rxjs';
 import type { Features } from '../../../src/edge/config/features.js';
-import { zoneRecordKey } from '../../../src/wire/records.js';
+import { zoneRecordKey } from '../../../src/wire/keys.js';
 import { call, listen } from '../../../test/standins/http.js';
 import {
   job,
--- a/src/edge/cloud/cloud-client.ts
+++ b/src/edge/cloud/cloud-client.ts
@@ -6,9 +6,9 @@
   parseInventory,
   parseMachineTypes,
   encodeScaleOut,
+  parseScaleOutResponse,
   encodeScaleIn,
-} from '../../wire/protocol.js';
-import * as schemas from '../../wire/schemas.js';
+} from '../../wire/cloud-protocol.js';
 import { RateLimiter } from '../runtime/rate-limiter.js';
 import { sleep } from '../runtime/supervised-task.js';
 import { HttpClient, type Outcome } from '../net/http-client.js';
@@ -61,8 +61,8 @@
     for (let n = 0; n < 4 && !signal.aborted; n++) {
       const outcome = await this.call('POST', CLOUD_PATHS.machines, encodeScaleOut(name, request), signal);
       if (outcome.kind === 'answer' && outcome.status === 200) {
-        const r = schemas.rented.safeParse(outcome.body);
-        return r.success ? r.data.rigs : this.unread('a rental without names');
+        const names = parseScaleOutResponse(outcome.body);
+        return names.ok ? names.value : this.unread('a rental without names');
       }
       if (outcome.kind === 'answer' && (outcome.status === 400 || outcome.status === 503)) return null;
       await sleep(jittered(400 * 2 ** n), signal);
--- a/src/edge/http/heartbeat-reader.ts
+++ b/src/edge/http/heartbeat-reader.ts
@@ -1,5 +1,5 @@
 import type { Socket } from 'node:net';
-import { API_PATHS } from '../../wire/protocol.js';
+import { API_PATHS } from '../../wire/api-paths.js';
 import { monotonicNow } from '../runtime/clock.js';
 
 /**
@@ -13,7 +13,7 @@
   readonly body: Buffer;
 }
 
-const REQUEST_LINE = `POST ${API_PATHS.report} HTTP/1.1\r\n`;
+const REQUEST_LINE = `POST ${API_PATHS.heartbeat} HTTP/1.1\r\n`;
 const HEAD_LIMIT = 8 * 1024;
 const HEAD_END = Buffer.from('\r\n\r\n');
 /** A request that has begun must be whole in this time, and a connection does not stay silent for longer than that. */
--- a/src/edge/http/http-server.ts
+++ b/src/edge/http/http-server.ts
@@ -5,16 +5,9 @@
 import type { Heartbeat } from '../../core/model/heartbeat.js';
 import type { HeartbeatAnswer, WorkerCommand } from '../../core/model/worker-command.js';
 import { decode, encode } from '../../wire/cbor.js';
-import {
-  API_PATHS,
-  isJobId,
-  encodeJobStatus,
-  jobIdOf,
-  encodeCommands,
-  parseHeartbeat,
-  parseSubmission,
-  encodeRedirect,
-} from '../../wire/protocol.js';
+import { API_PATHS } from '../../wire/api-paths.js';
+import { isJobId, encodeJobStatus, jobIdOf, parseSubmission } from '../../wire/user-protocol.js';
+import { encodeCommands, parseHeartbeat, encodeRedirect } from '../../wire/worker-protocol.js';
 import type { RequestResult, RequestHandler, JobView } from './request-handler.js';
 import { InboundConnections } from './inbound-connections.js';
 import { Listener } from './listener.js';
@@ -102,7 +95,7 @@
   app.use(express.raw({ type: () => true, limit: BODY_LIMIT }));
 
   // Reports in an unusual form come this way.
-  app.post(API_PATHS.report, (req, res) => {
+  app.post(API_PATHS.heartbeat, (req, res) => {
     const a = answer(Buffer.isBuffer(req.body) ? req.body : Buffer.alloc(0));
     res.writeHead(a.status, { 'content-type': 'application/cbor', 'content-length': a.body.length });
     res.end(a.body);
@@ -136,7 +129,7 @@
   });
 
   const wrongMethod = (_req: Request, res: Response): void => send(res, 405, { error: 'wrong method' });
-  app.all(API_PATHS.report, wrongMethod);
+  app.all(API_PATHS.heartbeat, wrongMethod);
   app.all(API_PATHS.jobs, wrongMethod);
   app.all(`${API_PATHS.jobs}/:id`, wrongMethod);
   app.all(`${API_PATHS.jobs}/:id/${API_PATHS.cancel}`, wrongMethod);
--- a/src/edge/http/request-handler.ts
+++ b/src/edge/http/request-handler.ts
@@ -2,22 +2,17 @@
 import type { JobRecord, JobSpec } from '../../core/model/job.js';
 import type { MachineType } from '../../core/model/machine.js';
 import { fitsQuota } from '../../core/state/team-quotas.js';
-import type { UserJobStatus } from '../../wire/protocol.js';
-import {
-  FinishedJobSummary,
-  KEY_PREFIX,
-  jobKey,
-  parseKey,
-  decodeJob,
-  jobSummaryOf,
-  encodeJob,
-} from '../../wire/records.js';
+import type { UserJobStatus } from '../../wire/user-protocol.js';
+import { FinishedJobSummary, jobSummaryOf } from '../../wire/finished-job-summary.js';
+import { KEY_PREFIX, jobKey, parseKey } from '../../wire/keys.js';
+import { decodeJob, encodeJob } from '../../wire/job-record.js';
 import { millisecondsSince, monotonicNow } from '../runtime/clock.js';
 import { jittered } from '../runtime/jitter.js';
 import type { Logger } from '../runtime/logger.js';
 import { TaskCounts } from '../state-store/task-counts.js';
 import { DependencyIndex } from '../state-store/dependency-index.js';
-import type { ReadResult, StateStore } from '../state-store/state-store.js';
+import type { ReadResult } from '../state-store/state-store-client.js';
+import type { StateStore } from '../state-store/state-store.js';
 import { DEPENDENCIES_FEATURE, type ControllerVersions } from '../state-store/controller-versions.js';
 
 /** A job as its user sees it. */
@@ -152,7 +147,7 @@
     for (let n = 0; ; n++) {
       const result = await this.stateStore.commit(
         [{ key, modRevision: 0 }],
-        [{ write: key, value: encodeJob(record) }],
+        [{ kind: 'put', key, value: encodeJob(record) }],
       );
       if (result.kind === 'committed')
         return { kind: 'ok', created: true, value: { id: spec.id, status: 'pending', done: 0, running: 0 } };
@@ -193,7 +188,7 @@
       const record: JobRecord = { ...decodeJob(entry.value), status: 'cancelled' };
       const result = await this.stateStore.commit(
         [{ key: jobKey(id), modRevision: entry.modRevision }],
-        [{ write: jobKey(id), value: encodeJob(record) }],
+        [{ kind: 'put', key: jobKey(id), value: encodeJob(record) }],
       );
       if (result.kind === 'committed')
         return { kind: 'ok', created: true, value: { id, status: 'cancelled', done: 0, running: 0 } };
--- a/src/edge/leadership/commit-loop.ts
+++ b/src/edge/leadership/commit-loop.ts
@@ -1,12 +1,15 @@
 import { interval, type Subscription } from 'rxjs';
 import type { JobStatus } from '../../core/model/job.js';
 import { operationCount, type Transaction } from '../../core/persistence/transactions.js';
-import { jobKey, pageKey, leaderKey, jobSummaryOf, encodeJob, encodePage } from '../../wire/records.js';
+import { jobKey, pageKey, leaderKey } from '../../wire/keys.js';
+import { jobSummaryOf } from '../../wire/finished-job-summary.js';
+import { encodeJob } from '../../wire/job-record.js';
+import { encodePage } from '../../wire/page-record.js';
 import { currentTime } from '../runtime/clock.js';
 import { jittered } from '../runtime/jitter.js';
 import type { LeaderKey } from './leader-key.js';
 import { RateLimiter } from '../runtime/rate-limiter.js';
-import type { CompareCondition, WriteOperation } from '../state-store/state-store.js';
+import type { CompareCondition, WriteOperation } from '../../wire/state-store-protocol.js';
 import { isAborted, sleep, supervise } from '../runtime/supervised-task.js';
 import type { TermContext } from './term-context.js';
 import { WakeSignal } from '../runtime/wake-signal.js';
@@ -106,9 +109,10 @@
       [this.key.condition()],
       [
         {
-          write: leaderKey(this.term.dependencies.partition),
+          kind: 'put',
+          key: leaderKey(this.term.dependencies.partition),
           value: this.term.dependencies.leaderRecord,
-          permit: this.term.leaseId,
+          leaseId: this.term.leaseId,
         },
       ],
     );
@@ -130,7 +134,7 @@
     for (const page of transaction.pages) {
       const key = pageKey(this.term.dependencies.partition, page.id);
       guards.push({ key, modRevision: page.modRevision });
-      writes.push({ write: key, value: encodePage(page.entries, this.term.dependencies.config.zones) });
+      writes.push({ kind: 'put', key, value: encodePage(page.entries, this.term.dependencies.config.zones) });
     }
     for (const id of transaction.completedJobs) writes.push(...this.endOf(id, 'done'));
     for (const id of transaction.cancelledJobs) writes.push(...this.endOf(id, 'cancelled'));
@@ -157,7 +161,7 @@
     const job = this.term.scheduler.state.jobs.byId.get(id);
     if (job === undefined) return [];
     const { spec, submittedAt: submitted } = job;
-    return [{ write: jobKey(id), value: encodeJob({ spec, submittedAt: submitted, status }) }];
+    return [{ kind: 'put', key: jobKey(id), value: encodeJob({ spec, submittedAt: submitted, status }) }];
   }
 
   /** How a job stands by the followed copy; null if it is not there. */
--- a/src/edge/leadership/leader-election.ts
+++ b/src/edge/leadership/leader-election.ts
@@ -1,6 +1,7 @@
 import type { Subscription } from 'rxjs';
 import { toSeconds } from '../../core/model/time.js';
-import { leaderKey, decodeLeader, type LeaderRecord } from '../../wire/records.js';
+import { leaderKey } from '../../wire/keys.js';
+import { decodeLeader, type LeaderRecord } from '../../wire/leader-record.js';
 import { monotonicNow } from '../runtime/clock.js';
 import { WakeSignal } from '../runtime/wake-signal.js';
 import { isAborted, supervise, errorMessage } from '../runtime/supervised-task.js';
@@ -79,7 +80,7 @@
     const sent = monotonicNow();
     const result = await this.dependencies.stateStore.commit(
       [{ key, modRevision: known?.modRevision ?? 0 }],
-      [{ write: key, value: this.record, permit: lease }],
+      [{ kind: 'put', key, value: this.record, leaseId: lease }],
     );
     // Stopped meanwhile: nobody would end a term that begins now. The lease runs out by itself.
     if (isAborted(signal)) return;
--- a/src/edge/leadership/leader-key.ts
+++ b/src/edge/leadership/leader-key.ts
@@ -1,5 +1,6 @@
-import { leaderKey, type LeaderRecord } from '../../wire/records.js';
-import type { CompareCondition } from '../state-store/state-store.js';
+import { leaderKey } from '../../wire/keys.js';
+import type { LeaderRecord } from '../../wire/leader-record.js';
+import type { CompareCondition } from '../../wire/state-store-protocol.js';
 import type { TermContext } from './term-context.js';
 
 /** The key in the state service that makes this process the owner of the part. */
--- a/src/edge/leadership/leader-term.ts
+++ b/src/edge/leadership/leader-term.ts
@@ -11,19 +11,16 @@
   mayStartTasks,
   previousLeadersDeadlineFrom,
 } from '../../core/state/leadership-timing.js';
-import {
-  FinishedJobSummary,
-  parseKey,
-  decodeJob,
-  zoneRecordKey,
-  type LeaderRecord,
-} from '../../wire/records.js';
+import { FinishedJobSummary } from '../../wire/finished-job-summary.js';
+import { parseKey, zoneRecordKey } from '../../wire/keys.js';
+import { decodeJob } from '../../wire/job-record.js';
+import type { LeaderRecord } from '../../wire/leader-record.js';
 import { currentTime, monotonicNow } from '../runtime/clock.js';
 import { CloudPoller } from '../cloud/cloud-poller.js';
 import { CommitLoop } from './commit-loop.js';
 import { LeaderKey } from './leader-key.js';
 import { LeadershipLease } from './leadership-lease.js';
-import type { KeyChange, ReplicaEntry } from '../state-store/state-store.js';
+import type { KeyChange, ReplicaEntry } from '../state-store/replica-view.js';
 import type { TermContext, TermDependencies } from './term-context.js';
 import { TermStartupProfile, stepOf } from './term-startup-profile.js';
 import { WorkerCommandSender } from '../workers/worker-command-sender.js';
--- a/src/edge/leadership/zone-record-writer.ts
+++ b/src/edge/leadership/zone-record-writer.ts
@@ -1,4 +1,4 @@
-import { zoneRecordKey } from '../../wire/records.js';
+import { zoneRecordKey } from '../../wire/keys.js';
 import { jittered } from '../runtime/jitter.js';
 import type { LeaderKey } from './leader-key.js';
 import { isAborted, sleep, supervise } from '../runtime/supervised-task.js';
@@ -38,8 +38,10 @@
       const next = this.newest;
       if (next === null || isAborted(signal)) continue;
       const { stateStore, partition: part } = this.term.dependencies;
-      const write = { write: zoneRecordKey(part), value: next.value };
-      const result = await stateStore.commit([this.key.condition()], [write]);
+      const result = await stateStore.commit(
+        [this.key.condition()],
+        [{ kind: 'put', key: zoneRecordKey(part), value: next.value }],
+      );
       if (result.kind === 'committed' && this.newest === next) this.newest = null;
       await sleep(jittered(EVERY_MS), signal);
     }
--- a/src/edge/peers/peer-links.ts
+++ b/src/edge/peers/peer-links.ts
@@ -1,6 +1,6 @@
 import { createServer, connect, type Socket } from 'node:net';
 import { Observable, Subscription, fromEvent, interval, takeUntil } from 'rxjs';
-import { FrameReader, encodeStatus, type ControllerStatus } from '../../wire/frames.js';
+import { FrameReader, encodeStatus, type ControllerStatus } from '../../wire/controller-status-frame.js';
 import { millisecondsSince, monotonicNow } from '../runtime/clock.js';
 import { supervise, errorMessage, sleep } from '../runtime/supervised-task.js';
 import { parseTarget } from '../net/http-client.js';
--- a/src/edge/state-store/coalesced-read.ts
+++ b/src/edge/state-store/coalesced-read.ts
@@ -1,30 +1,33 @@
-import { monotonicNow } from '../runtime/clock.js';
+/** @file A read that is shared by concurrent callers, so that any number of them costs a bounded rate of requests. */
+import { millisecondsSince, monotonicNow } from '../runtime/clock.js';
 
 /**
- * A read shared by those who need it. Whoever comes before the read is sent shares it; whoever comes after waits for the next
- * one, so that each answer is at least as new as the request. Reads are sent at least `gapMs` apart.
+ * A read that concurrent callers share. Whoever calls before the read is sent shares it; whoever calls after waits for
+ * the next one, so that each result is at least as new as the call. Reads are sent at least `intervalMs` apart.
  */
 export class CoalescedRead<T> {
+  /** The read that is due and not sent yet. */
   private unsent: Promise<T> | null = null;
-  private sentAt = 0n;
+  private lastSentAt = 0n;
 
   constructor(
-    private readonly gapMs: number,
+    private readonly intervalMs: number,
     private readonly read: () => Promise<T>,
   ) {}
 
+  /** The result of the next read that is sent. */
   request(): Promise<T> {
     this.unsent ??= this.run();
     return this.unsent;
   }
 
   private async run(): Promise<T> {
-    // Always waits a turn, even with no gap to keep: clearing `unsent` before `ask` has stored it would leave the
-    // finished read there for good, and every later request would be given its old answer.
-    const gap = this.gapMs - Number(monotonicNow() - this.sentAt) / 1e6;
-    await new Promise((r) => setTimeout(r, Math.max(0, gap)));
+    // Always waits a turn, even with no interval to keep: clearing `unsent` before `request` has stored it would leave
+    // the finished read there for good, and every later request would be given its old result.
+    const pauseMs = this.intervalMs - millisecondsSince(this.lastSentAt);
+    await new Promise((resolve) => setTimeout(resolve, Math.max(0, pauseMs)));
     this.unsent = null;
-    this.sentAt = monotonicNow();
+    this.lastSentAt = monotonicNow();
     return this.read();
   }
 }
--- a/src/edge/state-store/controller-versions.ts
+++ b/src/edge/state-store/controller-versions.ts
@@ -1,40 +1,45 @@
+/**
+ * @file The feature gate of rolling upgrades: each controller announces what its version can do, and a feature is used
+ * only once all have announced it.
+ */
 import type { Subscription } from 'rxjs';
-import { decodeFeatures, versionKey, type VersionRecord } from '../../wire/records.js';
+import { versionKey } from '../../wire/keys.js';
+import { decodeFeatures, type VersionRecord } from '../../wire/version-record.js';
 import { jittered } from '../runtime/jitter.js';
 import type { Logger } from '../runtime/logger.js';
-import type { StateStore } from './state-store.js';
 import { sleep, supervise } from '../runtime/supervised-task.js';
+import type { StateStore } from './state-store.js';
 
-/** Jobs that wait for jobs. */
+/** DAG dependencies between jobs. */
 export const DEPENDENCIES_FEATURE = 'dependencies';
 
-/** What this version can do beyond the ones that kept no such record. */
+/** What this version can do beyond those that announced nothing. */
 const FEATURES: readonly string[] = [DEPENDENCIES_FEATURE];
 
 const RETRY_MS = 1000;
 
 /**
- * What the versions of all controllers can do. During an upgrade old and new versions serve side by side, and an old
- * one would take a record with a new field for one without it. So each controller keeps what it can do in the state
- * service, under a key that older versions pass over, and a feature is used only once every controller has been seen
- * with it. A controller that was never seen counts as old; one that was seen stays so while it is down.
+ * The features of all controllers' versions. During an upgrade old and new versions serve side by side, and an old one
+ * would take a record with a new field for one without it. So each controller announces its features in the state
+ * store, under a key that older versions ignore. A controller that was never seen counts as old; one that was seen keeps
+ * its features while it is down.
  */
 export class ControllerVersions {
   constructor(
-    private readonly stateStore: StateStore,
+    private readonly stateStore: Pick<StateStore, 'replica' | 'loaded' | 'commit'>,
     private readonly label: string,
-    private readonly others: readonly string[],
+    private readonly peerLabels: readonly string[],
     private readonly logger: Logger,
   ) {}
 
-  /** Whether every controller's version can do it, as far as the followed copy knows. */
+  /** Whether every controller's version has the feature, as far as the replica shows. */
   allSupport(feature: string): boolean {
-    return [this.label, ...this.others].every((label) => this.featuresOf(label).includes(feature));
+    return [this.label, ...this.peerLabels].every((label) => this.featuresOf(label).includes(feature));
   }
 
-  /** Keeps what this version can do, until unsubscribed or done. */
+  /** Announces this version's features; ends by itself once the replica shows them. */
   start(): Subscription {
-    return supervise('version', this.logger, (signal) => this.register(signal));
+    return supervise('version', this.logger, (signal) => this.announce(signal));
   }
 
   private featuresOf(label: string): readonly string[] {
@@ -42,14 +47,19 @@
     return entry === undefined ? [] : decodeFeatures(entry.value);
   }
 
-  private async register(signal: AbortSignal): Promise<void> {
+  private announced(): boolean {
+    const known = this.featuresOf(this.label);
+    return FEATURES.every((feature) => known.includes(feature));
+  }
+
+  private async announce(signal: AbortSignal): Promise<void> {
     const key = versionKey(this.label);
     const value: VersionRecord = { features: [...FEATURES] };
     while (!signal.aborted) {
       if (this.stateStore.loaded) {
-        if (FEATURES.every((feature) => this.featuresOf(this.label).includes(feature))) return;
+        if (this.announced()) return;
         const modRevision = this.stateStore.replica.get(key)?.modRevision ?? 0;
-        await this.stateStore.commit([{ key, modRevision }], [{ write: key, value }]);
+        await this.stateStore.commit([{ key, modRevision }], [{ kind: 'put', key, value }]);
       }
       await sleep(jittered(RETRY_MS), signal);
     }
--- a/src/edge/state-store/decoded-page-cache.ts
+++ b/src/edge/state-store/decoded-page-cache.ts
@@ -1,20 +1,25 @@
+/** @file The decoded pages of the replica. It lets a follower have them decoded before it becomes the leader. */
 import type { PageEntry } from '../../core/records/record-pages.js';
-import { decodePage } from '../../wire/records.js';
-import type { ReplicaEntry } from './state-store.js';
+import { decodePage } from '../../wire/page-record.js';
+import type { ReplicaEntry } from './replica-view.js';
 
-/** Pages of the followed copy, taken apart once each: a standby that follows them has them ready when it takes over. */
+/** Pages of the replica, decoded once each and kept as long as the replica's entry is. */
 export class DecodedPageCache {
-  private readonly known = new WeakMap<ReplicaEntry, readonly PageEntry[]>();
-  /** How many were taken apart. */
-  decoded = 0;
+  private readonly entriesByPage = new WeakMap<ReplicaEntry, readonly PageEntry[]>();
+  private decodedCount = 0;
 
-  /** What a page holds; throws if it cannot be read. */
-  of(entry: ReplicaEntry): readonly PageEntry[] {
-    const known = this.known.get(entry);
-    if (known !== undefined) return known;
-    const entries = decodePage(entry.value);
-    this.decoded += 1;
-    this.known.set(entry, entries);
+  /** How many pages were decoded so far. */
+  get decoded(): number {
+    return this.decodedCount;
+  }
+
+  /** The chunk records of a page; throws `MalformedRecordError`. */
+  of(page: ReplicaEntry): readonly PageEntry[] {
+    const cached = this.entriesByPage.get(page);
+    if (cached !== undefined) return cached;
+    const entries = decodePage(page.value);
+    this.decodedCount += 1;
+    this.entriesByPage.set(page, entries);
     return entries;
   }
 }
--- a/src/edge/state-store/dependency-index.ts
+++ b/src/edge/state-store/dependency-index.ts
@@ -1,23 +1,25 @@
+/** @file Which jobs are cancelled because a job that they depend on was, as the replica shows it. */
 import { DependencyGraph } from '../../core/state/dependency-graph.js';
-import { FinishedJobSummary, parseKey, decodeJob } from '../../wire/records.js';
-import type { ReplicaView } from './finished-job-compactor.js';
-import type { ReplicaEntry } from './state-store.js';
+import { FinishedJobSummary } from '../../wire/finished-job-summary.js';
+import { decodeJob } from '../../wire/job-record.js';
+import { parseKey } from '../../wire/keys.js';
+import type { ReplicaEntries, ReplicaEntry } from './replica-view.js';
 
-/** Which jobs are cancelled through a job that they need, by the followed copy: as fresh as the copy is. */
+/** The dependency graph of the replica's jobs, as new as the replica is. */
 export class DependencyIndex {
   private readonly graph = new DependencyGraph();
 
-  constructor(stateStore: Pick<ReplicaView, 'replica' | 'changes'>) {
-    for (const [key, entry] of stateStore.replica) this.take(key, entry);
-    stateStore.changes.subscribe(({ key, entry }) => this.take(key, entry));
+  constructor(stateStore: ReplicaEntries) {
+    for (const [key, entry] of stateStore.replica) this.update(key, entry);
+    stateStore.changes.subscribe(({ key, entry }) => this.update(key, entry));
   }
 
   /** Whether the job was cancelled, by its user or through a dependency. */
-  isCancelled(id: string): boolean {
-    return this.graph.isCancelled(id);
+  isCancelled(jobId: string): boolean {
+    return this.graph.isCancelled(jobId);
   }
 
-  private take(key: string, entry: ReplicaEntry | null): void {
+  private update(key: string, entry: ReplicaEntry | null): void {
     const parsed = parseKey(key);
     if (parsed.kind !== 'job' || entry === null) return;
     if (entry.value instanceof FinishedJobSummary) {
--- a/src/edge/state-store/image-cache-observer.ts
+++ b/src/edge/state-store/image-cache-observer.ts
@@ -1,10 +1,16 @@
+/**
+ * @file Which machines are likely to have which images cached, as the assignments in the replica show. Only a hint for
+ * the choice of a machine: what is wrong here costs a fetch.
+ */
 import type { Subscription } from 'rxjs';
-import { FinishedJobSummary, jobKey, parseKey, decodeJob } from '../../wire/records.js';
+import { FinishedJobSummary } from '../../wire/finished-job-summary.js';
+import { decodeJob } from '../../wire/job-record.js';
+import { jobKey, parseKey } from '../../wire/keys.js';
 import { monotonicNow } from '../runtime/clock.js';
-import { errorMessage } from '../runtime/supervised-task.js';
 import { warnRateLimited, type Logger } from '../runtime/logger.js';
+import { errorMessage } from '../runtime/supervised-task.js';
 import type { DecodedPageCache } from './decoded-page-cache.js';
-import type { ReplicaEntry, StateStore } from './state-store.js';
+import type { KeyChange, ReplicaEntries, ReplicaEntry } from './replica-view.js';
 
 /** An image that a machine is likely to have cached. */
 export interface ImageSighting {
@@ -13,103 +19,113 @@
   readonly sizeGb: number;
 }
 
-/** A place that has stood so long on a machine has its image, at the slowest fetch that is likely. */
-const fetchedAfterMs = (gb: number, gbPerS: number): number => 2000 + (1500 * gb) / gbPerS;
-/** Nothing is said of a machine on which no place was recorded for so long. */
-const FORGET_MS = 20 * 60_000;
+const FETCH_START_MS = 2000;
+const FETCH_MARGIN = 1.5;
+/** After an assignment has stood this long its machine has the image, at the slowest fetch that is likely. */
+const fetchedAfterMs = (sizeGb: number, fetchGbPerS: number): number =>
+  FETCH_START_MS + (1000 * FETCH_MARGIN * sizeGb) / fetchGbPerS;
+
+/** A machine to which nothing was assigned for so long is forgotten. */
+const RETENTION_MS = 20 * 60_000;
 
-/** When an image was first and last seen recorded on a machine. */
-interface Sighting {
-  readonly gb: number;
-  readonly first: bigint;
-  last: bigint;
+/** When an image was first and last seen assigned to a machine, in nanoseconds of the steady clock. */
+interface ImageRecord {
+  readonly sizeGb: number;
+  readonly firstSeenAt: bigint;
+  lastSeenAt: bigint;
 }
 
 /** The images of one machine. */
 interface MachineImages {
-  readonly images: Map<string, Sighting>;
-  lastSeen: bigint;
+  readonly images: Map<string, ImageRecord>;
+  lastSeenAt: bigint;
 }
 
 /**
- * Which machines have had which images, as the followed pages show it. Reports tell an owner only the images of what
- * runs now; a new owner would otherwise send work away from machines whose caches hold what it needs. It only steers
- * the choice of a place: what is wrong here costs a fetch.
+ * Watches the pages of the replica while another controller leads. Heartbeats tell a leader only the images of what
+ * runs now; without this a new leader would send work away from machines whose caches hold what it needs.
  */
 export class ImageCacheObserver {
-  /** The machine seen longest ago comes first. */
+  /** Ordered by the last sighting, oldest first. */
   private readonly byMachine = new Map<string, MachineImages>();
 
   constructor(
-    private readonly stateStore: StateStore,
+    private readonly stateStore: ReplicaEntries,
     private readonly logger: Logger,
     private readonly pages: DecodedPageCache,
-    /** A leader hears of images from the workers themselves. */
-    private readonly leading: () => boolean,
+    /** A leader learns of images from the heartbeats. */
+    private readonly isLeader: () => boolean,
     private readonly clock: () => bigint = monotonicNow,
   ) {}
 
-  /** How many machines something is known of. */
+  /** How many machines an image is known of. */
   get machineCount(): number {
     return this.byMachine.size;
   }
 
+  /** Watches until unsubscribed. */
   start(): Subscription {
-    return this.stateStore.changes.subscribe((change) => {
-      if (change.entry === null || this.leading() || parseKey(change.key).kind !== 'page') return;
-      try {
-        this.take(change.entry);
-      } catch (e) {
-        warnRateLimited(this.logger, { key: change.key, error: errorMessage(e) }, 'a page cannot be read');
-      }
-    });
+    return this.stateStore.changes.subscribe((change) => this.onChange(change));
   }
 
-  /** What is likely cached now, given how fast machines fetch. */
-  likelyCached(gbPerS: number): ImageSighting[] {
-    const out: ImageSighting[] = [];
+  /** The images that are likely cached now, given how fast machines fetch. */
+  likelyCached(fetchGbPerS: number): ImageSighting[] {
+    const sightings: ImageSighting[] = [];
     const now = this.clock();
-    for (const [machine, { images }] of this.byMachine)
-      for (const [image, { gb, first, last }] of images)
-        if (millisBetween(first, last) >= fetchedAfterMs(gb, gbPerS) && millisBetween(last, now) < FORGET_MS)
-          out.push({ machineName: machine, image, sizeGb: gb });
-    return out;
+    for (const [machineName, { images }] of this.byMachine)
+      for (const [image, { sizeGb, firstSeenAt, lastSeenAt }] of images) {
+        const fetched = millisBetween(firstSeenAt, lastSeenAt) >= fetchedAfterMs(sizeGb, fetchGbPerS);
+        const recent = millisBetween(lastSeenAt, now) < RETENTION_MS;
+        if (fetched && recent) sightings.push({ machineName, image, sizeGb });
+      }
+    return sightings;
+  }
+
+  private onChange({ key, entry }: KeyChange): void {
+    if (entry === null || this.isLeader() || parseKey(key).kind !== 'page') return;
+    try {
+      this.observe(entry);
+    } catch (e) {
+      warnRateLimited(this.logger, { key, error: errorMessage(e) }, 'malformed page in the state store');
+    }
   }
 
-  private take(page: ReplicaEntry): void {
+  private observe(page: ReplicaEntry): void {
     const now = this.clock();
-    for (const entry of this.pages.of(page)) {
-      if (entry.record.assignments.length === 0) continue;
-      const job = this.stateStore.replica.get(jobKey(entry.jobId));
+    for (const { jobId, record } of this.pages.of(page)) {
+      if (record.assignments.length === 0) continue;
+      const job = this.stateStore.replica.get(jobKey(jobId));
       if (job === undefined || job.value instanceof FinishedJobSummary) continue;
       const { image, imageGb } = decodeJob(job.value).spec;
-      for (const assignment of entry.record.assignments)
-        this.see(assignment.machineName, image, imageGb, now);
+      for (const { machineName } of record.assignments) this.record(machineName, image, imageGb, now);
     }
     this.forgetOld(now);
   }
 
-  private see(machine: string, image: string, gb: number, now: bigint): void {
-    const known = this.byMachine.get(machine) ?? { images: new Map<string, Sighting>(), lastSeen: now };
-    known.lastSeen = now;
-    // Put at the end anew, so that the order stays that of the last sighting.
-    this.byMachine.delete(machine);
-    this.byMachine.set(machine, known);
-    const sighting = known.images.get(image);
-    if (sighting !== undefined) {
-      sighting.last = now;
+  private record(machineName: string, image: string, sizeGb: number, now: bigint): void {
+    const machine = this.byMachine.get(machineName) ?? {
+      images: new Map<string, ImageRecord>(),
+      lastSeenAt: now,
+    };
+    machine.lastSeenAt = now;
+    // Inserted anew at the end, so that the order stays that of the last sighting.
+    this.byMachine.delete(machineName);
+    this.byMachine.set(machineName, machine);
+    const known = machine.images.get(image);
+    if (known !== undefined) {
+      known.lastSeenAt = now;
       return;
     }
-    for (const [other, { last }] of known.images)
-      if (millisBetween(last, now) >= FORGET_MS) known.images.delete(other);
-    known.images.set(image, { gb, first: now, last: now });
+    for (const [other, { lastSeenAt }] of machine.images)
+      if (millisBetween(lastSeenAt, now) >= RETENTION_MS) machine.images.delete(other);
+    machine.images.set(image, { sizeGb, firstSeenAt: now, lastSeenAt: now });
   }
 
   /** What is kept is bounded by time, not by a number: a fleet may be of any size. */
   private forgetOld(now: bigint): void {
-    for (const [machine, { lastSeen }] of this.byMachine) {
-      if (millisBetween(lastSeen, now) < FORGET_MS) return;
-      this.byMachine.delete(machine);
+    for (const [machineName, { lastSeenAt }] of this.byMachine) {
+      if (millisBetween(lastSeenAt, now) < RETENTION_MS) return;
+      this.byMachine.delete(machineName);
     }
   }
 }
--- a/src/edge/state-store/task-counts.ts
+++ b/src/edge/state-store/task-counts.ts
@@ -1,41 +1,46 @@
-import { taskCountsIn, parseKey } from '../../wire/records.js';
-import type { StateStore } from './state-store.js';
+/** @file How many tasks of each job are completed and assigned, kept up as pages of the replica change. */
+import { parseKey } from '../../wire/keys.js';
+import { taskCountsIn, type ChunkTaskCount } from '../../wire/page-record.js';
+import type { ReplicaEntries } from './replica-view.js';
 
-/** How many tasks of a job are done and placed. */
+/** How many tasks of a job are completed and assigned. */
 export interface TaskCount {
-  completed: number;
-  assigned: number;
+  readonly completed: number;
+  readonly assigned: number;
 }
 
 const NONE: TaskCount = { completed: 0, assigned: 0 };
 
-/** How many tasks of each job are done and placed, kept up as pages change: asking costs the same however many there are. */
+/** The task counts of all jobs: a question costs the same however many pages there are. */
 export class TaskCounts {
-  private readonly byJob = new Map<string, TaskCount>();
-  private readonly byPage = new Map<string, readonly { job: string; done: number; placed: number }[]>();
+  /** Jobs without a counted task have no entry. */
+  private readonly byJob = new Map<string, { completed: number; assigned: number }>();
+  private readonly byPage = new Map<string, readonly ChunkTaskCount[]>();
 
-  constructor(stateStore: StateStore) {
-    for (const [key, entry] of stateStore.replica) this.take(key, entry.value);
-    stateStore.changes.subscribe((change) => this.take(change.key, change.entry?.value));
+  constructor(stateStore: ReplicaEntries) {
+    for (const [key, entry] of stateStore.replica) this.update(key, entry.value);
+    stateStore.changes.subscribe((change) => this.update(change.key, change.entry?.value));
   }
 
-  of(job: string): Readonly<TaskCount> {
-    return this.byJob.get(job) ?? NONE;
+  /** The counts of a job; zero if the replica's pages hold nothing of it. */
+  of(jobId: string): TaskCount {
+    return this.byJob.get(jobId) ?? NONE;
   }
 
-  private take(key: string, value: unknown): void {
+  private update(key: string, value: unknown): void {
     if (parseKey(key).kind !== 'page') return;
-    const now = taskCountsIn(value);
-    for (const c of this.byPage.get(key) ?? []) this.add(c.job, -c.done, -c.placed);
-    for (const c of now) this.add(c.job, c.done, c.placed);
-    this.byPage.set(key, now);
+    const counts = taskCountsIn(value);
+    for (const { jobId, completed, assigned } of this.byPage.get(key) ?? [])
+      this.add(jobId, -completed, -assigned);
+    for (const { jobId, completed, assigned } of counts) this.add(jobId, completed, assigned);
+    this.byPage.set(key, counts);
   }
 
-  private add(job: string, done: number, placed: number): void {
-    const count = this.byJob.get(job) ?? { completed: 0, assigned: 0 };
-    count.completed += done;
-    count.assigned += placed;
-    if (count.completed === 0 && count.assigned === 0) this.byJob.delete(job);
-    else this.byJob.set(job, count);
+  private add(jobId: string, completed: number, assigned: number): void {
+    const count = this.byJob.get(jobId) ?? { completed: 0, assigned: 0 };
+    count.completed += completed;
+    count.assigned += assigned;
+    if (count.completed === 0 && count.assigned === 0) this.byJob.delete(jobId);
+    else this.byJob.set(jobId, count);
   }
 }
--- a/src/edge/workers/worker-command-sender.ts
+++ b/src/edge/workers/worker-command-sender.ts
@@ -1,7 +1,7 @@
 import { Subscription } from 'rxjs';
 import type { Heartbeat } from '../../core/model/heartbeat.js';
 import type { WorkerCommand } from '../../core/model/worker-command.js';
-import { WORKER_PATHS, encodeCommands, parseHeartbeat } from '../../wire/protocol.js';
+import { WORKER_PATHS, encodeCommands, parseHeartbeat } from '../../wire/worker-protocol.js';
 import { HttpClient } from '../net/http-client.js';
 import { KeyedTaskQueue } from './keyed-task-queue.js';
 
--- a/src/wire/cbor.ts
+++ b/src/wire/cbor.ts
@@ -1,6 +1,10 @@
+/**
+ * @file The binary encoding (CBOR) of every message body and stored value. Its one job is that the bytes are those that
+ * the interfaces ask for; it knows no message by its content.
+ */
 import { Encoder } from 'cbor-x';
 
-const coder = new Encoder({
+const codec = new Encoder({
   useRecords: false,
   mapsAsObjects: true,
   variableMapSize: true,
@@ -10,26 +14,28 @@
 const MAX_UINT32 = 0xffffffff;
 
 /**
- * What the library would write differently from what the interfaces ask: whole numbers above 32 bits go out as
- * floats, and fields without a value as `undefined`. Revisions, tokens and sequence numbers must stay integers.
+ * Replaces what the library would encode differently from what the interfaces ask: integers above 32 bits would become
+ * floats, and fields without a value `undefined`. Revisions, fencing tokens and sequence numbers must stay integers.
  */
-function plain(v: unknown): unknown {
-  if (typeof v === 'number') return Number.isSafeInteger(v) && Math.abs(v) > MAX_UINT32 ? BigInt(v) : v;
-  if (Array.isArray(v)) return v.map(plain);
-  if (v !== null && typeof v === 'object') {
-    const out: Record<string, unknown> = {};
-    for (const [k, x] of Object.entries(v)) if (x !== undefined) out[k] = plain(x);
-    return out;
+function normalize(value: unknown): unknown {
+  if (typeof value === 'number')
+    return Number.isSafeInteger(value) && Math.abs(value) > MAX_UINT32 ? BigInt(value) : value;
+  if (Array.isArray(value)) return value.map(normalize);
+  if (value !== null && typeof value === 'object') {
+    const fields: Record<string, unknown> = {};
+    for (const [name, field] of Object.entries(value))
+      if (field !== undefined) fields[name] = normalize(field);
+    return fields;
   }
-  return v;
+  return value;
 }
 
-/** Writes a value as CBOR. */
-export function encode(v: unknown): Buffer {
-  return coder.encode(plain(v));
+/** Encodes a value as CBOR; object fields that are `undefined` are left out. */
+export function encode(value: unknown): Buffer {
+  return codec.encode(normalize(value));
 }
 
-/** Reads a CBOR value. */
-export function decode(b: Buffer): unknown {
-  return coder.decode(b);
+/** Decodes a CBOR value; throws if the bytes are not one. */
+export function decode(bytes: Buffer): unknown {
+  return codec.decode(bytes);
 }
--- /dev/null
+++ b/src/wire/cloud-protocol.ts
@@ -0,0 +1,116 @@
+/**
+ * @file The cloud provider's interface: paths, requests to scale out and in, and its lists of machine types and
+ * instances. The words of that interface (`rigs`, `hire`, `flavors`, ...) are mapped to the terms used inside here and
+ * are known nowhere else.
+ */
+import * as z from 'zod';
+import type { CloudInstance, MachineType } from '../core/model/machine.js';
+import { seconds } from '../core/model/time.js';
+import { parseBody, type ParseResult } from './parse-result.js';
+import { amount } from './schema-parts.js';
+
+/** Paths of the cloud's HTTP interface. */
+export const CLOUD_PATHS = { types: '/flavors', machines: '/machines', remove: '/machines/return' } as const;
+
+const machineTypeList = z.object({
+  builds: z.array(
+    z.object({
+      label: z.string(),
+      vcpus: amount,
+      gpus: amount,
+      memGb: amount,
+      localGb: amount,
+      fetchGbPerS: amount,
+      rate: amount,
+      spotPrice: amount,
+      bootS: amount,
+      halls: z.array(z.string()),
+    }),
+  ),
+});
+
+const instancePage = z.object({
+  rigs: z.array(
+    z.object({
+      ref: z.string(),
+      endpoint: z.string(),
+      build: z.string(),
+      hall: z.string(),
+      loaners: z.boolean(),
+      standing: z.enum(['booting', 'running', 'failed']),
+      ageS: amount,
+    }),
+  ),
+  hasNext: z.boolean(),
+});
+
+const scaleOutResponse = z.object({ rigs: z.array(z.string()) });
+
+/** Decodes the machine types that the cloud offers. */
+export function parseMachineTypes(body: unknown): ParseResult<MachineType[]> {
+  return parseBody(machineTypeList, body, ({ builds }) =>
+    builds.map((type) => ({
+      name: type.label,
+      cpus: type.vcpus,
+      gpus: type.gpus,
+      memory: type.memGb,
+      cacheGb: type.localGb,
+      fetchGbPerS: type.fetchGbPerS,
+      price: type.rate,
+      spotPrice: type.spotPrice,
+      bootTime: seconds(type.bootS),
+      zones: type.halls,
+    })),
+  );
+}
+
+/** One page of the cloud's instance list. */
+export interface InventoryPage {
+  readonly machines: CloudInstance[];
+  /** Whether further pages follow. */
+  readonly more: boolean;
+}
+
+/** Decodes one page of the instance list. */
+export function parseInventory(body: unknown): ParseResult<InventoryPage> {
+  return parseBody(instancePage, body, ({ rigs, hasNext }) => ({
+    machines: rigs.map((instance) => ({
+      name: instance.ref,
+      endpoint: instance.endpoint,
+      type: instance.build,
+      zone: instance.hall,
+      spot: instance.loaners,
+      state: instance.standing,
+      age: seconds(instance.ageS),
+    })),
+    more: hasNext,
+  }));
+}
+
+/** The path of the page of the instance list that follows an instance name; null: the first page. */
+export const inventoryPath = (after: string | null, limit: number): string =>
+  `${CLOUD_PATHS.machines}?${after === null ? '' : `from=${encodeURIComponent(after)}&`}page=${limit}`;
+
+/** What to scale out by: instances of one type, in one zone. */
+export interface ScaleOutOrder {
+  readonly type: string;
+  readonly zone: string;
+  readonly spot: boolean;
+  readonly count: number;
+}
+
+/** Encodes a request to scale out; the request name makes repeats idempotent. */
+export const encodeScaleOut = (requestName: string, order: ScaleOutOrder): unknown => ({
+  hire: requestName,
+  build: order.type,
+  hall: order.zone,
+  loaners: order.spot,
+  number: order.count,
+});
+
+/** Decodes the names of the instances that a request to scale out has made. */
+export const parseScaleOutResponse = (body: unknown): ParseResult<string[]> =>
+  parseBody(scaleOutResponse, body, ({ rigs }) => rigs);
+
+/** Encodes a request to scale in by the named instances. */
+export const encodeScaleIn = (names: readonly string[]): unknown => ({ rigs: names });
--- /dev/null
+++ b/src/wire/controller-status-frame.ts
@@ -0,0 +1,83 @@
+/**
+ * @file What controllers tell one another, framed by hand. A frame is magic `PR` (16 bits), version, kind, length of the
+ * payload (16 bits), payload. There is one kind so far, a controller's status: flags (8 bits), milliseconds since the
+ * state store last confirmed its replica (32 bits), fencing token (64 bits), length of the label (8 bits), label.
+ * Controllers of several versions exchange these frames during an upgrade: their bytes never change.
+ */
+import { MalformedFrameError } from './errors.js';
+
+/** A controller's status as it tells the others. */
+export interface ControllerStatus {
+  readonly label: string;
+  readonly isLeader: boolean;
+  /** Milliseconds since the state store last confirmed the controller's replica; null: never yet. */
+  readonly stateStoreContactMs: number | null;
+  /** The fencing token under which the controller acts. */
+  readonly fencingToken: bigint;
+}
+
+const MAGIC = 0x5052;
+const VERSION = 1;
+const KIND_STATUS = 1;
+const HEADER_BYTES = 6;
+/** Bytes of a status before its label. */
+const STATUS_FIXED_BYTES = 14;
+const MAX_LABEL_BYTES = 255;
+const FLAG_LEADER = 1;
+const CONTACT_NEVER = 0xffffffff;
+/** The most bytes that a frame may have, header included. */
+export const FRAME_LIMIT = 512;
+
+function encodeContact(contactMs: number | null): number {
+  if (contactMs === null) return CONTACT_NEVER;
+  return Math.min(Math.max(0, Math.round(contactMs)), CONTACT_NEVER - 1);
+}
+
+/** Encodes a status as a frame. */
+export function encodeStatus(status: ControllerStatus): Buffer {
+  const label = Buffer.from(status.label, 'utf8').subarray(0, MAX_LABEL_BYTES);
+  const frame = Buffer.alloc(HEADER_BYTES + STATUS_FIXED_BYTES + label.length);
+  frame.writeUInt16BE(MAGIC, 0);
+  frame.writeUInt8(VERSION, 2);
+  frame.writeUInt8(KIND_STATUS, 3);
+  frame.writeUInt16BE(STATUS_FIXED_BYTES + label.length, 4);
+  frame.writeUInt8(status.isLeader ? FLAG_LEADER : 0, 6);
+  frame.writeUInt32BE(encodeContact(status.stateStoreContactMs), 7);
+  frame.writeBigUInt64BE(BigInt.asUintN(64, status.fencingToken), 11);
+  frame.writeUInt8(label.length, 19);
+  label.copy(frame, HEADER_BYTES + STATUS_FIXED_BYTES);
+  return frame;
+}
+
+function decodeStatus(payload: Buffer): ControllerStatus {
+  if (payload.length < STATUS_FIXED_BYTES || payload.length < STATUS_FIXED_BYTES + payload.readUInt8(13))
+    throw new MalformedFrameError('a status is too short');
+  const contact = payload.readUInt32BE(1);
+  return {
+    isLeader: (payload.readUInt8(0) & FLAG_LEADER) !== 0,
+    stateStoreContactMs: contact === CONTACT_NEVER ? null : contact,
+    fencingToken: payload.readBigUInt64BE(5),
+    label: payload.toString('utf8', STATUS_FIXED_BYTES, STATUS_FIXED_BYTES + payload.readUInt8(13)),
+  };
+}
+
+/** Splits the bytes of one connection into frames. Frames of unknown kinds and versions are skipped. */
+export class FrameReader {
+  private buffered: Buffer = Buffer.alloc(0);
+
+  /** Takes further bytes and returns the statuses that they complete; throws {@link MalformedFrameError}. */
+  push(data: Buffer): ControllerStatus[] {
+    this.buffered = this.buffered.length === 0 ? data : Buffer.concat([this.buffered, data]);
+    const statuses: ControllerStatus[] = [];
+    while (this.buffered.length >= HEADER_BYTES) {
+      if (this.buffered.readUInt16BE(0) !== MAGIC) throw new MalformedFrameError('not a frame');
+      const frameBytes = HEADER_BYTES + this.buffered.readUInt16BE(4);
+      if (frameBytes > FRAME_LIMIT) throw new MalformedFrameError('too long');
+      if (this.buffered.length < frameBytes) break;
+      const known = this.buffered.readUInt8(2) === VERSION && this.buffered.readUInt8(3) === KIND_STATUS;
+      if (known) statuses.push(decodeStatus(this.buffered.subarray(HEADER_BYTES, frameBytes)));
+      this.buffered = this.buffered.subarray(frameBytes);
+    }
+    return statuses;
+  }
+}
--- /dev/null
+++ b/src/wire/job-record.ts
@@ -0,0 +1,111 @@
+/**
+ * @file The record of a job: its spec, when it was submitted, and its status. Every stored field is named here, in the
+ * order of the stored bytes: what is stored must not follow names in the code, since controllers of several versions
+ * share it during an upgrade.
+ */
+import * as z from 'zod';
+import type { JobRecord, JobSpec } from '../core/model/job.js';
+import { seconds, toSeconds } from '../core/model/time.js';
+import { MalformedRecordError } from './errors.js';
+
+const jobRecord = z.object({
+  st: z.enum(['open', 'cancelled', 'done']),
+  at: z.string(),
+  s: z.object({
+    id: z.string(),
+    class: z.string(),
+    team: z.string(),
+    kind: z.enum(['array', 'gang', 'service']),
+    priority: z.enum(['low', 'normal', 'high', 'production']),
+    tasks: z.number(),
+    cpus: z.number(),
+    gpus: z.number(),
+    memory: z.number(),
+    types: z.array(z.string()).nullable(),
+    zone: z.string().nullable(),
+    oneZone: z.boolean(),
+    spread: z.boolean(),
+    spot: z.boolean(),
+    image: z.string(),
+    imageGb: z.number(),
+    estimate: z.number(),
+    checkpoint: z.number(),
+    save: z.number(),
+    due: z.number().nullable(),
+    // Absent where there are none: records without dependencies keep the bytes of earlier versions.
+    dependencies: z.array(z.string()).optional(),
+  }),
+});
+type StoredJob = z.infer<typeof jobRecord>;
+
+/** Encodes a job's record. */
+export function encodeJob({ spec, submittedAt, status }: JobRecord): unknown {
+  const stored = {
+    id: spec.id,
+    class: spec.class,
+    team: spec.team,
+    kind: spec.kind,
+    priority: spec.priority,
+    tasks: spec.taskCount,
+    cpus: spec.cpus,
+    gpus: spec.gpus,
+    memory: spec.memory,
+    types: spec.machineTypes,
+    zone: spec.zone,
+    oneZone: spec.singleZone,
+    spread: spec.spreadAcrossZones,
+    spot: spec.allowSpot,
+    image: spec.image,
+    imageGb: spec.imageGb,
+    estimate: toSeconds(spec.estimatedDuration),
+    checkpoint: toSeconds(spec.checkpointInterval),
+    save: toSeconds(spec.checkpointDuration),
+    due: spec.deadline === null ? null : toSeconds(spec.deadline),
+  };
+  const at = submittedAt.toISOString();
+  const { dependencies } = spec;
+  if (dependencies.length === 0) return { st: status, at, s: stored };
+  return { st: status, at, s: { ...stored, dependencies } };
+}
+
+/** Records by the value that they were decoded from: a record is needed for every question about its job. */
+const decodedRecords = new WeakMap<object, JobRecord>();
+
+/** Decodes a job's record, each value once; throws {@link MalformedRecordError}. */
+export function decodeJob(value: unknown): JobRecord {
+  const cacheKey = typeof value === 'object' ? value : null;
+  const cached = cacheKey === null ? undefined : decodedRecords.get(cacheKey);
+  if (cached !== undefined) return cached;
+  const parsed = jobRecord.safeParse(value);
+  if (!parsed.success) throw new MalformedRecordError('job', parsed.error.message, { cause: parsed.error });
+  const record = jobRecordOf(parsed.data);
+  if (cacheKey !== null) decodedRecords.set(cacheKey, record);
+  return record;
+}
+
+function jobRecordOf({ st, at, s }: StoredJob): JobRecord {
+  const spec: JobSpec = {
+    id: s.id,
+    class: s.class,
+    team: s.team,
+    kind: s.kind,
+    priority: s.priority,
+    taskCount: s.tasks,
+    cpus: s.cpus,
+    gpus: s.gpus,
+    memory: s.memory,
+    machineTypes: s.types,
+    zone: s.zone,
+    singleZone: s.oneZone,
+    spreadAcrossZones: s.spread,
+    allowSpot: s.spot,
+    image: s.image,
+    imageGb: s.imageGb,
+    estimatedDuration: seconds(s.estimate),
+    checkpointInterval: seconds(s.checkpoint),
+    checkpointDuration: seconds(s.save),
+    deadline: s.due === null ? null : seconds(s.due),
+    dependencies: s.dependencies ?? [],
+  };
+  return { spec, submittedAt: new Date(at), status: st };
+}
--- /dev/null
+++ b/src/wire/leader-record.ts
@@ -0,0 +1,16 @@
+/** @file The record that names the leader of a partition. It is stored with the leader's lease and ends with it. */
+import * as z from 'zod';
+import { MalformedRecordError } from './errors.js';
+
+const leaderRecord = z.object({ label: z.string(), incarnation: z.string() });
+
+/** Which controller leads a partition; the incarnation tells apart processes that run under the same label. */
+export type LeaderRecord = z.infer<typeof leaderRecord>;
+
+/** Decodes a leader record; throws {@link MalformedRecordError}. */
+export function decodeLeader(value: unknown): LeaderRecord {
+  const parsed = leaderRecord.safeParse(value);
+  if (!parsed.success)
+    throw new MalformedRecordError('leader', parsed.error.message, { cause: parsed.error });
+  return parsed.data;
+}
--- /dev/null
+++ b/src/wire/page-record.ts
@@ -0,0 +1,141 @@
+/**
+ * @file The record of a page of chunks. A page is one text, since hundreds of assignments a second go through it and it
+ * must stay short. Sections are separated by `|`: the zone names, then one row a chunk,
+ * `job/chunk a<highest attempt> c<completed>,<assigned> <completed runs> <assignments>`, an assignment being
+ * `task.attempt.machine.epoch.zone`, with the zone as its index in the first section.
+ */
+import type { AssignmentRecord, ChunkRecord } from '../core/records/chunks.js';
+import type { PageEntry } from '../core/records/record-pages.js';
+import { MalformedRecordError } from './errors.js';
+
+/** Completed tasks as runs `first-last`, or `first` alone. */
+function encodeRuns(tasks: readonly number[]): string {
+  const runs: [first: number, last: number][] = [];
+  for (const task of tasks) {
+    const run = runs[runs.length - 1];
+    if (run !== undefined && run[1] === task - 1) run[1] = task;
+    else runs.push([task, task]);
+  }
+  return runs.map(([first, last]) => (first === last ? String(first) : `${first}-${last}`)).join(',');
+}
+
+function decodeRuns(text: string): number[] {
+  const tasks: number[] = [];
+  if (text === '') return tasks;
+  for (const run of text.split(',')) {
+    const [first = 0, last = first] = run.split('-').map(Number);
+    for (let task = first; task <= last; task++) tasks.push(task);
+  }
+  return tasks;
+}
+
+/** A name with every separator of the page's syntax escaped. */
+const escapeName = (name: string): string =>
+  encodeURIComponent(name).replace(/[.!'()*~]/g, (c) => `%${c.charCodeAt(0).toString(16).toUpperCase()}`);
+
+/** The zone names of a page; names that are not among the cluster's zones are appended. */
+class ZoneTable {
+  readonly names: string[];
+
+  constructor(zones: readonly string[]) {
+    this.names = [...zones];
+  }
+
+  indexOf(name: string): number {
+    const index = this.names.indexOf(name);
+    return index >= 0 ? index : this.names.push(name) - 1;
+  }
+}
+
+/** Encoded rows by their record and by the cluster's zones: only what changed since the last write is encoded again. */
+const encodedRows = new WeakMap<ChunkRecord, Map<string, string>>();
+
+/** Encodes a page of chunk records; `zones` are the cluster's zones, in the order of the settings. */
+export function encodePage(entries: readonly PageEntry[], zones: readonly string[]): string {
+  const table = new ZoneTable(zones);
+  const zonesKey = zones.join();
+  const rows = entries.map((entry) => {
+    const cachedRows = encodedRows.get(entry.record) ?? new Map<string, string>();
+    encodedRows.set(entry.record, cachedRows);
+    const cached = cachedRows.get(zonesKey);
+    if (cached !== undefined) return cached;
+    const row = encodeRow(entry, table);
+    // A row after which a zone was appended, now or before, depends on what else the page holds.
+    if (table.names.length === zones.length) cachedRows.set(zonesKey, row);
+    return row;
+  });
+  return [table.names.map(escapeName).join(','), ...rows].join('|');
+}
+
+function encodeRow({ jobId, chunkIndex, record }: PageEntry, zones: ZoneTable): string {
+  const { highestAttempt, completedTasks, assignments } = record;
+  const runs = encodeRuns(completedTasks);
+  const assigned = assignments.map((assignment) => encodeAssignment(assignment, zones)).join(',');
+  return `${jobId}/${chunkIndex} a${highestAttempt} c${completedTasks.length},${assignments.length} ${runs} ${assigned}`;
+}
+
+const encodeAssignment = (assignment: AssignmentRecord, zones: ZoneTable): string =>
+  `${assignment.taskIndex}.${assignment.attempt}.${escapeName(assignment.machineName)}.${assignment.agentEpoch}.${zones.indexOf(assignment.zone)}`;
+
+/** Job id, chunk, highest attempt, completed runs, assignments. */
+const ROW = /^([^/ ]+)\/(\d+) a(\d+) c\d+,\d+ ([\d,-]*) (.*)$/;
+/** How much of a malformed row an error shows. */
+const SHOWN_CHARACTERS = 40;
+
+/** Decodes a page of chunk records; throws {@link MalformedRecordError}. */
+export function decodePage(value: unknown): PageEntry[] {
+  if (typeof value !== 'string') throw new MalformedRecordError('page', 'not a text');
+  const [head = '', ...rows] = value.split('|');
+  const zones = head === '' ? [] : head.split(',').map(decodeURIComponent);
+  return rows.map((row) => decodeRow(row, zones));
+}
+
+function decodeRow(row: string, zones: readonly string[]): PageEntry {
+  const match = ROW.exec(row);
+  if (match === null) throw new MalformedRecordError('page', `row "${row.slice(0, SHOWN_CHARACTERS)}"`);
+  const [, jobId = '', chunk, attempt, runs = '', assigned = ''] = match;
+  return {
+    jobId,
+    chunkIndex: Number(chunk),
+    record: {
+      highestAttempt: Number(attempt),
+      completedTasks: decodeRuns(runs),
+      assignments: assigned === '' ? [] : assigned.split(',').map((text) => decodeAssignment(text, zones)),
+    },
+  };
+}
+
+function decodeAssignment(text: string, zones: readonly string[]): AssignmentRecord {
+  const [task, attempt, machine, agentEpoch, zone] = text.split('.');
+  return {
+    taskIndex: Number(task),
+    attempt: Number(attempt),
+    machineName: decodeURIComponent(machine ?? ''),
+    agentEpoch: Number(agentEpoch),
+    zone: zones[Number(zone)] ?? '',
+  };
+}
+
+/** How many tasks of a job one chunk records. */
+export interface ChunkTaskCount {
+  readonly jobId: string;
+  readonly completed: number;
+  readonly assigned: number;
+}
+
+/** The beginning of a row, up to its counts. */
+const ROW_HEAD = /^([^/ ]+)\/\d+ a\d+ c(\d+),(\d+) /;
+/** Longer than the beginning of any row, whose job id has at most 22 characters. */
+const MAX_ROW_HEAD = 79;
+
+/** The task counts of a page's chunks, read without decoding the page; none if the value is not a page. */
+export function taskCountsIn(value: unknown): ChunkTaskCount[] {
+  if (typeof value !== 'string') return [];
+  const counts: ChunkTaskCount[] = [];
+  for (let separator = value.indexOf('|'); separator >= 0; separator = value.indexOf('|', separator + 1)) {
+    const match = ROW_HEAD.exec(value.slice(separator + 1, separator + 1 + MAX_ROW_HEAD));
+    if (match === null) continue;
+    counts.push({ jobId: match[1] ?? '', completed: Number(match[2]), assigned: Number(match[3]) });
+  }
+  return counts;
+}
--- /dev/null
+++ b/src/wire/user-protocol.ts
@@ -0,0 +1,112 @@
+/**
+ * @file The users' interface: decodes submissions and encodes job states. The words of that interface (`docket`, `desk`,
+ * `tickets`, ...) are mapped to the terms used inside here and are known nowhere else.
+ */
+import * as z from 'zod';
+import type { JobKind, JobSpec, Priority } from '../core/model/job.js';
+import { seconds } from '../core/model/time.js';
+import { parseBody, type ParseResult } from './parse-result.js';
+import { amount, orNull } from './schema-parts.js';
+
+const JOB_ID = /^req-[0-9]{1,18}$/;
+
+/** Unknown fields are dropped. */
+const submission = z.object({
+  ref: z.string().regex(JOB_ID),
+  docket: z.string().min(1).max(200),
+  desk: z.string().min(1).max(200),
+  shape: z.enum(['batch', 'ensemble', 'service']),
+  precedence: z.enum(['prod', 'high', 'normal', 'idle']),
+  tickets: z.number().int().min(1).max(100_000),
+  vcpus: amount,
+  gpus: amount,
+  memGb: amount,
+  bundle: z.string().min(1).max(200),
+  pullGb: amount,
+  builds: orNull(z.array(z.string().min(1).max(200)).min(1).max(64)),
+  hall: orNull(z.string().min(1).max(200)),
+  oneZone: z.boolean(),
+  spread: z.boolean(),
+  loaners: z.boolean(),
+  expectedS: amount,
+  snapshotEveryS: amount,
+  snapshotS: amount,
+  dueS: orNull(amount),
+  awaits: orNull(z.array(z.string().regex(JOB_ID))),
+});
+type Submission = z.infer<typeof submission>;
+
+const KINDS: Record<Submission['shape'], JobKind> = {
+  batch: 'array',
+  ensemble: 'gang',
+  service: 'service',
+};
+const PRIORITIES: Record<Submission['precedence'], Priority> = {
+  prod: 'production',
+  high: 'high',
+  normal: 'normal',
+  idle: 'low',
+};
+
+/** Whether a text has the form of a job id. */
+export const isJobId = (text: string): boolean => JOB_ID.test(text);
+
+/**
+ * The job id of a submission whose other fields may be malformed, or null if there is none. A known job is answered
+ * with its state whatever else the submission holds.
+ */
+export function jobIdOf(body: unknown): string | null {
+  if (body === null || typeof body !== 'object') return null;
+  const ref = (body as Record<string, unknown>)['ref'];
+  return typeof ref === 'string' && isJobId(ref) ? ref : null;
+}
+
+/** Decodes a submission. Whether the cluster can ever run such a job is not checked here. */
+export function parseSubmission(body: unknown): ParseResult<JobSpec> {
+  const parsed = parseBody(submission, body, jobSpecOf);
+  if (parsed.ok && parsed.value.dependencies.includes(parsed.value.id))
+    return { ok: false, reason: 'awaits: a job cannot wait for itself' };
+  return parsed;
+}
+
+function jobSpecOf(message: Submission): JobSpec {
+  return {
+    id: message.ref,
+    class: message.docket,
+    team: message.desk,
+    kind: KINDS[message.shape],
+    priority: PRIORITIES[message.precedence],
+    taskCount: message.tickets,
+    cpus: message.vcpus,
+    gpus: message.gpus,
+    memory: message.memGb,
+    machineTypes: message.builds,
+    zone: message.hall,
+    singleZone: message.oneZone,
+    spreadAcrossZones: message.spread,
+    allowSpot: message.loaners,
+    image: message.bundle,
+    imageGb: message.pullGb,
+    estimatedDuration: seconds(message.expectedS),
+    checkpointInterval: seconds(message.snapshotEveryS),
+    checkpointDuration: seconds(message.snapshotS),
+    deadline: message.dueS === null ? null : seconds(message.dueS),
+    dependencies: [...new Set(message.awaits ?? [])],
+  };
+}
+
+/** A job's status as the users' interface names it. */
+export type UserJobStatus = 'pending' | 'running' | 'done' | 'cancelled';
+
+/** How many of a job's tasks are done and running; `id` repeats the job id where the interface asks for it. */
+export interface TaskTotals {
+  readonly id?: string;
+  readonly done: number;
+  readonly running: number;
+}
+
+/** Encodes a job's state; without totals only its status is told. */
+export function encodeJobStatus(jobId: string, status: UserJobStatus, totals?: TaskTotals): unknown {
+  if (totals === undefined) return { ref: jobId, standing: status };
+  return { ref: jobId, standing: status, id: totals.id, done: totals.done, running: totals.running };
+}
--- a/test/bounded.test.ts
+++ b/test/bounded.test.ts
@@ -10,15 +10,12 @@
 import { createLogger } from '../src/edge/runtime/logger.js';
 import { ImageCacheObserver } from '../src/edge/state-store/image-cache-observer.js';
 import { DEFAULT_SETTINGS } from '../src/edge/config/operator-settings.js';
-import type { KeyChange, ReplicaEntry, StateStore } from '../src/edge/state-store/state-store.js';
-import {
-  FinishedJobSummary,
-  jobKey,
-  pageKey,
-  jobSummaryOf,
-  encodeJob,
-  encodePage,
-} from '../src/wire/records.js';
+import type { KeyChange, ReplicaEntry } from '../src/edge/state-store/replica-view.js';
+import type { StateStore } from '../src/edge/state-store/state-store.js';
+import { FinishedJobSummary, jobSummaryOf } from '../src/wire/finished-job-summary.js';
+import { jobKey, pageKey } from '../src/wire/keys.js';
+import { encodeJob } from '../src/wire/job-record.js';
+import { encodePage } from '../src/wire/page-record.js';
 import { FACTS, TYPE, spec } from './player.js';
 
 /**
--- a/test/golden-records.test.ts
+++ b/test/golden-records.test.ts
@@ -5,24 +5,17 @@
 import type { PageEntry } from '../src/core/records/record-pages.js';
 import { seconds, type Timestamp } from '../src/core/model/time.js';
 import { encode } from '../src/wire/cbor.js';
-import { FRAME_LIMIT, FrameReader, encodeStatus, type ControllerStatus } from '../src/wire/frames.js';
 import {
-  taskCountsIn,
-  decodeFeatures,
-  jobKey,
-  pageKey,
-  parseKey,
-  leaderKey,
-  decodeJob,
-  decodePage,
-  decodeLeader,
-  versionKey,
-  encodeJob,
-  encodePage,
-  zoneRecordKey,
-  type LeaderRecord,
-  type VersionRecord,
-} from '../src/wire/records.js';
+  FRAME_LIMIT,
+  FrameReader,
+  encodeStatus,
+  type ControllerStatus,
+} from '../src/wire/controller-status-frame.js';
+import { taskCountsIn, decodePage, encodePage } from '../src/wire/page-record.js';
+import { decodeFeatures, type VersionRecord } from '../src/wire/version-record.js';
+import { jobKey, pageKey, parseKey, leaderKey, versionKey, zoneRecordKey } from '../src/wire/keys.js';
+import { decodeJob, encodeJob } from '../src/wire/job-record.js';
+import { decodeLeader, type LeaderRecord } from '../src/wire/leader-record.js';
 import { assertBytes, valueIn, type Golden } from './golden-bytes.js';
 
 // What is stored and what controllers send one another, in literal bytes, with every optional field present and absent.
@@ -217,10 +210,10 @@
   assert.equal(encodePage(entries, zones), PAGE, 'rows that were kept from the first time');
   assert.deepEqual(decodePage(PAGE), entries);
   assert.deepEqual(taskCountsIn(PAGE), [
-    { job: 'req-1', done: 0, placed: 0 },
-    { job: 'req-2', done: 3, placed: 0 },
-    { job: 'req-3', done: 0, placed: 1 },
-    { job: 'req-4', done: 4, placed: 2 },
+    { jobId: 'req-1', completed: 0, assigned: 0 },
+    { jobId: 'req-2', completed: 3, assigned: 0 },
+    { jobId: 'req-3', completed: 0, assigned: 1 },
+    { jobId: 'req-4', completed: 4, assigned: 2 },
   ]);
   assert.equal(encodePage([], []), '');
   assert.deepEqual(decodePage(''), []);
--- a/test/golden-requests.test.ts
+++ b/test/golden-requests.test.ts
@@ -10,19 +10,16 @@
 import { StateStore } from '../src/edge/state-store/state-store.js';
 import { WorkerCommandSender, type CommandResult } from '../src/edge/workers/worker-command-sender.js';
 import { encode } from '../src/wire/cbor.js';
+import { encodeJobStatus, parseSubmission } from '../src/wire/user-protocol.js';
 import {
-  encodeJobStatus,
   inventoryPath,
-  encodeCommands,
   parseInventory,
-  parseHeartbeat,
-  parseSubmission,
   parseMachineTypes,
-  encodeRedirect,
   encodeScaleOut,
   encodeScaleIn,
-  type ParseResult,
-} from '../src/wire/protocol.js';
+} from '../src/wire/cloud-protocol.js';
+import { encodeCommands, parseHeartbeat, encodeRedirect } from '../src/wire/worker-protocol.js';
+import type { ParseResult } from '../src/wire/parse-result.js';
 import { assertBytes, assertRequest, valueIn, type Golden } from './golden-bytes.js';
 import { call } from './standins/http.js';
 import { record } from './standins/recorder.js';
@@ -522,9 +519,9 @@
     { key: 'main/job/req-1', modRevision: 0 },
   ];
   const result = await stateStore.commit(guards, [
-    { write: 'main/part/all', value: { a: 1 }, permit: 7 },
-    { write: 'main/page/all/0', value: 'x' },
-    { delete: 'main/c' },
+    { kind: 'put', key: 'main/part/all', value: { a: 1 }, leaseId: 7 },
+    { kind: 'put', key: 'main/page/all/0', value: 'x' },
+    { kind: 'delete', key: 'main/c' },
   ]);
   assert.deepEqual(result, { kind: 'committed', revision: 432 });
   await stateStore.commit([], []);
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -6,8 +6,11 @@
 import { DecodedPageCache } from '../src/edge/state-store/decoded-page-cache.js';
 import { createLogger } from '../src/edge/runtime/logger.js';
 import { KeyedTaskQueue } from '../src/edge/workers/keyed-task-queue.js';
-import { jobKey, pageKey, encodeJob, encodePage } from '../src/wire/records.js';
-import type { KeyChange, ReplicaEntry, StateStore } from '../src/edge/state-store/state-store.js';
+import { jobKey, pageKey } from '../src/wire/keys.js';
+import { encodeJob } from '../src/wire/job-record.js';
+import { encodePage } from '../src/wire/page-record.js';
+import type { KeyChange, ReplicaEntry } from '../src/edge/state-store/replica-view.js';
+import type { StateStore } from '../src/edge/state-store/state-store.js';
 import { Subject } from 'rxjs';
 import { CoreFleet } from './standins/core-fleet.js';
 import { spec } from './player.js';
--- a/test/limits-next.test.ts
+++ b/test/limits-next.test.ts
@@ -17,7 +17,7 @@
   clusterConfigFrom,
   readPlatformSettings,
 } from '../src/edge/config/platform-settings.js';
-import { decodePage, encodePage } from '../src/wire/records.js';
+import { decodePage, encodePage } from '../src/wire/page-record.js';
 import { FACTS, TYPE, spec } from './player.js';
 import { ownAddress, platform } from './standins/site.js';
 
--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -13,7 +13,8 @@
 import { MIN_SOCKETS, connectionLimitsFor } from '../src/edge/config/connection-limits.js';
 import { WorkerCommandSender } from '../src/edge/workers/worker-command-sender.js';
 import { decode, encode } from '../src/wire/cbor.js';
-import { isDecodable, encodeJob } from '../src/wire/records.js';
+import { isDecodable } from '../src/wire/stored-value-check.js';
+import { encodeJob } from '../src/wire/job-record.js';
 import { spec } from './player.js';
 import {
   job,
--- a/test/parts.test.ts
+++ b/test/parts.test.ts
@@ -5,10 +5,12 @@
 import { seconds, toSeconds } from '../src/core/model/time.js';
 import { DEFAULT_SETTINGS, parseOperatorSettings } from '../src/edge/config/operator-settings.js';
 import { decode, encode } from '../src/wire/cbor.js';
-import { FrameReader, encodeStatus } from '../src/wire/frames.js';
+import { FrameReader, encodeStatus } from '../src/wire/controller-status-frame.js';
 import { parseHead } from '../src/edge/http/heartbeat-reader.js';
-import { parseHeartbeat, parseSubmission } from '../src/wire/protocol.js';
-import { taskCountsIn, pageKey, parseKey, decodePage, encodePage } from '../src/wire/records.js';
+import { parseHeartbeat } from '../src/wire/worker-protocol.js';
+import { parseSubmission } from '../src/wire/user-protocol.js';
+import { taskCountsIn, decodePage, encodePage } from '../src/wire/page-record.js';
+import { pageKey, parseKey } from '../src/wire/keys.js';
 import { CHUNK_TASKS, chunkRecordOf } from '../src/core/records/chunks.js';
 import { endAssignment, assignTask } from '../src/core/assignments/assignments.js';
 import { getOrAddMachine } from '../src/core/machines/machine-registry.js';
@@ -80,7 +82,7 @@
     assert.ok(JSON.stringify(out).length <= 4096, `${out.length} characters`);
     assert.deepEqual(decodePage(decode(encode(out))), entries);
     assert.equal(
-      taskCountsIn(out).reduce((sum, c) => sum + c.placed, 0),
+      taskCountsIn(out).reduce((sum, c) => sum + c.assigned, 0),
       entries.reduce((sum, entry) => sum + entry.record.assignments.length, 0),
     );
   }
--- a/test/pipelines.test.ts
+++ b/test/pipelines.test.ts
@@ -1,7 +1,8 @@
 import assert from 'node:assert/strict';
 import { after, before, test } from 'node:test';
 import type { Subscription } from 'rxjs';
-import { decodeJob, versionKey } from '../src/wire/records.js';
+import { decodeJob } from '../src/wire/job-record.js';
+import { versionKey } from '../src/wire/keys.js';
 import { call } from './standins/http.js';
 import {
   ownAddress,
--- a/test/records.test.ts
+++ b/test/records.test.ts
@@ -2,19 +2,11 @@
 import { test } from 'node:test';
 import { seconds } from '../src/core/model/time.js';
 import { decode, encode } from '../src/wire/cbor.js';
-import { FrameReader, encodeStatus } from '../src/wire/frames.js';
-import {
-  decodeFeatures,
-  jobKey,
-  pageKey,
-  parseKey,
-  leaderKey,
-  decodeJob,
-  decodePage,
-  versionKey,
-  encodeJob,
-  encodePage,
-} from '../src/wire/records.js';
+import { FrameReader, encodeStatus } from '../src/wire/controller-status-frame.js';
+import { decodeFeatures } from '../src/wire/version-record.js';
+import { jobKey, pageKey, parseKey, leaderKey, versionKey } from '../src/wire/keys.js';
+import { decodeJob, encodeJob } from '../src/wire/job-record.js';
+import { decodePage, encodePage } from '../src/wire/page-record.js';
 import { spec } from './player.js';
 
 /**
--- a/test/versions.test.ts
+++ b/test/versions.test.ts
@@ -1,9 +1,12 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { createLogger } from '../src/edge/runtime/logger.js';
-import type { ReplicaEntry, StateStore } from '../src/edge/state-store/state-store.js';
+import type { ReplicaEntry } from '../src/edge/state-store/replica-view.js';
+import type { StateStore } from '../src/edge/state-store/state-store.js';
 import { DEPENDENCIES_FEATURE, ControllerVersions } from '../src/edge/state-store/controller-versions.js';
-import { decodeJob, decodePage, versionKey, encodeJob, encodePage } from '../src/wire/records.js';
+import { decodeJob, encodeJob } from '../src/wire/job-record.js';
+import { decodePage, encodePage } from '../src/wire/page-record.js';
+import { versionKey } from '../src/wire/keys.js';
 import { CoreFleet, type RecordCodec } from './standins/core-fleet.js';
 import { PRODUCTION_CODEC } from './standins/production-version.js';
 
