--- a/test/announced-limits.test.ts
+++ b/test/announced-limits.test.ts
@@ -13,7 +13,7 @@
   clusterConfigFrom,
   readPlatformSettings,
 } from '../src/edge/config/platform-settings.js';
-import { decodePage, encodePage } from '../src/wire/records.js';
+import { decodePage, encodePage } from '../src/wire/page-record.js';
 import { CLUSTER_CONFIG, jobSpec } from './fixtures/cluster-config.js';
 import { ownAddress, platform } from './standins/cluster.js';
 import { timeAt } from './fixtures/clock.js';
--- a/test/heartbeat-parsing.test.ts
+++ b/test/heartbeat-parsing.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { parseHead } from '../src/edge/http/heartbeat-reader.js';
-import { parseHeartbeat } from '../src/wire/protocol.js';
+import { parseHeartbeat } from '../src/wire/worker-protocol.js';
 
 const HELLO = {
   rig: 'n-000231',
--- a/test/memory-bounds.test.ts
+++ b/test/memory-bounds.test.ts
@@ -6,15 +6,12 @@
 import { FinishedJobCompactor } from '../src/edge/state-store/finished-job-compactor.js';
 import { createLogger } from '../src/edge/runtime/logger.js';
 import { ImageCacheObserver } from '../src/edge/state-store/image-cache-observer.js';
-import type { KeyChange, ReplicaEntry, StateStore } from '../src/edge/state-store/state-store.js';
-import {
-  FinishedJobSummary,
-  jobKey,
-  pageKey,
-  jobSummaryOf,
-  encodeJob,
-  encodePage,
-} from '../src/wire/records.js';
+import type { KeyChange, ReplicaEntry } from '../src/edge/state-store/replica-view.js';
+import type { StateStore } from '../src/edge/state-store/state-store.js';
+import { FinishedJobSummary, jobSummaryOf } from '../src/wire/finished-job-summary.js';
+import { jobKey, pageKey } from '../src/wire/keys.js';
+import { encodeJob } from '../src/wire/job-record.js';
+import { encodePage } from '../src/wire/page-record.js';
 import { jobSpec } from './fixtures/cluster-config.js';
 import { timeAt } from './fixtures/clock.js';
 import { createSchedulerWithType } from './fixtures/scheduler.js';
--- a/test/peer-frames.test.ts
+++ b/test/peer-frames.test.ts
@@ -1,7 +1,7 @@
 /** @file The frames that controllers send each other. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { FrameReader, encodeStatus } from '../src/wire/frames.js';
+import { FrameReader, encodeStatus } from '../src/wire/controller-status-frame.js';
 
 test('frames between controllers: cut anywhere they come whole; what is no frame is refused', () => {
   const status = {
--- a/test/record-pages.test.ts
+++ b/test/record-pages.test.ts
@@ -2,7 +2,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { decode, encode } from '../src/wire/cbor.js';
-import { taskCountsIn, pageKey, parseKey, decodePage, encodePage } from '../src/wire/records.js';
+import { taskCountsIn, decodePage, encodePage } from '../src/wire/page-record.js';
+import { pageKey, parseKey } from '../src/wire/keys.js';
 import { CHUNK_TASKS, chunkRecordOf } from '../src/core/records/chunks.js';
 import { assignTask } from '../src/core/assignments/assignments.js';
 import { getOrAddMachine } from '../src/core/machines/machine-registry.js';
@@ -38,7 +39,7 @@
     assert.ok(JSON.stringify(out).length <= 4096, `${out.length} characters`);
     assert.deepEqual(decodePage(decode(encode(out))), entries);
     assert.equal(
-      taskCountsIn(out).reduce((sum, c) => sum + c.placed, 0),
+      taskCountsIn(out).reduce((sum, c) => sum + c.assigned, 0),
       entries.reduce((sum, entry) => sum + entry.record.assignments.length, 0),
     );
   }
--- a/test/submission-parsing.test.ts
+++ b/test/submission-parsing.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { seconds } from '../src/core/model/time.js';
-import { parseSubmission } from '../src/wire/protocol.js';
+import { parseSubmission } from '../src/wire/user-protocol.js';
 
 const BODY = {
   ref: 'req-000412',
