--- a/src/edge/cloud/cloud-client.ts
+++ b/src/edge/cloud/cloud-client.ts
@@ -1,3 +1,7 @@
+/**
+ * @file The client of the cloud's interface: machine types, instance inventory, scale out and scale in. It owns the
+ * connections and the request rate to the cloud; it decides nothing about what to scale.
+ */
 import type { CloudInstance, MachineType } from '../../core/model/machine.js';
 import type { ScaleOutRequest } from '../../core/model/scale-out.js';
 import {
@@ -15,88 +19,128 @@
 import { jittered } from '../runtime/jitter.js';
 import { warnRateLimited, type Logger } from '../runtime/logger.js';
 
-const CALL_MS = 4000;
+const REQUEST_TIMEOUT_MS = 4000;
+const MAX_CONNECTIONS = 4;
+/** The share of the cloud's request limit that one controller uses. */
+const RATE_SHARE = 0.7;
+const INVENTORY_PAGE_SIZE = 500;
+const MAX_ATTEMPTS = 4;
+const FIRST_RETRY_DELAY_MS = 400;
 
-/** The cloud's client. Calls stay below the cloud's limit and are repeated with growing pauses when refused. */
+/** The cloud's client. Requests stay below the cloud's limit; refused ones are repeated with growing delays. */
 export class CloudClient {
   private readonly client: HttpClient;
-  private readonly allowance: RateLimiter;
+  private readonly rateLimiter: RateLimiter;
 
   constructor(
-    addr: string,
-    rps: number,
+    address: string,
+    requestsPerSecond: number,
     private readonly logger: Logger,
   ) {
-    this.client = new HttpClient(addr, 4);
-    this.allowance = new RateLimiter(rps * 0.7, Math.max(1, rps));
+    this.client = new HttpClient(address, MAX_CONNECTIONS);
+    this.rateLimiter = new RateLimiter(requestsPerSecond * RATE_SHARE, Math.max(1, requestsPerSecond));
   }
 
+  /** The machine types on offer, or null if they could not be read. */
   async listMachineTypes(signal: AbortSignal): Promise<MachineType[] | null> {
-    const outcome = await this.call('GET', CLOUD_PATHS.types, undefined, signal);
-    if (outcome.kind !== 'answer' || outcome.status !== 200) return null;
-    const r = parseMachineTypes(outcome.body);
-    return r.ok ? r.value : this.unread(r.reason);
+    const response = await this.request('GET', CLOUD_PATHS.types, undefined, signal);
+    if (response.kind !== 'answer' || response.status !== 200) return null;
+    const parsed = parseMachineTypes(response.body);
+    return parsed.ok ? parsed.value : this.onMalformed(parsed.reason);
   }
 
-  /** The whole list, or null if any page could not be had. */
+  /** The whole instance inventory, or null if any page of it could not be read. */
   async listInstances(signal: AbortSignal): Promise<CloudInstance[] | null> {
-    const all: CloudInstance[] = [];
+    const instances: CloudInstance[] = [];
     for (;;) {
-      const outcome = await this.call(
+      const after = instances[instances.length - 1]?.name ?? null;
+      const response = await this.request(
         'GET',
-        inventoryPath(all[all.length - 1]?.name ?? null, 500),
+        inventoryPath(after, INVENTORY_PAGE_SIZE),
         undefined,
         signal,
       );
-      if (outcome.kind !== 'answer' || outcome.status !== 200) return null;
-      const r = parseInventory(outcome.body);
-      if (!r.ok) return this.unread(r.reason);
-      all.push(...r.value.machines);
-      if (!r.value.more) return all;
+      if (response.kind !== 'answer' || response.status !== 200) return null;
+      const parsed = parseInventory(response.body);
+      if (!parsed.ok) return this.onMalformed(parsed.reason);
+      instances.push(...parsed.value.machines);
+      if (!parsed.value.more) return instances;
     }
   }
 
-  /** Rents under a name that is never used for anything else; repeated until the answer is known or time is up. */
+  /**
+   * Scales out under a name that is never used for anything else, which makes the request idempotent: it is repeated
+   * until its answer is known or the attempts are used up. Returns the names of the new machines, or null.
+   */
   async scaleOut(name: string, request: ScaleOutRequest, signal: AbortSignal): Promise<string[] | null> {
-    for (let n = 0; n < 4 && !signal.aborted; n++) {
-      const outcome = await this.call('POST', CLOUD_PATHS.machines, encodeScaleOut(name, request), signal);
-      if (outcome.kind === 'answer' && outcome.status === 200) {
-        const r = schemas.rented.safeParse(outcome.body);
-        return r.success ? r.data.rigs : this.unread('a rental without names');
-      }
-      if (outcome.kind === 'answer' && (outcome.status === 400 || outcome.status === 503)) return null;
-      await sleep(jittered(400 * 2 ** n), signal);
-    }
-    return null;
+    const machines = await this.withRetries(signal, async () => {
+      const body = encodeScaleOut(name, request);
+      const response = await this.request('POST', CLOUD_PATHS.machines, body, signal);
+      if (response.kind !== 'answer') return undefined;
+      if (response.status === 200) return this.parseMachineNames(response.body);
+      if (response.status === 400 || response.status === 503) return null;
+      return undefined;
+    });
+    return machines ?? null;
   }
 
-  /** `still` is asked before each try: a new owner may have put work on what we chose before we stood still. */
-  async scaleIn(names: readonly string[], still: () => boolean, signal: AbortSignal): Promise<boolean> {
-    for (let n = 0; n < 4 && !signal.aborted; n++) {
-      const wait = this.allowance.take(1);
-      if (wait > 0) await sleep(wait, signal);
-      if (!still()) return false;
-      const outcome = await this.client.request(
+  /**
+   * Releases machines; true once the cloud has confirmed it. `mayRelease` is checked before each attempt: a new leader
+   * may have assigned work to the chosen machines while this process stood still.
+   */
+  async scaleIn(
+    machineNames: readonly string[],
+    mayRelease: () => boolean,
+    signal: AbortSignal,
+  ): Promise<boolean> {
+    const released = await this.withRetries(signal, async () => {
+      await this.waitForRateLimit(signal);
+      if (!mayRelease()) return false;
+      const body = encodeScaleIn(machineNames);
+      const response = await this.client.request(
         'POST',
         CLOUD_PATHS.remove,
-        encodeScaleIn(names),
-        CALL_MS,
+        body,
+        REQUEST_TIMEOUT_MS,
         signal,
       );
-      if (outcome.kind === 'answer' && outcome.status === 200) return true;
-      await sleep(jittered(400 * 2 ** n), signal);
+      return response.kind === 'answer' && response.status === 200 ? true : undefined;
+    });
+    return released ?? false;
+  }
+
+  /** Repeats an attempt while it yields undefined; undefined also once the attempts are used up. */
+  private async withRetries<T>(
+    signal: AbortSignal,
+    attempt: () => Promise<T | undefined>,
+  ): Promise<T | undefined> {
+    for (let retries = 0; retries < MAX_ATTEMPTS && !signal.aborted; retries++) {
+      const result = await attempt();
+      if (result !== undefined) return result;
+      await sleep(jittered(FIRST_RETRY_DELAY_MS * 2 ** retries), signal);
     }
-    return false;
+    return undefined;
   }
 
-  private unread(reason: string): null {
-    warnRateLimited(this.logger, { why: reason }, 'the cloud sent what cannot be read');
+  private parseMachineNames(body: unknown): string[] | null {
+    const parsed = schemas.rented.safeParse(body);
+    return parsed.success
+      ? parsed.data.rigs
+      : this.onMalformed('scale-out response without names of machines');
+  }
+
+  private onMalformed(reason: string): null {
+    warnRateLimited(this.logger, { reason }, 'malformed cloud response');
     return null;
   }
 
-  private async call(method: string, path: string, body: unknown, signal: AbortSignal): Promise<Outcome> {
-    const wait = this.allowance.take(1);
-    if (wait > 0) await sleep(wait, signal);
-    return this.client.request(method, path, body, CALL_MS, signal);
+  private async request(method: string, path: string, body: unknown, signal: AbortSignal): Promise<Outcome> {
+    await this.waitForRateLimit(signal);
+    return this.client.request(method, path, body, REQUEST_TIMEOUT_MS, signal);
+  }
+
+  private async waitForRateLimit(signal: AbortSignal): Promise<void> {
+    const waitMs = this.rateLimiter.take(1);
+    if (waitMs > 0) await sleep(waitMs, signal);
   }
 }
--- a/src/edge/cloud/cloud-poller.ts
+++ b/src/edge/cloud/cloud-poller.ts
@@ -1,3 +1,7 @@
+/**
+ * @file Polls the cloud for a leader's term: instance inventory and machine types become events of the core. It owns
+ * the polling intervals and nothing else; it must never change anything in the cloud.
+ */
 import type { Subscription } from 'rxjs';
 import type { MachineType } from '../../core/model/machine.js';
 import { monotonicNow } from '../runtime/clock.js';
@@ -5,51 +9,56 @@
 import { isAborted, sleep, supervise } from '../runtime/supervised-task.js';
 import type { TermContext } from '../leadership/term-context.js';
 
-/** Asks the cloud for its machines and their types for as long as the term lasts. */
+const MIN_INVENTORY_INTERVAL_MS = 2000;
+const MACHINE_TYPES_INTERVAL_MS = 60_000;
+const RETRY_DELAY_MS = 1000;
+
+/** Polls the cloud for its instances and their types for as long as the term lasts. */
 export class CloudPoller {
-  private imagesTold = false;
+  private imagesReported = false;
 
   constructor(private readonly term: TermContext) {}
 
   /** Runs until unsubscribed. */
   start(): Subscription {
     const { logger } = this.term.dependencies;
-    const routines = supervise('machine list', logger, (signal) => this.pollList(signal));
-    routines.add(supervise('machine types', logger, (signal) => this.pollTypes(signal)));
+    const routines = supervise('instance inventory', logger, (signal) => this.pollInventory(signal));
+    routines.add(supervise('machine types', logger, (signal) => this.pollMachineTypes(signal)));
     return routines;
   }
 
-  private async pollList(signal: AbortSignal): Promise<void> {
-    const every = Math.max(2000, Number(this.term.dependencies.config.inventoryLag) / 1e6);
+  private async pollInventory(signal: AbortSignal): Promise<void> {
+    const { cloud, config } = this.term.dependencies;
+    // The inventory lags behind anyway: polling more often than it changes shows nothing new.
+    const intervalMs = Math.max(MIN_INVENTORY_INTERVAL_MS, Number(config.inventoryLag) / 1e6);
     while (!signal.aborted) {
-      const sent = monotonicNow();
-      const machines = await this.term.dependencies.cloud.listInstances(signal);
+      const requestedAt = monotonicNow();
+      const machines = await cloud.listInstances(signal);
       if (isAborted(signal)) return;
-      if (machines !== null) this.term.dispatch({ kind: 'instance-inventory', machines, requestedAt: sent });
-      await sleep(machines === null ? jittered(1000) : every, signal);
+      if (machines !== null) this.term.dispatch({ kind: 'instance-inventory', machines, requestedAt });
+      await sleep(machines === null ? jittered(RETRY_DELAY_MS) : intervalMs, signal);
     }
   }
 
-  /** What this controller saw as a bystander: once, as soon as it is known how fast machines fetch. */
-  private tellImages(types: readonly MachineType[]): void {
-    this.imagesTold = true;
-    const rates = types.map((type) => type.fetchGbPerS).filter((r) => r > 0);
-    if (rates.length > 0)
-      this.term.dispatch({
-        kind: 'images-observed',
-        sightings: this.term.dependencies.imageObserver.likelyCached(Math.min(...rates)),
-      });
-  }
-
-  private async pollTypes(signal: AbortSignal): Promise<void> {
+  private async pollMachineTypes(signal: AbortSignal): Promise<void> {
+    const { cloud } = this.term.dependencies;
     while (!signal.aborted) {
-      const types = await this.term.dependencies.cloud.listMachineTypes(signal);
+      const types = await cloud.listMachineTypes(signal);
       if (isAborted(signal)) return;
       if (types !== null) {
         this.term.dispatch({ kind: 'machine-types', types });
-        if (!this.imagesTold) this.tellImages(types);
+        if (!this.imagesReported) this.reportCachedImages(types);
       }
-      await sleep(types === null ? jittered(1000) : 60_000, signal);
+      await sleep(types === null ? jittered(RETRY_DELAY_MS) : MACHINE_TYPES_INTERVAL_MS, signal);
     }
   }
+
+  /** Dispatches what this controller observed as a follower: once, as soon as the rates of image fetches are known. */
+  private reportCachedImages(types: readonly MachineType[]): void {
+    this.imagesReported = true;
+    const fetchRates = types.map((type) => type.fetchGbPerS).filter((rate) => rate > 0);
+    if (fetchRates.length === 0) return;
+    const sightings = this.term.dependencies.imageObserver.likelyCached(Math.min(...fetchRates));
+    this.term.dispatch({ kind: 'images-observed', sightings });
+  }
 }
--- a/src/edge/workers/keyed-task-queue.ts
+++ b/src/edge/workers/keyed-task-queue.ts
@@ -1,38 +1,43 @@
+/**
+ * @file A queue of asynchronous tasks by key: serial within a key, concurrent across keys. It owns the waiting tasks;
+ * it must never keep anything for an idle key.
+ */
 import { Subscription } from 'rxjs';
 
-/** One piece of work; it must not reject. */
+/** One task of a queue; it must not reject. */
 export type QueuedTask = () => Promise<void>;
 
 /**
- * Runs tasks of one key one after the other, in the order in which they came, and those of different keys side by side.
- * Nothing is kept for a key without tasks, so that the keys that were ever used take no memory.
+ * Runs the tasks of one key one after the other, in the order in which they were pushed, and those of different keys
+ * concurrently. Nothing is kept for a key without tasks, so keys used once take no memory.
  */
 export class KeyedTaskQueue {
-  /** Tasks behind the one that runs, for each key that has one running. */
+  /** Tasks behind the running one, for each key that has one running. */
   private readonly waiting = new Map<string, QueuedTask[]>();
-  private stopped = false;
+  private readonly stop = new AbortController();
 
-  /** How many keys have a task that runs or waits. */
+  /** How many keys have a running or waiting task. */
   get busyKeys(): number {
     return this.waiting.size;
   }
 
+  /** Runs the task once the earlier ones of its key have ended; ignored after the end of the queue. */
   push(key: string, task: QueuedTask): void {
-    if (this.stopped) return;
+    if (this.stop.signal.aborted) return;
     const queue = this.waiting.get(key);
     if (queue !== undefined) {
       queue.push(task);
       return;
     }
-    const own: QueuedTask[] = [];
-    this.waiting.set(key, own);
-    void this.drain(key, task, own);
+    const behind: QueuedTask[] = [];
+    this.waiting.set(key, behind);
+    void this.drain(key, task, behind);
   }
 
-  /** Ends with the returned subscription: what has not begun by then is dropped. */
+  /** The queue ends with the returned subscription: tasks that have not begun by then are dropped. */
   start(): Subscription {
     return new Subscription(() => {
-      this.stopped = true;
+      this.stop.abort();
       this.waiting.clear();
     });
   }
@@ -40,7 +45,7 @@
   private async drain(key: string, first: QueuedTask, queue: QueuedTask[]): Promise<void> {
     for (let task: QueuedTask | undefined = first; task !== undefined; task = queue.shift()) {
       await task();
-      if (this.stopped) return;
+      if (this.stop.signal.aborted) return;
     }
     this.waiting.delete(key);
   }
--- a/src/edge/workers/worker-command-sender.ts
+++ b/src/edge/workers/worker-command-sender.ts
@@ -1,11 +1,17 @@
+/**
+ * @file Sends commands and probes straight to workers and reports how each was answered. It owns the order of commands
+ * per machine; it decides nothing about which commands there are, and must never send a start that is not allowed at
+ * the moment of sending.
+ */
 import { Subscription } from 'rxjs';
 import type { Heartbeat } from '../../core/model/heartbeat.js';
 import type { WorkerCommand } from '../../core/model/worker-command.js';
 import { WORKER_PATHS, encodeCommands, parseHeartbeat } from '../../wire/protocol.js';
-import { HttpClient } from '../net/http-client.js';
+import type { Outcome } from '../net/http-client.js';
 import { KeyedTaskQueue } from './keyed-task-queue.js';
+import { WorkerConnectionPool } from './worker-connection-pool.js';
 
-/** Orders for one worker, to be sent straight to it. */
+/** Commands for one worker, sent in one request; without commands the request is a probe. */
 export interface CommandBatch {
   readonly machineName: string;
   readonly endpoint: string;
@@ -13,118 +19,98 @@
   readonly commands: readonly WorkerCommand[];
 }
 
-/** What became of a direct call. */
+/** How a batch was answered. */
 export interface CommandResult {
   readonly batch: CommandBatch;
   readonly fencingToken: number;
   readonly outcome: 'executed' | 'refused' | 'unknown';
+  /** The heartbeat in the worker's response, if there was one. */
   readonly heartbeat: Heartbeat | null;
 }
 
-const LIMIT_MS = 2500;
+const REQUEST_TIMEOUT_MS = 2500;
 
-/**
- * Commands straight to the workers: one at a time per machine, so that they arrive in the order they were given. Of the
- * connections, those used longest ago are closed beyond `most`: a large fleet would take all our sockets.
- */
+const isProbe = (batch: CommandBatch): boolean => batch.commands.length === 0;
+
+/** Reads a worker's response. */
+function resultOf(batch: CommandBatch, fencingToken: number, response: Outcome): CommandResult {
+  if (response.kind === 'unsent') return { batch, fencingToken, outcome: 'refused', heartbeat: null };
+  if (response.kind === 'unknown') return { batch, fencingToken, outcome: 'unknown', heartbeat: null };
+  const parsed = parseHeartbeat(response.body);
+  const heartbeat = parsed.ok ? parsed.value : null;
+  if (response.status === 200) return { batch, fencingToken, outcome: 'executed', heartbeat };
+  if (response.status === 409 || response.status === 400)
+    return { batch, fencingToken, outcome: 'refused', heartbeat };
+  return { batch, fencingToken, outcome: 'unknown', heartbeat: null };
+}
+
+/** Sends command batches to workers: one at a time per machine, so that they arrive in the order they were pushed. */
 export class WorkerCommandSender {
-  private readonly calls = new KeyedTaskQueue();
-  private stopped = false;
-  /** By endpoint, the one used longest ago first. */
-  private readonly clients = new Map<string, { readonly client: HttpClient; busy: number }>();
-  private busy = 0;
-  private readonly waiting: (() => void)[] = [];
-  /** Machines with a question, a command without orders, that waits or is under way. */
-  private readonly asked = new Set<string>();
+  private readonly queue = new KeyedTaskQueue();
+  private readonly connections: WorkerConnectionPool;
+  private readonly stop = new AbortController();
+  /** Machines with a probe that waits or is in flight. */
+  private readonly probed = new Set<string>();
 
   constructor(
-    private readonly most: number,
-    private readonly token: () => number,
-    /** Whether a start may still be sent: asked when a command is sent, which may be long after it was given. */
+    maxConnections: number,
+    private readonly currentFencingToken: () => number,
+    /** Whether a start may still be sent: checked when a command is sent, which may be long after it was pushed. */
     private readonly mayStart: (command: WorkerCommand) => boolean,
-    private readonly result: (result: CommandResult) => void,
-  ) {}
+    private readonly onResult: (result: CommandResult) => void,
+  ) {
+    this.connections = new WorkerConnectionPool(maxConnections);
+  }
 
+  /** Sending ends with the returned subscription, and its connections are closed. */
   start(): Subscription {
     const routines = new Subscription();
-    routines.add(this.calls.start());
+    routines.add(this.queue.start());
     routines.add(() => {
-      this.stopped = true;
+      this.stop.abort();
     });
     routines.add(() => {
-      for (const c of this.clients.values()) c.client.close();
-      this.clients.clear();
+      this.connections.close();
     });
     return routines;
   }
 
-  push(call: CommandBatch): void {
-    // One question at a time: those to a machine that hangs piled up behind one another, and each cost a connection.
-    if (call.commands.length === 0) {
-      if (this.asked.has(call.machineName)) return;
-      this.asked.add(call.machineName);
+  /** Sends a batch after the earlier ones to the same machine. */
+  push(batch: CommandBatch): void {
+    // One probe per machine: those to an unresponsive machine piled up behind one another, each costing a connection.
+    if (isProbe(batch)) {
+      if (this.probed.has(batch.machineName)) return;
+      this.probed.add(batch.machineName);
     }
-    this.calls.push(call.machineName, () => this.carryOut(call));
-  }
-
-  private async carryOut(call: CommandBatch): Promise<void> {
-    const result = await this.send(call);
-    if (this.stopped) return;
-    if (call.commands.length === 0) this.asked.delete(call.machineName);
-    this.result(result);
+    this.queue.push(batch.machineName, () => this.sendAndReport(batch));
   }
 
-  private clientOf(endpoint: string): { readonly client: HttpClient; busy: number } {
-    const known = this.clients.get(endpoint);
-    this.clients.delete(endpoint);
-    const entry = known ?? { client: new HttpClient(endpoint, 1), busy: 0 };
-    this.clients.set(endpoint, entry);
-    for (const [at, c] of this.clients) {
-      if (this.clients.size <= this.most) break;
-      if (c.busy > 0 || c === entry) continue;
-      c.client.close();
-      this.clients.delete(at);
-    }
-    return entry;
+  private async sendAndReport(batch: CommandBatch): Promise<void> {
+    const result = await this.send(batch);
+    if (this.stop.signal.aborted) return;
+    if (isProbe(batch)) this.probed.delete(batch.machineName);
+    this.onResult(result);
   }
 
-  private async send(job: CommandBatch): Promise<CommandResult> {
-    // Machines that hang hold a connection each until we give up: questions to them leave room for commands, and are
-    // asked again anyway; commands wait their turn.
-    if (job.commands.length === 0 && this.busy * 2 >= this.most)
-      return { batch: job, fencingToken: this.token(), outcome: 'refused', heartbeat: null };
-    if (this.busy >= this.most) await new Promise<void>((go) => this.waiting.push(go));
-    this.busy += 1;
-    try {
-      return await this.call(job);
-    } finally {
-      this.busy -= 1;
-      this.waiting.shift()?.();
-    }
+  private async send(batch: CommandBatch): Promise<CommandResult> {
+    // Unresponsive machines hold a connection each until the timeout: probes to them leave room for commands, and are
+    // repeated anyway; commands wait for a free slot.
+    if (isProbe(batch) && this.connections.isHalfFull)
+      return { batch, fencingToken: this.currentFencingToken(), outcome: 'refused', heartbeat: null };
+    return this.connections.withSlot(() => this.request(batch));
   }
 
-  private async call(job: CommandBatch): Promise<CommandResult> {
-    const fencingToken = this.token();
-    // A command may have waited behind a slow one, or we stood still meanwhile: nothing is started on an old word, nor
-    // for a job that was cancelled in the meantime.
-    if (job.commands.some((command) => command.op === 'start' && !this.mayStart(command)))
-      return { batch: job, fencingToken, outcome: 'refused', heartbeat: null };
-    const at = this.clientOf(job.endpoint);
-    at.busy += 1;
-    const outcome = await at.client.request(
-      'POST',
-      WORKER_PATHS.commands,
-      encodeCommands(fencingToken, job.commands, job.agentEpoch),
-      LIMIT_MS,
-    );
-    at.busy -= 1;
-    if (outcome.kind === 'unsent') return { batch: job, fencingToken, outcome: 'refused', heartbeat: null };
-    if (outcome.kind === 'unknown') return { batch: job, fencingToken, outcome: 'unknown', heartbeat: null };
-    const r = parseHeartbeat(outcome.body);
-    const heartbeat = r.ok ? r.value : null;
-    if (outcome.status === 200) return { batch: job, fencingToken, outcome: 'executed', heartbeat };
-    if (outcome.status === 409 || outcome.status === 400)
-      return { batch: job, fencingToken, outcome: 'refused', heartbeat };
-    return { batch: job, fencingToken, outcome: 'unknown', heartbeat: null };
+  private async request(batch: CommandBatch): Promise<CommandResult> {
+    const fencingToken = this.currentFencingToken();
+    // The batch may have waited behind a slow one, or the process stood still meanwhile: nothing is started on a
+    // leadership confirmed too long ago, nor for a job that was cancelled in the meantime.
+    if (batch.commands.some((command) => command.op === 'start' && !this.mayStart(command)))
+      return { batch, fencingToken, outcome: 'refused', heartbeat: null };
+    const response = await this.connections.post(batch.endpoint, {
+      path: WORKER_PATHS.commands,
+      body: encodeCommands(fencingToken, batch.commands, batch.agentEpoch),
+      timeoutMs: REQUEST_TIMEOUT_MS,
+    });
+    return resultOf(batch, fencingToken, response);
   }
 }
