--- a/measure/load.ts
+++ b/measure/load.ts
@@ -138,8 +138,8 @@
     const line = this.log
       .join('')
       .split('\n')
-      .find((each) => each.includes('first 20 s of the term'));
-    return line === undefined ? null : JSON.stringify((JSON.parse(line) as { ms: unknown }).ms);
+      .find((each) => each.includes('term startup profile'));
+    return line === undefined ? null : JSON.stringify((JSON.parse(line) as { stepMs: unknown }).stepMs);
   }
 
   /** What it spent since the last look, as a share of a core. */
--- a/src/edge/leadership/commit-loop.ts
+++ b/src/edge/leadership/commit-loop.ts
@@ -1,53 +1,51 @@
-import { interval, type Subscription } from 'rxjs';
-import type { JobStatus } from '../../core/model/job.js';
+/**
+ * @file The loop that commits the leader's transactions to the state store, one at a time. It owns the transaction in
+ * flight: it repeats it until its result is known, and must never begin another one before.
+ */
+import type { Subscription } from 'rxjs';
 import { operationCount, type Transaction } from '../../core/persistence/transactions.js';
-import { jobKey, pageKey, leaderKey, jobSummaryOf, encodeJob, encodePage } from '../../wire/records.js';
 import { currentTime } from '../runtime/clock.js';
 import { jittered } from '../runtime/jitter.js';
-import type { LeaderKey } from './leader-key.js';
-import { RateLimiter } from '../runtime/rate-limiter.js';
-import type { CompareCondition, WriteOperation } from '../state-store/state-store.js';
 import { isAborted, sleep, supervise } from '../runtime/supervised-task.js';
-import type { TermContext } from './term-context.js';
 import { WakeSignal } from '../runtime/wake-signal.js';
+import type { CommitResult } from '../state-store/state-store.js';
+import { resolveConflict } from './conflict-resolution.js';
+import { FencingTokenAdvancer } from './fencing-token-advancer.js';
+import type { LeaderKey } from './leader-key.js';
+import type { TermContext } from './term-context.js';
+import { encodeConditions, encodeWrites } from './transaction-encoding.js';
+import { WriteBudget } from './write-budget.js';
 
-/**
- * The owner's share of the changes that the state service takes. Users' submissions and cancellations go first: what
- * they were seen to take is left free, but never so much that nothing is placed any more.
- */
-const MOST_SHARE = 0.8;
-const LEAST_SHARE = 0.5;
-const ALL_SHARE = 0.95;
+/** How often the core is asked for a transaction without being woken: delays that it keeps pass without an event. */
+const IDLE_INTERVAL_MS = 500;
+const FIRST_RETRY_DELAY_MS = 100;
+const MAX_RETRY_DELAY_MS = 1500;
+const CONFLICT_SYNC_TIMEOUT_MS = 2000;
+
+/** How the state store refuses a transaction for too many requests or writes. */
+const RATE_LIMITED = 'status 429';
 
-/** How the state service says that there were too many requests or changes. */
-const TOO_MANY = 'status 429';
+type Conflict = Extract<CommitResult, { kind: 'conflict' }>;
 
-/** Carries the owner's transactions to the state service, one at a time, within its share of the changes. */
+/** Commits the core's transactions within the leader's share of the state store's write rate. */
 export class CommitLoop {
   private readonly wakeSignal = new WakeSignal();
-  private readonly budget: RateLimiter;
-  /** Changes a second that the state service takes: fewer once it has said so. */
-  private writeRps: number;
-  private usersChanges = 0;
-  private usersRate = 0;
-  private raise: string | null = null;
+  private readonly budget: WriteBudget;
+  private readonly tokenAdvancer: FencingTokenAdvancer;
 
   constructor(
     private readonly term: TermContext,
     private readonly key: LeaderKey,
   ) {
-    const { config, maxWritesPerSecond: writeRps } = term.dependencies;
-    this.writeRps = writeRps;
-    this.budget = new RateLimiter(
-      writeRps * MOST_SHARE,
-      Math.max(config.maxTransactionOperations, writeRps * 0.5),
-    );
+    const { config, maxWritesPerSecond } = term.dependencies;
+    this.budget = new WriteBudget(maxWritesPerSecond, config.maxTransactionOperations);
+    this.tokenAdvancer = new FencingTokenAdvancer(term, key);
   }
 
   /** Runs until unsubscribed. */
   start(): Subscription {
-    const routines = supervise('commits', this.term.dependencies.logger, (signal) => this.commits(signal));
-    routines.add(interval(1000).subscribe(() => this.share()));
+    const routines = supervise('commit loop', this.term.dependencies.logger, (signal) => this.run(signal));
+    routines.add(this.budget.start());
     return routines;
   }
 
@@ -56,153 +54,85 @@
     this.wakeSignal.wake();
   }
 
-  /** Has the token raised before the next transaction. */
+  /** Has the fencing token advanced before the next transaction. */
   requestTokenAdvance(reason: string): void {
-    this.raise = reason;
+    this.tokenAdvancer.request(reason);
     this.wake();
   }
 
-  /** A submission or cancellation of a user's was seen: such changes go first. */
+  /** A submission or cancellation by a user was seen: such writes go before the leader's. */
   recordUserWrite(): void {
-    this.usersChanges += 1;
+    this.budget.recordUserWrite();
   }
 
-  /** Sets what the owner may write by what users' changes took lately. */
-  private share(): void {
-    this.usersRate = this.usersRate * 0.5 + this.usersChanges * 0.5;
-    this.usersChanges = 0;
-    const all = this.writeRps;
-    const left = all * ALL_SHARE - this.usersRate * 1.25;
-    this.budget.perSecond = Math.min(all * MOST_SHARE, Math.max(all * LEAST_SHARE, left));
-  }
-
-  private async commits(signal: AbortSignal): Promise<void> {
+  private async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      await this.wakeSignal.wait(500, signal);
+      await this.wakeSignal.wait(IDLE_INTERVAL_MS, signal);
       if (isAborted(signal)) return;
-      if (this.raise !== null) await this.raiseToken(signal);
+      await this.tokenAdvancer.advanceIfRequested(signal);
       const transaction = this.term.scheduler.nextTransaction(currentTime());
       if (transaction === null) continue;
-      const wait = this.budget.take(operationCount(transaction));
-      if (wait > 0) await sleep(wait, signal);
+      const waitMs = this.budget.take(operationCount(transaction));
+      if (waitMs > 0) await sleep(waitMs, signal);
       if (isAborted(signal)) return;
       await this.commit(transaction, signal);
       this.wake();
     }
   }
 
-  /** More changes than it takes: from now on it takes what was announced, if that is less. */
-  private heedRefusal(reason: string): void {
-    const next = this.term.dependencies.announcedMaxWritesPerSecond;
-    if (reason !== TOO_MANY || next >= this.writeRps) return;
-    this.writeRps = next;
-    this.share();
-  }
-
-  private async raiseToken(signal: AbortSignal): Promise<void> {
-    this.term.dependencies.logger.info({ why: this.raise }, 'raising the token');
-    this.raise = null;
-    const result = await this.term.dependencies.stateStore.commit(
-      [this.key.condition()],
-      [
-        {
-          write: leaderKey(this.term.dependencies.partition),
-          value: this.term.dependencies.leaderRecord,
-          permit: this.term.leaseId,
-        },
-      ],
-    );
-    if (isAborted(signal)) return;
-    if (result.kind === 'committed')
-      this.term.dispatch({ kind: 'token-advanced', fencingToken: result.revision });
-    else if (result.kind === 'conflict' && !(await this.key.stillLeader()))
-      this.term.end('the part has changed hands');
-  }
-
-  /** Sends a transaction until its fate is known. Its guards make repeats harmless. */
+  /** Sends a transaction until its result is known. Its compare conditions make it idempotent. */
   private async commit(transaction: Transaction, signal: AbortSignal): Promise<void> {
-    const { stateStore } = this.term.dependencies;
-    const guards: CompareCondition[] = [
-      { key: leaderKey(this.term.dependencies.partition), modRevision: transaction.fencingToken },
-    ];
-    const writes: WriteOperation[] = [];
-    for (const [id, modRevision] of transaction.jobConditions) guards.push({ key: jobKey(id), modRevision });
-    for (const page of transaction.pages) {
-      const key = pageKey(this.term.dependencies.partition, page.id);
-      guards.push({ key, modRevision: page.modRevision });
-      writes.push({ write: key, value: encodePage(page.entries, this.term.dependencies.config.zones) });
-    }
-    for (const id of transaction.completedJobs) writes.push(...this.endOf(id, 'done'));
-    for (const id of transaction.cancelledJobs) writes.push(...this.endOf(id, 'cancelled'));
-    let doubtful = false;
-    for (let n = 0; !signal.aborted; n++) {
-      const result = await stateStore.commit(guards, writes);
+    const { stateStore, logger, partition, config } = this.term.dependencies;
+    const leadership = this.key.condition(transaction.fencingToken);
+    const conditions = encodeConditions(transaction, leadership, partition);
+    const writes = encodeWrites(transaction, this.term.scheduler.state.jobs, partition, config.zones);
+    let earlierAttemptUnknown = false;
+    for (let retries = 0; !signal.aborted; retries++) {
+      const result = await stateStore.commit(conditions, writes);
       if (isAborted(signal)) return;
-      if (result.kind === 'committed')
-        return this.term.dispatch({
-          kind: 'transaction-committed',
-          transaction,
-          modRevision: result.revision,
-        });
-      if (result.kind === 'conflict') return this.onConflict(transaction, result, doubtful, signal);
-      if (result.kind === 'unknown') doubtful = true;
-      else this.heedRefusal(result.reason);
-      this.term.dependencies.logger.debug({ why: result.reason, n }, 'transaction not settled yet');
-      await sleep(jittered(Math.min(100 * 2 ** n, 1500)), signal);
+      if (result.kind === 'committed') return this.onCommitted(transaction, result.revision);
+      if (result.kind === 'conflict')
+        return this.onConflict(transaction, result, earlierAttemptUnknown, signal);
+      if (result.kind === 'unknown') earlierAttemptUnknown = true;
+      else this.onRefused(result.reason);
+      logger.debug({ reason: result.reason, retries }, 'transaction retry');
+      const delayMs = Math.min(FIRST_RETRY_DELAY_MS * 2 ** retries, MAX_RETRY_DELAY_MS);
+      await sleep(jittered(delayMs), signal);
     }
   }
 
-  /** The record of a job that is over; none if the job is not known any more. */
-  private endOf(id: string, status: 'done' | 'cancelled'): WriteOperation[] {
-    const job = this.term.scheduler.state.jobs.byId.get(id);
-    if (job === undefined) return [];
-    const { spec, submittedAt: submitted } = job;
-    return [{ write: jobKey(id), value: encodeJob({ spec, submittedAt: submitted, status }) }];
+  private onCommitted(transaction: Transaction, modRevision: number): void {
+    this.term.dispatch({ kind: 'transaction-committed', transaction, modRevision });
   }
 
-  /** How a job stands by the followed copy; null if it is not there. */
-  private standingOf(id: string): JobStatus | null {
-    const entry = this.term.dependencies.stateStore.replica.get(jobKey(id));
-    return entry === undefined ? null : jobSummaryOf(entry.value).status;
+  /** Refused for too many writes: from now on the state store takes what it announced, if that is less. */
+  private onRefused(reason: string): void {
+    if (reason === RATE_LIMITED)
+      this.budget.lowerMaxWrites(this.term.dependencies.announcedMaxWritesPerSecond);
   }
 
   private async onConflict(
     transaction: Transaction,
-    conflict: { readonly failedKeys: readonly string[]; readonly revision: number },
-    doubtful: boolean,
+    { failedKeys, revision }: Conflict,
+    earlierAttemptUnknown: boolean,
     signal: AbortSignal,
   ): Promise<void> {
-    const { stateStore } = this.term.dependencies;
-    const { failedKeys: failed } = conflict;
-    // What the conflict means can only be read from a copy that holds it: an older one still shows the stamps that the
-    // transaction was guarded by, and taking those for what it left behind would fail every later write of the page.
-    while (!(await stateStore.waitForRevision(conflict.revision, 2000))) if (isAborted(signal)) return;
-    if (!(await this.key.stillLeader())) return this.term.end('the part has changed hands');
-    const moved = transaction.pages.find((page) =>
-      failed.includes(pageKey(this.term.dependencies.partition, page.id)),
-    );
-    // Pages have one writer: a page that moved on was moved by an earlier copy of this very transaction.
-    if (moved !== undefined) {
-      const entry = stateStore.replica.get(pageKey(this.term.dependencies.partition, moved.id));
-      if (doubtful && entry !== undefined)
-        return this.term.dispatch({
-          kind: 'transaction-committed',
-          transaction,
-          modRevision: entry.modRevision,
-        });
-      return this.term.end('a page was written by somebody else');
-    }
-    if (doubtful && transaction.pages.length === 0) {
-      const carriedOut =
-        transaction.completedJobs.every((id) => this.standingOf(id) === 'done') &&
-        transaction.cancelledJobs.every((id) => this.standingOf(id) === 'cancelled');
-      if (carriedOut)
-        return this.term.dispatch({
-          kind: 'transaction-committed',
-          transaction,
-          modRevision: stateStore.revision,
-        });
+    const { stateStore, logger, partition } = this.term.dependencies;
+    // What the conflict means can only be read from a replica that holds it: an older one still shows the mod revisions
+    // that the transaction was conditioned on, and taking those for what it left behind would fail every later write
+    // of the page.
+    while (!(await stateStore.waitForRevision(revision, CONFLICT_SYNC_TIMEOUT_MS)))
+      if (isAborted(signal)) return;
+    if (await this.key.endTermIfLost()) return;
+    const conflict = { transaction, failedKeys, earlierAttemptUnknown };
+    const resolution = resolveConflict(conflict, stateStore, partition);
+    switch (resolution.kind) {
+      case 'already-committed':
+        return this.onCommitted(transaction, resolution.modRevision);
+      case 'foreign-page-write':
+        return this.term.end({ kind: 'foreign-page-write' });
+      case 'rejected':
+        logger.info({ failedKeys }, 'transaction rejected by compare conditions');
     }
-    this.term.dependencies.logger.info({ failed }, 'transaction refused by its guards; planned anew');
   }
 }
--- /dev/null
+++ b/src/edge/leadership/fencing-token-advancer.ts
@@ -0,0 +1,35 @@
+/**
+ * @file Advances the fencing token within a term, on request of the core. It owns the pending request; it runs inside
+ * the commit loop, so that no transaction is in flight under the token that is replaced.
+ */
+import { isAborted } from '../runtime/supervised-task.js';
+import type { LeaderKey } from './leader-key.js';
+import type { TermContext } from './term-context.js';
+
+/** Advances the fencing token by writing the leader key again. */
+export class FencingTokenAdvancer {
+  private requestedFor: string | null = null;
+
+  constructor(
+    private readonly term: TermContext,
+    private readonly key: LeaderKey,
+  ) {}
+
+  /** Has the token advanced before the next transaction. */
+  request(reason: string): void {
+    this.requestedFor = reason;
+  }
+
+  /** Makes one attempt if an advance was requested; the core requests another one if the attempt fails. */
+  async advanceIfRequested(signal: AbortSignal): Promise<void> {
+    if (this.requestedFor === null) return;
+    const { logger, stateStore } = this.term.dependencies;
+    logger.info({ reason: this.requestedFor }, 'fencing token advance started');
+    this.requestedFor = null;
+    const result = await stateStore.commit([this.key.condition()], [this.key.rewrite()]);
+    if (isAborted(signal)) return;
+    if (result.kind === 'committed')
+      this.term.dispatch({ kind: 'token-advanced', fencingToken: result.revision });
+    else if (result.kind === 'conflict') await this.key.endTermIfLost();
+  }
+}
--- a/src/edge/leadership/leader-election.ts
+++ b/src/edge/leadership/leader-election.ts
@@ -1,132 +1,158 @@
+/**
+ * @file The election: claims the leader key when it is free, and begins a term with it. It owns the current term of
+ * this process; it must never begin one while another of its own goes on.
+ */
 import type { Subscription } from 'rxjs';
+import type { ClusterConfig } from '../../core/model/cluster-config.js';
 import { toSeconds } from '../../core/model/time.js';
 import { leaderKey, decodeLeader, type LeaderRecord } from '../../wire/records.js';
 import { monotonicNow } from '../runtime/clock.js';
 import { WakeSignal } from '../runtime/wake-signal.js';
 import { isAborted, supervise, errorMessage } from '../runtime/supervised-task.js';
 import { jittered } from '../runtime/jitter.js';
+import type { ReplicaEntry } from '../state-store/state-store.js';
 import { LeaderTerm } from './leader-term.js';
-import type { TermDependencies } from './term-context.js';
+import type { LeadershipGrant, TermDependencies } from './term-context.js';
 
-/** What a controller needs to take a part. */
+const ATTEMPT_INTERVAL_MS = 700;
+const CLAIM_SYNC_TIMEOUT_MS = 5000;
+/** After stepping down this process claims nothing for so long (in nanoseconds): others are to become the leader. */
+const STEP_DOWN_PAUSE_NS = 15_000_000_000n;
+const LEADER_WATCH_INTERVAL_MS = 100;
+const FOLLOWER_WATCH_INTERVAL_MS = 250;
+const MIN_LEASE_S = 2.5;
+const MAX_LEASE_S = 5;
+const RENEWALS_PER_LEASE = 4;
+
+/** What a controller needs to become the leader. */
 export interface LeaderElectionDependencies extends Omit<
   TermDependencies,
   'leaderRecord' | 'onEnd' | 'onStepDown'
 > {
   readonly label: string;
-  /** Names this process, among all that ever had the label. */
+  /** Identifies this process among all that ever had the label. */
   readonly incarnation: string;
 }
 
-/** Takes a part when it is free, and says who has it. */
+/** Short enough for a failover well before a worker's lease expires, long enough to outlast a slow moment. */
+const leadershipLeaseMs = (config: ClusterConfig): number =>
+  Math.round(Math.min(MAX_LEASE_S, Math.max(MIN_LEASE_S, toSeconds(config.workerLease) / 4)) * 1000);
+
+/** Becomes the leader when there is none, and knows who the leader is. */
 export class LeaderElection {
-  private current: LeaderTerm | null = null;
-  private readonly wake = new WakeSignal();
-  private restsUntil = 0n;
+  private term: LeaderTerm | null = null;
+  private readonly wakeSignal = new WakeSignal();
+  private pausedUntil = 0n;
   private readonly record: LeaderRecord;
+  private readonly key: string;
 
   constructor(private readonly dependencies: LeaderElectionDependencies) {
-    const { label, incarnation } = dependencies;
+    const { label, incarnation, partition } = dependencies;
     this.record = { label, incarnation };
+    this.key = leaderKey(partition);
   }
 
+  /** This process's term as leader; null while it is a follower. */
   get currentTerm(): LeaderTerm | null {
-    return this.current;
+    return this.term;
   }
 
-  /** The label of the part's present owner, as far as the followed copy knows. */
+  /** The label of the present leader, as far as the replica shows it. */
   leaderLabel(): string | null {
-    const entry = this.dependencies.stateStore.replica.get(leaderKey(this.dependencies.partition));
+    const entry = this.dependencies.stateStore.replica.get(this.key);
     return entry === undefined ? null : decodeLeader(entry.value).label;
   }
 
+  /** Takes part in the election until unsubscribed, which also ends a term. */
   start(): Subscription {
-    const routines = supervise('ownership', this.dependencies.logger, (signal) => this.run(signal));
+    const { stateStore, logger } = this.dependencies;
+    const routines = supervise('leader election', logger, (signal) => this.run(signal));
     routines.add(
-      this.dependencies.stateStore.changes.subscribe((change) => {
-        if (change.key === leaderKey(this.dependencies.partition) && change.entry === null) this.wake.wake();
+      stateStore.changes.subscribe((change) => {
+        if (change.key === this.key && change.entry === null) this.wakeSignal.wake();
       }),
     );
-    routines.add(() => this.current?.end('stopping'));
+    routines.add(() => this.term?.end({ kind: 'shutdown' }));
     return routines;
   }
 
   private async run(signal: AbortSignal): Promise<void> {
+    const { stateStore, logger } = this.dependencies;
     while (!signal.aborted) {
-      if (this.current === null && this.dependencies.stateStore.loaded && monotonicNow() >= this.restsUntil) {
+      if (this.term === null && stateStore.loaded && monotonicNow() >= this.pausedUntil) {
         try {
           await this.attempt(signal);
         } catch (e) {
-          this.dependencies.logger.warn({ error: errorMessage(e) }, 'taking the part failed');
+          logger.warn({ error: errorMessage(e) }, 'leader election attempt failed');
         }
       }
-      await this.wake.wait(jittered(700), signal);
+      await this.wakeSignal.wait(jittered(ATTEMPT_INTERVAL_MS), signal);
     }
   }
 
   private async attempt(signal: AbortSignal): Promise<void> {
-    const key = leaderKey(this.dependencies.partition);
-    const known = this.dependencies.stateStore.replica.get(key);
-    if (known !== undefined) {
-      const holder = decodeLeader(known.value);
-      // An earlier process under our own label has surely ended: there is one process per label at a time.
-      if (holder.label !== this.record.label) return;
-      if (holder.incarnation === this.record.incarnation) return;
-    }
-    const ttlMs = this.leaseMs();
-    const lease = await this.dependencies.stateStore.grantLease(ttlMs);
-    if (lease === null || signal.aborted) return;
-    const sent = monotonicNow();
-    const result = await this.dependencies.stateStore.commit(
-      [{ key, modRevision: known?.modRevision ?? 0 }],
-      [{ write: key, value: this.record, permit: lease }],
+    const { stateStore, config } = this.dependencies;
+    const known = stateStore.replica.get(this.key);
+    if (!this.mayClaim(known)) return;
+    const ttlMs = leadershipLeaseMs(config);
+    const leaseId = await stateStore.grantLease(ttlMs);
+    if (leaseId === null || signal.aborted) return;
+    const claimedAt = monotonicNow();
+    const fencingToken = await this.claim(known, leaseId, signal);
+    if (fencingToken === null) return;
+    this.beginTerm({ fencingToken, claimedAt, leaseId, renewIntervalMs: ttlMs / RENEWALS_PER_LEASE });
+  }
+
+  private mayClaim(known: ReplicaEntry | undefined): boolean {
+    if (known === undefined) return true;
+    const leader = decodeLeader(known.value);
+    // An earlier process under this label has surely ended: there is one process per label at a time.
+    return leader.label === this.record.label && leader.incarnation !== this.record.incarnation;
+  }
+
+  /** Writes the leader key on condition that it is as known; returns its mod revision, or null without a leadership. */
+  private async claim(
+    known: ReplicaEntry | undefined,
+    leaseId: number,
+    signal: AbortSignal,
+  ): Promise<number | null> {
+    const { stateStore } = this.dependencies;
+    const result = await stateStore.commit(
+      [{ key: this.key, modRevision: known?.modRevision ?? 0 }],
+      [{ write: this.key, value: this.record, permit: leaseId }],
     );
-    // Stopped meanwhile: nobody would end a term that begins now. The lease runs out by itself.
-    if (isAborted(signal)) return;
-    if (result.kind !== 'committed') {
-      // Whatever became of it, the key must not stay with a lease that nobody renews.
-      await this.dependencies.stateStore.revokeLease(lease);
-      return;
-    }
-    if (!(await this.dependencies.stateStore.waitForRevision(result.revision, 5000))) {
-      await this.dependencies.stateStore.revokeLease(lease);
-      return;
+    // Stopped meanwhile: nobody would end a term that begins now. The lease expires by itself.
+    if (isAborted(signal)) return null;
+    if (
+      result.kind !== 'committed' ||
+      !(await stateStore.waitForRevision(result.revision, CLAIM_SYNC_TIMEOUT_MS))
+    ) {
+      // Whatever the result of the claim, the key must not stay with a lease that nobody renews.
+      await stateStore.revokeLease(leaseId);
+      return null;
     }
-    if (isAborted(signal)) return;
-    this.begin(result.revision, sent, lease, ttlMs);
+    return isAborted(signal) ? null : result.revision;
   }
 
-  private begin(fencingToken: number, claimed: bigint, lease: number, ttlMs: number): void {
+  private beginTerm(grant: LeadershipGrant): void {
+    const { stateStore } = this.dependencies;
     const term = new LeaderTerm(
       {
         ...this.dependencies,
         leaderRecord: this.record,
         onStepDown: () => {
-          this.restsUntil = monotonicNow() + REST;
+          this.pausedUntil = monotonicNow() + STEP_DOWN_PAUSE_NS;
         },
         onEnd: () => {
-          if (this.current === term) this.current = null;
-          this.dependencies.stateStore.watchIntervalMs = FOLLOWER_GAP_MS;
-          this.wake.wake();
+          if (this.term === term) this.term = null;
+          stateStore.watchIntervalMs = FOLLOWER_WATCH_INTERVAL_MS;
+          this.wakeSignal.wake();
         },
       },
-      fencingToken,
-      claimed,
-      lease,
-      ttlMs / 4,
+      grant,
     );
-    this.current = term;
-    this.dependencies.stateStore.watchIntervalMs = OWNER_GAP_MS;
+    this.term = term;
+    stateStore.watchIntervalMs = LEADER_WATCH_INTERVAL_MS;
     term.start();
   }
-
-  /** Short enough for a takeover well before a worker's lease ends, long enough for a slow moment. */
-  private leaseMs(): number {
-    return Math.round(Math.min(5, Math.max(2.5, toSeconds(this.dependencies.config.workerLease) / 4)) * 1000);
-  }
 }
-
-/** After giving the part up, others have this long to take it. */
-const REST = 15_000_000_000n;
-const OWNER_GAP_MS = 100;
-const FOLLOWER_GAP_MS = 250;
--- a/src/edge/leadership/leader-key.ts
+++ b/src/edge/leadership/leader-key.ts
@@ -1,28 +1,49 @@
+/**
+ * @file The leader key in the state store: whoever wrote it last is the leader, and its mod revision is the fencing
+ * token. It owns no state; the claim itself is made by the election.
+ */
 import { leaderKey, type LeaderRecord } from '../../wire/records.js';
-import type { CompareCondition } from '../state-store/state-store.js';
+import type { CompareCondition, ReplicaEntry, WriteOperation } from '../state-store/state-store.js';
 import type { TermContext } from './term-context.js';
 
-/** The key in the state service that makes this process the owner of the part. */
+const SYNC_TIMEOUT_MS = 2000;
+
+/** The leader key of the term's partition, as the term that holds it sees it. */
 export class LeaderKey {
   constructor(private readonly term: TermContext) {}
 
-  /** Has a transaction carried out only while we are the owner. */
-  condition(): CompareCondition {
-    return {
-      key: leaderKey(this.term.dependencies.partition),
-      modRevision: this.term.scheduler.state.term.fencingToken,
-    };
+  /** Lets a transaction commit only while this process is the leader, under the given fencing token. */
+  condition(fencingToken: number = this.term.scheduler.state.term.fencingToken): CompareCondition {
+    return { key: leaderKey(this.term.dependencies.partition), modRevision: fencingToken };
+  }
+
+  /** Writes the key again with its own value: its mod revision, the fencing token, advances. */
+  rewrite(): WriteOperation {
+    const { partition, leaderRecord } = this.term.dependencies;
+    return { write: leaderKey(partition), value: leaderRecord, permit: this.term.leaseId };
+  }
+
+  /** Whether an entry of the key was written by this process. */
+  isOwn(entry: ReplicaEntry): boolean {
+    const { incarnation } = this.term.dependencies.leaderRecord;
+    return (entry.value as LeaderRecord).incarnation === incarnation;
+  }
+
+  /**
+   * After a conflict on the key: either an advance of the fencing token by this process has just been committed, or
+   * the leadership is lost, and then the term ends. Returns whether it was lost.
+   */
+  async endTermIfLost(): Promise<boolean> {
+    if (await this.isStillLeader()) return false;
+    this.term.end({ kind: 'leader-key-conflict' });
+    return true;
   }
 
-  /** After a conflict on our own key: our own raise may just have been carried out, or the term is over. */
-  async stillLeader(): Promise<boolean> {
-    if (!(await this.term.dependencies.stateStore.syncReplica(2000))) return true;
-    const entry = this.term.dependencies.stateStore.replica.get(leaderKey(this.term.dependencies.partition));
-    if (
-      entry === undefined ||
-      (entry.value as LeaderRecord).incarnation !== this.term.dependencies.leaderRecord.incarnation
-    )
-      return false;
+  private async isStillLeader(): Promise<boolean> {
+    const { stateStore, partition } = this.term.dependencies;
+    if (!(await stateStore.syncReplica(SYNC_TIMEOUT_MS))) return true;
+    const entry = stateStore.replica.get(leaderKey(partition));
+    if (entry === undefined || !this.isOwn(entry)) return false;
     if (entry.modRevision > this.term.scheduler.state.term.fencingToken)
       this.term.dispatch({ kind: 'token-advanced', fencingToken: entry.modRevision });
     return true;
--- a/src/edge/leadership/leader-term.ts
+++ b/src/edge/leadership/leader-term.ts
@@ -1,300 +1,196 @@
+/**
+ * @file One term of this process as leader: its lifecycle and the wiring of its routines. It owns the core, and every
+ * routine through one subscription that ends with the term; after the end no event reaches the core any more.
+ */
 import { setMaxListeners } from 'node:events';
 import { Subscription, interval } from 'rxjs';
-import { isOverloaded } from '../../core/state/overload.js';
-import type { Effect } from '../../core/model/effects.js';
-import type { HeartbeatAnswer } from '../../core/model/worker-command.js';
-import type { ScaleOutRequest } from '../../core/model/scale-out.js';
-import type { Heartbeat } from '../../core/model/heartbeat.js';
 import { ClusterScheduler, type Event } from '../../core/cluster-scheduler.js';
+import type { Heartbeat } from '../../core/model/heartbeat.js';
+import type { HeartbeatAnswer, WorkerCommand } from '../../core/model/worker-command.js';
 import {
   mayAcknowledgeHeartbeats,
   mayStartTasks,
   previousLeadersDeadlineFrom,
 } from '../../core/state/leadership-timing.js';
-import {
-  FinishedJobSummary,
-  parseKey,
-  decodeJob,
-  zoneRecordKey,
-  type LeaderRecord,
-} from '../../wire/records.js';
-import { currentTime, monotonicNow } from '../runtime/clock.js';
+import { isOverloaded } from '../../core/state/overload.js';
 import { CloudPoller } from '../cloud/cloud-poller.js';
+import { currentTime, monotonicNow } from '../runtime/clock.js';
+import { isAborted } from '../runtime/supervised-task.js';
+import { WorkerCommandSender } from '../workers/worker-command-sender.js';
 import { CommitLoop } from './commit-loop.js';
+import { EffectExecutor } from './effect-executor.js';
 import { LeaderKey } from './leader-key.js';
 import { LeadershipLease } from './leadership-lease.js';
-import type { KeyChange, ReplicaEntry } from '../state-store/state-store.js';
-import type { TermContext, TermDependencies } from './term-context.js';
+import { loadFromReplica } from './replica-loader.js';
+import { ReplicaWatcher } from './replica-watcher.js';
+import type { LeadershipGrant, TermContext, TermDependencies } from './term-context.js';
+import { termEndLogFields, type TermEndReason } from './term-end-reason.js';
 import { TermStartupProfile, stepOf } from './term-startup-profile.js';
-import { WorkerCommandSender } from '../workers/worker-command-sender.js';
 import { ZoneRecordWriter } from './zone-record-writer.js';
 
-const TICK_MS = 100;
+const TICK_INTERVAL_MS = 100;
+const TICK_INTERVAL_NS = BigInt(TICK_INTERVAL_MS) * 1_000_000n;
+
+/** The core of a new term. */
+function newScheduler(
+  { config, settings, newZonePolicy }: TermDependencies,
+  { fencingToken, claimedAt }: LeadershipGrant,
+  startedAt: bigint,
+): ClusterScheduler {
+  const previousLeadersDeadline = previousLeadersDeadlineFrom(config, startedAt);
+  const term = { fencingToken, startedAt, confirmedAt: claimedAt, previousLeadersDeadline };
+  return new ClusterScheduler(config, settings, term, newZonePolicy?.() ?? null);
+}
 
-/**
- * One term as the owner of a part: the core with the sockets and timers round it. All of its routines hang on one
- * subscription, which ends with the term.
- */
+/** One term as the leader of a partition: the core with its sockets and timers. */
 export class LeaderTerm {
   private readonly scheduler: ClusterScheduler;
-  private readonly routines = new Subscription();
-  private readonly workers: WorkerCommandSender;
-  private readonly commits: CommitLoop;
-  private readonly contact: LeadershipLease;
-  private readonly polling: CloudPoller;
+  private readonly context: TermContext;
+  private readonly commandSender: WorkerCommandSender;
+  private readonly commitLoop: CommitLoop;
+  private readonly zoneRecordWriter: ZoneRecordWriter;
+  private readonly lease: LeadershipLease;
+  private readonly cloudPoller: CloudPoller;
+  private readonly replicaWatcher: ReplicaWatcher;
+  private readonly effectExecutor: EffectExecutor;
   private readonly profile: TermStartupProfile;
-  private readonly zones: ZoneRecordWriter;
-  private rentals = 0;
-  private over = false;
-  private tickedAt = monotonicNow();
-  private readonly stop = new AbortController();
+  private readonly routines = new Subscription();
+  private readonly termination = new AbortController();
+  private lastTickAt = monotonicNow();
 
   constructor(
     private readonly dependencies: TermDependencies,
-    fencingToken: number,
-    /** When the claim was sent that made us the owner: the first moment at which the state service surely knew us. */
-    claimed: bigint,
-    private readonly lease: number,
-    renewMs: number,
+    grant: LeadershipGrant,
   ) {
-    // Rentals and returns under way each listen for the end of the term; there is no fixed number of them.
-    setMaxListeners(0, this.stop.signal);
-    const t = currentTime();
-    const term = {
-      fencingToken,
-      startedAt: t.monotonic,
-      confirmedAt: claimed,
-      previousLeadersDeadline: previousLeadersDeadlineFrom(dependencies.config, t.monotonic),
-    };
-    const zonePolicy = dependencies.newZonePolicy?.() ?? null;
-    this.scheduler = new ClusterScheduler(dependencies.config, dependencies.settings, term, zonePolicy);
-    this.profile = new TermStartupProfile(t.monotonic, dependencies.logger);
-    const context: TermContext = {
-      dependencies,
-      scheduler: this.scheduler,
-      leaseId: lease,
-      renewIntervalMs: renewMs,
-      dispatch: (event) => this.event(event),
-      end: (reason) => this.end(reason),
-    };
-    const key = new LeaderKey(context);
-    this.commits = new CommitLoop(context, key);
-    this.contact = new LeadershipLease(context, key);
-    this.polling = new CloudPoller(context);
-    this.zones = new ZoneRecordWriter(context, key);
-    this.workers = new WorkerCommandSender(
-      dependencies.maxWorkerConnections,
-      () => this.scheduler.state.term.fencingToken,
-      (command) =>
-        mayStartTasks(this.scheduler.state.term.confirmedAt, monotonicNow()) &&
-        this.scheduler.state.jobs.byId.get(command.jobId)?.status === 'open',
-      (result) =>
-        this.event({
-          kind: 'commands-answered',
-          machineName: result.batch.machineName,
-          agentEpoch: result.batch.agentEpoch,
-          fencingToken: result.fencingToken,
-          commands: result.batch.commands,
-          outcome: result.outcome,
-          heartbeat: result.heartbeat,
-        }),
-    );
+    // Each scaling request in flight listens for the end of the term; there is no fixed number of them.
+    setMaxListeners(0, this.termination.signal);
+    const startedAt = currentTime().monotonic;
+    this.scheduler = newScheduler(dependencies, grant, startedAt);
+    this.profile = new TermStartupProfile(startedAt, dependencies.logger);
+    this.context = this.newContext(grant);
+    const key = new LeaderKey(this.context);
+    this.commandSender = this.newCommandSender();
+    this.commitLoop = new CommitLoop(this.context, key);
+    this.zoneRecordWriter = new ZoneRecordWriter(this.context, key);
+    this.lease = new LeadershipLease(this.context, key);
+    this.cloudPoller = new CloudPoller(this.context);
+    this.replicaWatcher = new ReplicaWatcher(this.context, key, () => this.commitLoop.recordUserWrite());
+    const { commandSender, commitLoop, zoneRecordWriter } = this;
+    const targets = { commandSender, commitLoop, zoneRecordWriter };
+    this.effectExecutor = new EffectExecutor(this.context, targets, this.termination.signal);
   }
 
+  /** The fencing token now in force. */
   get fencingToken(): number {
     return this.scheduler.state.term.fencingToken;
   }
 
-  /** It is late with what workers ask. */
+  /** The event loop lags so much that heartbeats would be acknowledged too late. */
   get overloaded(): boolean {
     return isOverloaded(this.scheduler.state.term);
   }
 
+  /** Loads the core and starts all routines. */
   start(): void {
-    const { stateStore } = this.dependencies;
-    this.load();
-    this.routines.add(this.workers.start());
-    this.routines.add(() => this.stop.abort());
-    this.routines.add(stateStore.changes.subscribe((change) => this.onChange(change)));
-    this.routines.add(interval(TICK_MS).subscribe(() => this.tick()));
-    this.routines.add(this.contact.start());
-    this.routines.add(this.commits.start());
-    this.routines.add(this.polling.start());
-    if (this.scheduler.state.zonePolicy !== null) this.routines.add(this.zones.start());
+    loadFromReplica(this.context);
+    this.routines.add(this.commandSender.start());
+    this.routines.add(this.replicaWatcher.start());
+    this.routines.add(interval(TICK_INTERVAL_MS).subscribe(() => this.tick()));
+    this.routines.add(this.lease.start());
+    this.routines.add(this.commitLoop.start());
+    this.routines.add(this.cloudPoller.start());
+    if (this.scheduler.state.zonePolicy !== null) this.routines.add(this.zoneRecordWriter.start());
   }
 
-  end(reason: string): void {
-    if (this.over) return;
-    this.over = true;
-    this.dependencies.logger.info({ fencingToken: this.fencingToken, why: reason }, 'term over');
+  /** Ends the term; only the first reason counts. */
+  end(reason: TermEndReason): void {
+    if (this.termination.signal.aborted) return;
+    this.termination.abort();
+    const { logger, onEnd } = this.dependencies;
+    logger.info({ fencingToken: this.fencingToken, ...termEndLogFields(reason) }, 'leadership lost');
     this.routines.unsubscribe();
-    this.dependencies.onEnd(reason);
-  }
-
-  private isOver(): boolean {
-    return this.over;
+    onEnd();
   }
 
-  /** The answer to a worker's report, or null if we may no longer answer. */
+  /** Takes in a worker's heartbeat; returns the answer, or null if this process may no longer acknowledge it. */
   onHeartbeat(heartbeat: Heartbeat): HeartbeatAnswer | null {
-    if (
-      this.over ||
-      !mayAcknowledgeHeartbeats(
-        this.dependencies.config,
-        this.scheduler.state.term.confirmedAt,
-        monotonicNow(),
-      )
-    )
-      return null;
-    this.event({ kind: 'heartbeat', heartbeat });
-    if (this.isOver()) return null;
-    const began = currentTime();
-    const commands = this.scheduler.answerHeartbeat(heartbeat, began);
-    if (this.profile.active) this.profile.add('reports', monotonicNow() - began.monotonic);
+    const { signal } = this.termination;
+    if (signal.aborted || !this.mayAcknowledgeHeartbeats()) return null;
+    this.dispatch({ kind: 'heartbeat', heartbeat });
+    // The heartbeat itself may have ended the term, by a higher fencing token.
+    if (isAborted(signal)) return null;
+    const startedAt = currentTime();
+    const commands = this.scheduler.answerHeartbeat(heartbeat, startedAt);
+    if (this.profile.active) this.profile.add('heartbeats', monotonicNow() - startedAt.monotonic);
     return { fencingToken: this.fencingToken, commands };
   }
 
-  private loadJob(id: string, { value, modRevision }: ReplicaEntry): void {
-    // Of a job that has ended and of which nothing is placed only others may want to know.
-    if (value instanceof FinishedJobSummary) this.event({ kind: 'job-finished', id, status: value.status });
-    else this.event({ kind: 'job-changed', id, record: decodeJob(value), modRevision });
+  private newContext({ leaseId, renewIntervalMs }: LeadershipGrant): TermContext {
+    return {
+      dependencies: this.dependencies,
+      scheduler: this.scheduler,
+      leaseId,
+      renewIntervalMs,
+      dispatch: (event) => this.dispatch(event),
+      end: (reason) => this.end(reason),
+    };
   }
 
-  private load(): void {
-    const pages: { readonly id: number; readonly entry: ReplicaEntry }[] = [];
-    for (const [key, entry] of this.dependencies.stateStore.replica) {
-      const parsed = parseKey(key);
-      if (parsed.kind === 'job') this.loadJob(parsed.id, entry);
-      if (parsed.kind === 'page' && parsed.partition === this.dependencies.partition)
-        pages.push({ id: parsed.id, entry });
-    }
-    for (const { id, entry } of pages)
-      this.event({
-        kind: 'page-loaded',
-        id,
-        entries: this.dependencies.pageCache.of(entry),
-        modRevision: entry.modRevision,
-      });
-    this.event({ kind: 'load-completed' });
-    const zones = this.dependencies.stateStore.replica.get(zoneRecordKey(this.dependencies.partition));
-    if (zones !== undefined) this.scheduler.state.zonePolicy?.restore(zones.value, currentTime());
-    this.dependencies.logger.info(
-      { fencingToken: this.fencingToken, jobs: this.scheduler.state.jobs.byId.size, pages: pages.length },
-      'term begins',
+  private newCommandSender(): WorkerCommandSender {
+    return new WorkerCommandSender(
+      this.dependencies.maxWorkerConnections,
+      () => this.fencingToken,
+      (command) => this.mayStart(command),
+      ({ batch, fencingToken, outcome, heartbeat }) => {
+        const { machineName, agentEpoch, commands } = batch;
+        this.dispatch({
+          kind: 'commands-answered',
+          machineName,
+          agentEpoch,
+          fencingToken,
+          commands,
+          outcome,
+          heartbeat,
+        });
+      },
     );
   }
 
-  private tick(): void {
-    const t = monotonicNow();
-    const late = t - this.tickedAt - BigInt(TICK_MS) * 1_000_000n;
-    this.tickedAt = t;
-    this.scheduler.recordEventLoopLag(late > 0n ? late : 0n);
-    this.event({ kind: 'tick' });
-    this.profile.tellWhenOver(t);
-  }
-
-  private event(event: Event): void {
-    if (this.over) return;
-    const passed = this.scheduler.state.scheduling.lastCycleAt;
-    const began = currentTime();
-    const effects = this.scheduler.handle(event, began);
-    const hasPassed = this.scheduler.state.scheduling.lastCycleAt !== passed;
-    if (hasPassed || this.profile.active) {
-      const took = monotonicNow() - began.monotonic;
-      if (hasPassed) this.scheduler.recordCycleDuration(took);
-      if (this.profile.active) this.profile.add(hasPassed ? 'passes' : stepOf(event), took);
-    }
-    for (const effect of effects) this.carryOut(effect);
-    if (
-      this.scheduler.state.records.dirtyPages.size > 0 ||
-      this.scheduler.state.records.jobsToComplete.size > 0
-    )
-      this.commits.wake();
+  private mayAcknowledgeHeartbeats(): boolean {
+    const { confirmedAt } = this.scheduler.state.term;
+    return mayAcknowledgeHeartbeats(this.dependencies.config, confirmedAt, monotonicNow());
   }
 
-  private carryOut(effect: Effect): void {
-    const { logger } = this.dependencies;
-    switch (effect.kind) {
-      case 'log':
-        logger[effect.level](effect.fields, effect.message);
-        break;
-      case 'send-commands': {
-        const endpoint = this.scheduler.state.machines.byName.get(effect.machineName)?.endpoint ?? '';
-        const batch = {
-          machineName: effect.machineName,
-          endpoint,
-          agentEpoch: effect.agentEpoch,
-          commands: effect.commands,
-        };
-        if (endpoint !== '') this.workers.push(batch);
-        break;
-      }
-      case 'scale-out':
-        this.rent(effect.request);
-        break;
-      case 'scale-in':
-        this.giveBack(effect.machineNames, effect.reason);
-        break;
-      case 'advance-token':
-        this.commits.requestTokenAdvance(effect.reason);
-        break;
-      case 'persist-zones':
-        this.zones.save(effect.record);
-        break;
-      case 'step-down':
-        this.end(effect.reason);
-        this.dependencies.onStepDown();
-        // Without its lease the key goes at once, and another controller can take the part.
-        void this.dependencies.stateStore.revokeLease(this.lease);
-        break;
-      case 'superseded':
-        this.end(`a worker has seen the higher token ${effect.fencingToken}`);
-        break;
-    }
+  private mayStart({ jobId }: WorkerCommand): boolean {
+    const { term, jobs } = this.scheduler.state;
+    return mayStartTasks(term.confirmedAt, monotonicNow()) && jobs.byId.get(jobId)?.status === 'open';
   }
 
-  private rent(request: ScaleOutRequest): void {
-    // The first token of a term is committed and belongs to this process alone: names made of it are never reused.
-    const name = `r-${this.scheduler.state.term.firstFencingToken}-${++this.rentals}`;
-    this.event({ kind: 'scale-out-started', name, request });
-    void this.dependencies.cloud.scaleOut(name, request, this.stop.signal).then((machines) => {
-      this.dependencies.logger.info(
-        { name, wanted: request.count, got: machines?.length ?? 0 },
-        'rental answered',
-      );
-      this.event({ kind: 'scale-out-answered', name, machines });
-    });
+  private tick(): void {
+    const now = monotonicNow();
+    const lag = now - this.lastTickAt - TICK_INTERVAL_NS;
+    this.lastTickAt = now;
+    this.scheduler.recordEventLoopLag(lag > 0n ? lag : 0n);
+    this.dispatch({ kind: 'tick' });
+    this.profile.logWhenOver(now);
   }
 
-  private giveBack(machines: readonly string[], reason: string): void {
-    this.dependencies.logger.info({ machines, why: reason }, 'returning machines');
-    void this.dependencies.cloud
-      .scaleIn(
-        machines,
-        () => mayStartTasks(this.scheduler.state.term.confirmedAt, monotonicNow()),
-        this.stop.signal,
-      )
-      .then((ok) => this.event({ kind: 'scale-in-answered', machines, succeeded: ok }));
+  private dispatch(event: Event): void {
+    if (this.termination.signal.aborted) return;
+    const { scheduling, records } = this.scheduler.state;
+    const previousCycleAt = scheduling.lastCycleAt;
+    const startedAt = currentTime();
+    const effects = this.scheduler.handle(event, startedAt);
+    this.measure(event, startedAt.monotonic, scheduling.lastCycleAt !== previousCycleAt);
+    for (const effect of effects) this.effectExecutor.execute(effect);
+    if (records.dirtyPages.size > 0 || records.jobsToComplete.size > 0) this.commitLoop.wake();
   }
 
-  private onChange(change: KeyChange): void {
-    const key = parseKey(change.key);
-    if (key.kind === 'job' && change.entry !== null) {
-      if (change.entry.value instanceof FinishedJobSummary) return;
-      const record = decodeJob(change.entry.value);
-      if (record.status !== 'done') this.commits.recordUserWrite();
-      this.event({ kind: 'job-changed', id: key.id, record, modRevision: change.entry.modRevision });
-    }
-    if (key.kind === 'leader' && key.partition === this.dependencies.partition) {
-      const mine =
-        change.entry !== null &&
-        (change.entry.value as LeaderRecord).incarnation === this.dependencies.leaderRecord.incarnation;
-      // Our own key may be followed late, but a key that is gone or another's is the end of the term.
-      if (
-        !mine &&
-        (change.entry === null || change.entry.modRevision > this.scheduler.state.term.firstFencingToken)
-      )
-        this.end('the part has another owner');
-    }
+  /** Records how long an event took; the clock is only read where the result is used. */
+  private measure(event: Event, startedAt: bigint, ranCycle: boolean): void {
+    if (!ranCycle && !this.profile.active) return;
+    const span = monotonicNow() - startedAt;
+    if (ranCycle) this.scheduler.recordCycleDuration(span);
+    if (this.profile.active) this.profile.add(ranCycle ? 'schedulingCycles' : stepOf(event), span);
   }
 }
--- a/src/edge/leadership/leadership-lease.ts
+++ b/src/edge/leadership/leadership-lease.ts
@@ -1,14 +1,19 @@
+/**
+ * @file Keeps a leadership: renews the lease that the leader key hangs on, and confirms again and again that the key is
+ * still this process's. It owns no state beyond the renewals in flight; it never claims a leadership.
+ */
 import type { Subscription } from 'rxjs';
 import { monotonicNow } from '../runtime/clock.js';
-import type { LeaderKey } from './leader-key.js';
 import { isAborted, sleep, supervise } from '../runtime/supervised-task.js';
+import type { LeaderKey } from './leader-key.js';
 import type { TermContext } from './term-context.js';
 
-const HEARTBEAT_MS = 1000;
-/** Renewals of the lease in the state service that may be without an answer at once. */
-const MOST_RENEWALS = 3;
+const CONFIRM_INTERVAL_MS = 1000;
+const CONFIRM_TIMEOUT_MS = 1000;
+/** Renewals of the lease that may be in flight at once. */
+const MAX_RENEWALS_IN_FLIGHT = 3;
 
-/** Keeps the term's lease in the state service, and proves again and again that the term still owns the part. */
+/** Keeps the term's lease in the state store, and confirms the leadership at an interval. */
 export class LeadershipLease {
   constructor(
     private readonly term: TermContext,
@@ -18,43 +23,45 @@
   /** Runs until unsubscribed. */
   start(): Subscription {
     const { logger } = this.term.dependencies;
-    const routines = supervise('lease', logger, (signal) => this.keepLease(signal));
-    routines.add(supervise('heartbeat', logger, (signal) => this.heartbeat(signal)));
+    const routines = supervise('lease renewal', logger, (signal) => this.renewLease(signal));
+    routines.add(supervise('leadership confirmation', logger, (signal) => this.confirmLeadership(signal)));
     return routines;
   }
 
   /**
-   * Renewals are sent by the clock, not one after the other's answer: in a process that is a second behind each step
-   * of the way takes that long, and a lease of three seconds ran out under an owner that had the state service.
+   * Renewals are sent at a fixed interval, whether or not earlier ones were answered: in a process whose event loop lags
+   * by a second each step of a request takes that long, and a lease of three seconds expired under a leader that could
+   * reach the state store.
    */
-  private async keepLease(signal: AbortSignal): Promise<void> {
-    let underWay = 0;
+  private async renewLease(signal: AbortSignal): Promise<void> {
+    const { stateStore } = this.term.dependencies;
+    let inFlight = 0;
     while (!signal.aborted) {
-      if (underWay < MOST_RENEWALS) {
-        underWay += 1;
-        void this.term.dependencies.stateStore.renewLease(this.term.leaseId).then((r) => {
-          underWay -= 1;
-          if (r === 'ended' && !signal.aborted) this.term.end('the lease in the state service ended');
+      if (inFlight < MAX_RENEWALS_IN_FLIGHT) {
+        inFlight += 1;
+        void stateStore.renewLease(this.term.leaseId).then((result) => {
+          inFlight -= 1;
+          if (result === 'ended' && !signal.aborted) this.term.end({ kind: 'lease-expired' });
         });
       }
       await sleep(this.term.renewIntervalMs, signal);
     }
   }
 
-  /** A compare of our own stamp: proves that we are the owner, and as of when. */
-  private async heartbeat(signal: AbortSignal): Promise<void> {
+  /** Compares the leader key's mod revision: proves that this process is the leader as of when the compare was sent. */
+  private async confirmLeadership(signal: AbortSignal): Promise<void> {
+    const { stateStore } = this.term.dependencies;
     while (!signal.aborted) {
-      const sent = monotonicNow();
-      const result = await this.term.dependencies.stateStore.commit([this.key.condition()], [], 1000);
+      const confirmedAt = monotonicNow();
+      const result = await stateStore.commit([this.key.condition()], [], CONFIRM_TIMEOUT_MS);
       if (isAborted(signal)) return;
       if (
         result.kind === 'committed' &&
-        (await this.term.dependencies.stateStore.waitForRevision(result.revision, 1000))
+        (await stateStore.waitForRevision(result.revision, CONFIRM_TIMEOUT_MS))
       )
-        this.term.dispatch({ kind: 'leadership-confirmed', confirmedAt: sent });
-      if (result.kind === 'conflict' && !(await this.key.stillLeader()))
-        return this.term.end('the part has changed hands');
-      await sleep(HEARTBEAT_MS, signal);
+        this.term.dispatch({ kind: 'leadership-confirmed', confirmedAt });
+      if (result.kind === 'conflict' && (await this.key.endTermIfLost())) return;
+      await sleep(CONFIRM_INTERVAL_MS, signal);
     }
   }
 }
--- /dev/null
+++ b/src/edge/leadership/replica-watcher.ts
@@ -0,0 +1,46 @@
+/**
+ * @file Watches the replica during a term: changes of jobs become events of the core, and the loss of the leader key
+ * ends the term. It owns nothing but its subscription.
+ */
+import type { Subscription } from 'rxjs';
+import { FinishedJobSummary, parseKey, decodeJob } from '../../wire/records.js';
+import type { KeyChange, ReplicaEntry } from '../state-store/state-store.js';
+import type { LeaderKey } from './leader-key.js';
+import type { TermContext } from './term-context.js';
+
+/** Follows the changes of the replica that concern the leader. */
+export class ReplicaWatcher {
+  constructor(
+    private readonly term: TermContext,
+    private readonly key: LeaderKey,
+    private readonly onUserWrite: () => void,
+  ) {}
+
+  /** Runs until unsubscribed. */
+  start(): Subscription {
+    return this.term.dependencies.stateStore.changes.subscribe((change) => this.onChange(change));
+  }
+
+  private onChange({ key, entry }: KeyChange): void {
+    const parsed = parseKey(key);
+    if (parsed.kind === 'job' && entry !== null) this.onJobChange(parsed.id, entry);
+    if (parsed.kind === 'leader' && parsed.partition === this.term.dependencies.partition)
+      this.onLeaderKeyChange(entry);
+  }
+
+  private onJobChange(id: string, { value, modRevision }: ReplicaEntry): void {
+    if (value instanceof FinishedJobSummary) return;
+    const record = decodeJob(value);
+    // Only the leader itself records jobs as done.
+    if (record.status !== 'done') this.onUserWrite();
+    this.term.dispatch({ kind: 'job-changed', id, record, modRevision });
+  }
+
+  private onLeaderKeyChange(entry: ReplicaEntry | null): void {
+    if (entry !== null && this.key.isOwn(entry)) return;
+    // The claim that began this term may reach the replica late, and before it an earlier leader's record. A key that is
+    // gone, or that another process wrote later, is the end of the term.
+    if (entry === null || entry.modRevision > this.term.scheduler.state.term.firstFencingToken)
+      this.term.end({ kind: 'leader-key-replaced' });
+  }
+}
--- a/src/edge/leadership/term-startup-profile.ts
+++ b/src/edge/leadership/term-startup-profile.ts
@@ -1,61 +1,68 @@
+/**
+ * @file Measures what the first seconds of a term are spent on: after a failover all heartbeats, records and requests
+ * come at once. It owns the sums per step; it reads no clock itself.
+ */
 import type { Event } from '../../core/cluster-scheduler.js';
 import type { Logger } from '../runtime/logger.js';
 
-/** What the beginning of a term is spent on, step by step. */
+/** A kind of work in the beginning of a term. */
 export type TermStep =
-  'loading' | 'reports' | 'passes' | 'direct calls' | 'commits' | 'machine list' | 'ticks';
+  'loading' | 'heartbeats' | 'schedulingCycles' | 'commandAnswers' | 'commits' | 'cloud' | 'ticks';
 
-const STEPS: Record<Event['kind'], TermStep> = {
+const STEP_OF_EVENT: Record<Event['kind'], TermStep> = {
   'job-changed': 'loading',
   'job-finished': 'loading',
   'page-loaded': 'loading',
   'load-completed': 'loading',
   'images-observed': 'loading',
-  heartbeat: 'reports',
-  'commands-answered': 'direct calls',
+  heartbeat: 'heartbeats',
+  'commands-answered': 'commandAnswers',
   'transaction-committed': 'commits',
   'leadership-confirmed': 'ticks',
   'token-advanced': 'ticks',
   tick: 'ticks',
-  'machine-types': 'machine list',
-  'instance-inventory': 'machine list',
-  'scale-out-started': 'machine list',
-  'scale-out-answered': 'machine list',
-  'scale-in-answered': 'machine list',
+  'machine-types': 'cloud',
+  'instance-inventory': 'cloud',
+  'scale-out-started': 'cloud',
+  'scale-out-answered': 'cloud',
+  'scale-in-answered': 'cloud',
 };
 
-/** The first part of a term, in which all that a takeover brings is done. */
-const PROFILED = 20_000_000_000n;
+/** How long a term's beginning is: by then the work of a failover is done. In nanoseconds. */
+const PROFILED_SPAN_NS = 20_000_000_000n;
 
 /** The step to which an event belongs. */
-export const stepOf = (event: Event): TermStep => STEPS[event.kind];
+export const stepOf = (event: Event): TermStep => STEP_OF_EVENT[event.kind];
 
-/** Adds up what each step of a term's first seconds took, and tells it once in the log. */
+/** Adds up how long each step took in a term's first seconds, and logs the sums once. */
 export class TermStartupProfile {
-  private readonly spent = new Map<TermStep, bigint>();
-  private told = false;
+  private readonly spans = new Map<TermStep, bigint>();
+  private logged = false;
 
   constructor(
-    private readonly began: bigint,
+    private readonly startedAt: bigint,
     private readonly logger: Logger,
   ) {}
 
   /** Still adding up: afterwards nothing need be measured. */
   get active(): boolean {
-    return !this.told;
+    return !this.logged;
   }
 
+  /** Adds a time span in nanoseconds to a step. */
   add(step: TermStep, span: bigint): void {
-    this.spent.set(step, (this.spent.get(step) ?? 0n) + span);
+    this.spans.set(step, (this.spans.get(step) ?? 0n) + span);
   }
 
-  /** Tells the sums once the time is over. */
-  tellWhenOver(now: bigint): void {
-    if (this.told || now - this.began < PROFILED) return;
-    this.told = true;
-    const steps = [...this.spent].sort(([, a], [, b]) => (a < b ? 1 : -1));
-    const ms = Object.fromEntries(steps.map(([step, span]) => [step, Math.round(Number(span) / 1e6)]));
-    this.logger.info({ ms }, 'what the first 20 s of the term took, by step');
-    this.spent.clear();
+  /** Logs the sums once the profiled span is over. */
+  logWhenOver(now: bigint): void {
+    if (this.logged || now - this.startedAt < PROFILED_SPAN_NS) return;
+    this.logged = true;
+    const longestFirst = [...this.spans].sort(([, a], [, b]) => (a < b ? 1 : -1));
+    const stepMs = Object.fromEntries(
+      longestFirst.map(([step, span]) => [step, Math.round(Number(span) / 1e6)]),
+    );
+    this.logger.info({ stepMs }, 'term startup profile');
+    this.spans.clear();
   }
 }
--- /dev/null
+++ b/src/edge/leadership/transaction-encoding.ts
@@ -0,0 +1,55 @@
+/**
+ * @file A transaction of the core as the state store takes it: compare conditions and writes. Pure functions; a
+ * transaction is encoded once, so that every repeat of it is the same request.
+ */
+import type { JobTable } from '../../core/state/job-table.js';
+import type { PageWrite, Transaction } from '../../core/persistence/transactions.js';
+import { jobKey, pageKey, encodeJob, encodePage } from '../../wire/records.js';
+import type { CompareCondition, WriteOperation } from '../state-store/state-store.js';
+
+/**
+ * The conditions of a transaction: this process is the leader under the transaction's fencing token, jobs whose tasks
+ * start are unchanged (a cancellation beats a start in flight), and pages are unchanged (a repeat of a transaction that
+ * was committed after all changes nothing).
+ */
+export function encodeConditions(
+  transaction: Transaction,
+  leadership: CompareCondition,
+  partition: string,
+): CompareCondition[] {
+  const conditions = [leadership];
+  for (const [id, modRevision] of transaction.jobConditions) conditions.push({ key: jobKey(id), modRevision });
+  for (const { id, modRevision } of transaction.pages)
+    conditions.push({ key: pageKey(partition, id), modRevision });
+  return conditions;
+}
+
+/** The writes of a transaction: its pages, and the records of the jobs that it completes or cancels. */
+export function encodeWrites(
+  transaction: Transaction,
+  jobs: Pick<JobTable, 'byId'>,
+  partition: string,
+  zones: readonly string[],
+): WriteOperation[] {
+  const pageWrite = ({ id, entries }: PageWrite): WriteOperation => ({
+    write: pageKey(partition, id),
+    value: encodePage(entries, zones),
+  });
+  return [
+    ...transaction.pages.map(pageWrite),
+    ...transaction.completedJobs.flatMap((id) => finishedJobWrite(jobs, id, 'done')),
+    ...transaction.cancelledJobs.flatMap((id) => finishedJobWrite(jobs, id, 'cancelled')),
+  ];
+}
+
+/** The record of a job that has finished; none if the job is not known any more. */
+function finishedJobWrite(
+  jobs: Pick<JobTable, 'byId'>,
+  id: string,
+  status: 'done' | 'cancelled',
+): WriteOperation[] {
+  const job = jobs.byId.get(id);
+  if (job === undefined) return [];
+  const { spec, submittedAt } = job;
+  return [{ write: jobKey(id), value: encodeJob({ spec, submittedAt, status }) }];
+}
--- a/src/edge/leadership/zone-record-writer.ts
+++ b/src/edge/leadership/zone-record-writer.ts
@@ -1,21 +1,22 @@
+/**
+ * @file Writes the record of zones to the state store, for the next leader. It owns the newest record that is not
+ * written yet. Nothing safe depends on the record: if it is lost, the next leader starts without it.
+ */
+import type { Subscription } from 'rxjs';
 import { zoneRecordKey } from '../../wire/records.js';
 import { jittered } from '../runtime/jitter.js';
-import type { LeaderKey } from './leader-key.js';
 import { isAborted, sleep, supervise } from '../runtime/supervised-task.js';
-import type { Subscription } from 'rxjs';
-import type { TermContext } from './term-context.js';
 import { WakeSignal } from '../runtime/wake-signal.js';
+import type { LeaderKey } from './leader-key.js';
+import type { TermContext } from './term-context.js';
 
-/** Changes of the record come at most this often: each is one of the state service's changes. */
-const EVERY_MS = 1000;
+/** The record is written at most this often: each write counts against the state store's write rate. */
+const MIN_WRITE_INTERVAL_MS = 1000;
 
-/**
- * Keeps in the state service what the next owner must know of zones: one small record, the newest of those that wait,
- * written under the owner's stamp. If it is lost, the next owner starts afresh.
- */
+/** Writes the newest record of zones, on condition that this process is the leader. */
 export class ZoneRecordWriter {
-  private newest: { readonly value: unknown } | null = null;
-  private readonly wake = new WakeSignal();
+  private unwritten: { readonly record: unknown } | null = null;
+  private readonly wakeSignal = new WakeSignal();
 
   constructor(
     private readonly term: TermContext,
@@ -24,24 +25,26 @@
 
   /** Runs until unsubscribed. */
   start(): Subscription {
-    return supervise('zones', this.term.dependencies.logger, (signal) => this.run(signal));
+    return supervise('zone record writer', this.term.dependencies.logger, (signal) => this.run(signal));
   }
 
-  save(value: unknown): void {
-    this.newest = { value };
-    this.wake.wake();
+  /** Has a record written in place of any earlier one that is not written yet. */
+  save(record: unknown): void {
+    this.unwritten = { record };
+    this.wakeSignal.wake();
   }
 
   private async run(signal: AbortSignal): Promise<void> {
+    const { stateStore, partition } = this.term.dependencies;
     while (!signal.aborted) {
-      await this.wake.wait(EVERY_MS, signal);
-      const next = this.newest;
+      await this.wakeSignal.wait(MIN_WRITE_INTERVAL_MS, signal);
+      const next = this.unwritten;
       if (next === null || isAborted(signal)) continue;
-      const { stateStore, partition: part } = this.term.dependencies;
-      const write = { write: zoneRecordKey(part), value: next.value };
+      const write = { write: zoneRecordKey(partition), value: next.record };
       const result = await stateStore.commit([this.key.condition()], [write]);
-      if (result.kind === 'committed' && this.newest === next) this.newest = null;
-      await sleep(jittered(EVERY_MS), signal);
+      // A newer record may have come while this one was written.
+      if (result.kind === 'committed' && this.unwritten === next) this.unwritten = null;
+      await sleep(jittered(MIN_WRITE_INTERVAL_MS), signal);
     }
   }
 }
