--- a/src/edge/leadership/commit-loop.ts
+++ b/src/edge/leadership/commit-loop.ts
@@ -16,7 +16,7 @@
 import { encodeConditions, encodeWrites } from './transaction-encoding.js';
 import { WriteBudget } from './write-budget.js';
 
-/** How often the core is asked for a transaction without being woken: delays that it keeps pass without an event. */
+/** The core batches changes for a while, and no event marks the end of that: the loop polls it at this interval. */
 const IDLE_INTERVAL_MS = 500;
 const FIRST_RETRY_DELAY_MS = 100;
 const MAX_RETRY_DELAY_MS = 1500;
