--- a/src/wire/cloud-protocol.ts
+++ b/src/wire/cloud-protocol.ts
@@ -91,21 +91,13 @@
 export const inventoryPath = (after: string | null, limit: number): string =>
   `${CLOUD_PATHS.machines}?${after === null ? '' : `from=${encodeURIComponent(after)}&`}page=${limit}`;
 
-/** What to scale out by: instances of one type, in one zone. */
-export interface ScaleOutOrder {
-  readonly type: string;
-  readonly zone: string;
-  readonly spot: boolean;
-  readonly count: number;
-}
-
 /** Encodes a request to scale out; the request name makes repeats idempotent. */
-export const encodeScaleOut = (requestName: string, order: ScaleOutOrder): unknown => ({
+export const encodeScaleOut = (requestName: string, request: ScaleOutRequest): unknown => ({
   hire: requestName,
-  build: order.type,
-  hall: order.zone,
-  loaners: order.spot,
-  number: order.count,
+  build: request.type,
+  hall: request.zone,
+  loaners: request.spot,
+  number: request.count,
 });
 
 /** Decodes the names of the instances that a request to scale out has made. */
