--- a/measure/memory.ts
+++ b/measure/memory.ts
@@ -9,7 +9,8 @@
 import { DecodedPageCache } from '../src/edge/state-store/decoded-page-cache.js';
 import { FinishedJobCompactor } from '../src/edge/state-store/finished-job-compactor.js';
 import { DEFAULT_SETTINGS } from '../src/edge/config/operator-settings.js';
-import { HeartbeatQueue, readHeartbeats } from '../src/edge/http/heartbeat-reader.js';
+import { HeartbeatQueue } from '../src/edge/http/heartbeat-queue.js';
+import { readHeartbeats, type HeartbeatReaderOptions } from '../src/edge/http/heartbeat-reader.js';
 import type { KeyChange, ReplicaEntry, StateStore } from '../src/edge/state-store/state-store.js';
 import { jobKey, pageKey, encodeJob, encodePage, type FinishedJobSummary } from '../src/wire/records.js';
 import { decode, encode } from '../src/wire/cbor.js';
@@ -99,17 +100,17 @@
 });
 
 async function connections(): Promise<() => void> {
-  const intake = new HeartbeatQueue();
+  const options: HeartbeatReaderOptions = {
+    maxBodyBytes: 65_536,
+    queue: new HeartbeatQueue(),
+    respond: () => ({ status: 503, body: Buffer.alloc(0) }),
+    handOver: () => undefined,
+    rotates: () => false,
+  };
   const inbound = new Set<Socket>();
   const server = createServer((socket) => {
     inbound.add(socket);
-    readHeartbeats(
-      socket,
-      65_536,
-      intake,
-      () => ({ status: 503, body: Buffer.alloc(0) }),
-      () => undefined,
-    );
+    readHeartbeats(socket, options);
   });
   await new Promise<void>((listening) => server.listen(0, '127.0.0.1', listening));
   const address = server.address();
