--- a/src/wire/cloud-protocol.ts
+++ b/src/wire/cloud-protocol.ts
@@ -5,6 +5,7 @@
  */
 import * as z from 'zod';
 import type { CloudInstance, MachineType } from '../core/model/machine.js';
+import type { ScaleOutRequest } from '../core/model/scale-out.js';
 import { seconds } from '../core/model/time.js';
 import { parseBody, type ParseResult } from './parse-result.js';
 import { amount } from './schema-parts.js';
