--- a/measure/memory.ts
+++ b/measure/memory.ts
@@ -5,7 +5,8 @@
 import { TaskCounts } from '../src/edge/state-store/task-counts.js';
 import { DecodedPageCache } from '../src/edge/state-store/decoded-page-cache.js';
 import { FinishedJobCompactor } from '../src/edge/state-store/finished-job-compactor.js';
-import { HeartbeatQueue, readHeartbeats } from '../src/edge/http/heartbeat-reader.js';
+import { HeartbeatQueue } from '../src/edge/http/heartbeat-queue.js';
+import { readHeartbeats, type HeartbeatReaderOptions } from '../src/edge/http/heartbeat-reader.js';
 import type { KeyChange, ReplicaEntry } from '../src/edge/state-store/replica-view.js';
 import type { StateStore } from '../src/edge/state-store/state-store.js';
 import { jobKey, pageKey } from '../src/wire/keys.js';
@@ -90,17 +91,17 @@
 });
 
 async function connections(): Promise<() => void> {
-  const intake = new HeartbeatQueue();
+  const options: HeartbeatReaderOptions = {
+    maxBodyBytes: 65_536,
+    queue: new HeartbeatQueue(),
+    respond: () => ({ status: 503, body: Buffer.alloc(0) }),
+    handOver: () => undefined,
+    rotates: () => false,
+  };
   const inbound = new Set<Socket>();
   const server = createServer((socket) => {
     inbound.add(socket);
-    readHeartbeats(
-      socket,
-      65_536,
-      intake,
-      () => ({ status: 503, body: Buffer.alloc(0) }),
-      () => undefined,
-    );
+    readHeartbeats(socket, options);
   });
   await new Promise<void>((listening) => server.listen(0, '127.0.0.1', listening));
   const address = server.address();
--- /dev/null
+++ b/src/edge/http/heartbeat-endpoint.ts
@@ -0,0 +1,71 @@
+/**
+ * @file What a heartbeat is answered with, whatever way it came: the leader's commands, or the redirect to the leader.
+ * An error while one heartbeat is processed must not end the process.
+ */
+import type { Heartbeat } from '../../core/model/heartbeat.js';
+import type { HeartbeatAnswer, WorkerCommand } from '../../core/model/worker-command.js';
+import { decode, encode } from '../../wire/cbor.js';
+import { encodeCommands, encodeRedirect, parseHeartbeat } from '../../wire/worker-protocol.js';
+import { warnRateLimited, type Logger } from '../runtime/logger.js';
+import { errorMessage } from '../runtime/supervised-task.js';
+import type { HeartbeatResponse } from './heartbeat-response.js';
+
+/** What the endpoint needs to know of the leadership. */
+export interface HeartbeatEndpointDependencies {
+  readonly logger: Logger;
+  readonly isLeader: () => boolean;
+  /** Processes a heartbeat; null: this controller does not lead, or may not answer. */
+  readonly onHeartbeat: (heartbeat: Heartbeat) => HeartbeatAnswer | null;
+  /** Another controller that leads; null: unknown. */
+  readonly leaderLabel: () => string | null;
+}
+
+/** Answers heartbeats from their bodies. */
+export class HeartbeatEndpoint {
+  /** Most responses carry no commands and differ by the fencing token alone: their body is encoded once for each. */
+  private withoutCommands: { readonly fencingToken: number; readonly body: Buffer } | null = null;
+
+  constructor(private readonly dependencies: HeartbeatEndpointDependencies) {}
+
+  respond(raw: Buffer): HeartbeatResponse {
+    // Only the leader parses heartbeats: after a failover the others redirect hundreds of workers within seconds.
+    if (!this.dependencies.isLeader()) return this.redirect();
+    let body: unknown;
+    try {
+      body = decode(raw);
+    } catch {
+      return this.malformed('not CBOR');
+    }
+    const parsed = parseHeartbeat(body);
+    return parsed.ok ? this.process(parsed.value) : this.malformed(parsed.reason);
+  }
+
+  private process(heartbeat: Heartbeat): HeartbeatResponse {
+    try {
+      const answer = this.dependencies.onHeartbeat(heartbeat);
+      if (answer === null) return this.redirect();
+      return { status: 200, body: this.encodeAnswer(answer.fencingToken, answer.commands) };
+    } catch (error) {
+      // The worker goes on to the next controller.
+      const fields = { error: errorMessage(error) };
+      warnRateLimited(this.dependencies.logger, fields, 'heartbeat processing failed');
+      return { status: 503, body: encode({ error: 'internal trouble' }) };
+    }
+  }
+
+  private redirect(): HeartbeatResponse {
+    return { status: 421, body: encode(encodeRedirect(this.dependencies.leaderLabel())) };
+  }
+
+  private malformed(reason: string): HeartbeatResponse {
+    warnRateLimited(this.dependencies.logger, { reason }, 'malformed heartbeat');
+    return { status: 400, body: encode({ error: reason }) };
+  }
+
+  private encodeAnswer(fencingToken: number, commands: readonly WorkerCommand[]): Buffer {
+    if (commands.length > 0) return encode(encodeCommands(fencingToken, commands));
+    if (this.withoutCommands?.fencingToken !== fencingToken)
+      this.withoutCommands = { fencingToken, body: encode(encodeCommands(fencingToken, [])) };
+    return this.withoutCommands.body;
+  }
+}
--- a/src/edge/http/inbound-connections.ts
+++ b/src/edge/http/inbound-connections.ts
@@ -1,22 +1,28 @@
+/**
+ * @file Counts the inbound connections and decides what is shed when there are more than the settings allow. It opens
+ * and closes none itself.
+ */
+import type { Socket } from 'node:net';
+import type { ConnectionLimits } from '../config/connection-limits.js';
 import { monotonicNow } from '../runtime/clock.js';
 import type { Logger } from '../runtime/logger.js';
-import type { ConnectionLimits } from '../config/connection-limits.js';
 
-/** Nanoseconds for which workers go on taking turns after sockets were short. */
-const TURNS_LAST = 60_000_000_000n;
+/** For how long workers' connections are rotated after the limit was last exceeded. */
+const ROTATE_WORKERS_NS = 60_000_000_000n;
 
 /**
- * Counts the connections that are open to us, and decides what is shed when there are more than the settings allow:
- * first users take turns, then new users are refused, then workers take turns, and only then is a connection closed
- * unread. Workers come last because a lease that is not renewed costs tasks.
+ * Sheds in this order: users' connections are rotated, then new users refused, then workers' connections rotated, and
+ * only then is a connection closed unread. Workers come last because a lease that is not renewed costs tasks.
  */
 export class InboundConnections {
   private count = 0;
-  /** When sockets were last short of workers' connections; null: never. */
-  private shortAt: bigint | null = null;
+  /** When there were last too many connections to keep workers' open; null: never. */
+  private overLimitAt: bigint | null = null;
+  /** Users' connections that were opened above the limit. */
+  private readonly overUserLimit = new WeakSet<Socket>();
 
   constructor(
-    private readonly shares: ConnectionLimits,
+    private readonly limits: ConnectionLimits,
     private readonly logger: Logger,
     private readonly clock: () => bigint = monotonicNow,
   ) {}
@@ -25,9 +31,9 @@
     return this.count;
   }
 
-  /** Takes in a connection; false: there is no socket for it. */
+  /** Counts a new connection; false: there is no socket for it. */
   admit(): boolean {
-    if (this.count >= this.shares.inbound) return false;
+    if (this.count >= this.limits.inbound) return false;
     this.count += 1;
     return true;
   }
@@ -36,31 +42,40 @@
     this.count -= 1;
   }
 
-  /** Users' connections are closed after each answer. */
+  /** Users' connections are closed after each response. */
   get rotatesUsers(): boolean {
-    return this.count > this.shares.rotateUsersAbove;
+    return this.count > this.limits.rotateUsersAbove;
   }
 
-  /** Users that come now are refused. */
+  /** Users that connect now are refused. */
   get refusesUsers(): boolean {
-    return this.count > this.shares.userLimit;
+    return this.count > this.limits.userLimit;
+  }
+
+  /** Has all requests on a user's connection refused. */
+  markOverUserLimit(socket: Socket): void {
+    this.overUserLimit.add(socket);
+  }
+
+  isOverUserLimit(socket: Socket): boolean {
+    return this.overUserLimit.has(socket);
   }
 
   /**
-   * Workers' connections are closed after each answer: more workers than sockets are served one after the other. That
-   * goes on for a while after sockets were last short. Ended at once, it would let connections fill up again to the
-   * limit, where each pass of the core, in which nothing is taken in, has a burst of workers find no socket.
+   * Workers' connections are closed after each response: more workers than sockets are served one after the other. That
+   * goes on for a while after the limit was last exceeded. Ended at once, it would let connections fill up again to the
+   * limit, where each scheduling cycle, in which no connection is accepted, has a burst of workers find no socket.
    */
   rotatesWorkers(): boolean {
     const now = this.clock();
-    if (this.count > this.shares.rotateWorkersAbove) {
-      if (this.shortAt === null)
+    if (this.count > this.limits.rotateWorkersAbove) {
+      if (this.overLimitAt === null)
         this.logger.warn(
-          { open: this.count, sockets: this.shares.inbound },
-          'more workers than sockets: their connections are closed after each answer',
+          { openConnections: this.count, inboundLimit: this.limits.inbound },
+          'worker connections over limit, rotating',
         );
-      this.shortAt = now;
+      this.overLimitAt = now;
     }
-    return this.shortAt !== null && now - this.shortAt < TURNS_LAST;
+    return this.overLimitAt !== null && now - this.overLimitAt < ROTATE_WORKERS_NS;
   }
 }
--- a/src/edge/http/listener.ts
+++ b/src/edge/http/listener.ts
@@ -1,37 +1,38 @@
+/** @file The listening socket. It owns no connection: those it has accepted are its caller's. */
 import { createServer, type Server, type Socket } from 'node:net';
 import { Observable } from 'rxjs';
-import { millisecondsSince, monotonicNow } from '../runtime/clock.js';
 import type { Target } from '../net/http-client.js';
+import { millisecondsSince, monotonicNow } from '../runtime/clock.js';
 
-/** A worker waits for 4 s: sooner after listening anew nothing can have been given up for its place in the queue. */
-const REOPEN_MS = 4000;
+/** The timeout of a worker's connection is 4 s: sooner after reopening, none in the backlog can have timed out. */
+const MIN_REOPEN_INTERVAL_MS = 4000;
 
 /**
- * Where connections come in. What waits to be taken in is a queue of the kernel's, first come, first served, of which the
- * engine takes one each time round its loop. Once the wait is longer than those who wait have patience, all that comes
- * out of it has been given up, and it stays so, since they come again at its end. Listening anew resets all that wait;
- * they come again, to a short queue. Connections that were taken in are not touched.
+ * Accepts connections. Those that wait are in the kernel's backlog, first come, first served, from which the engine
+ * accepts one in each iteration of the event loop. Once the wait exceeds the clients' timeout, every connection that is
+ * accepted has been given up, and it stays so, since its client connects again at the end of the backlog. Reopening the
+ * socket resets all that wait; they connect again, to a short backlog. Accepted connections are not touched.
  */
 export class Listener {
   private server: Server | null = null;
   private openedAt = 0n;
+  /** Opens the socket; does nothing before `open` and after the unsubscription. */
+  private listen: () => void = () => undefined;
 
   constructor(
-    private readonly at: Target,
+    private readonly target: Target,
     private readonly onConnection: (socket: Socket) => void,
   ) {}
 
-  /** Listens until unsubscribed; tells the port each time it does so. */
+  /** Listens until unsubscribed; emits the port each time it begins to listen. */
   open(): Observable<{ readonly port: number }> {
     return new Observable((subscriber) => {
       this.listen = () => {
         const server = createServer(this.onConnection);
-        server.on('error', (e) => subscriber.error(e));
-        server.listen(this.at.port, this.at.host, () => {
-          const bound = server.address();
-          const port = typeof bound === 'object' && bound !== null ? bound.port : this.at.port;
-          subscriber.next({ port });
-        });
+        server.on('error', (error) => subscriber.error(error));
+        server.listen(this.target.port, this.target.host, () =>
+          subscriber.next({ port: boundPort(server) ?? this.target.port }),
+        );
         this.server = server;
         this.openedAt = monotonicNow();
       };
@@ -43,13 +44,16 @@
     });
   }
 
-  /** Resets what waits to be taken in; false: it was done a moment ago, and nothing is done. */
-  reopen(leastMs = REOPEN_MS): boolean {
-    if (millisecondsSince(this.openedAt) < leastMs) return false;
+  /** Resets the backlog; false: the socket was opened a moment ago, and nothing is done. */
+  reopen(minIntervalMs = MIN_REOPEN_INTERVAL_MS): boolean {
+    if (millisecondsSince(this.openedAt) < minIntervalMs) return false;
     this.server?.close();
     this.listen();
     return true;
   }
+}
 
-  private listen: () => void = () => undefined;
+function boundPort(server: Server): number | null {
+  const address = server.address();
+  return typeof address === 'object' && address !== null ? address.port : null;
 }
--- /dev/null
+++ b/src/edge/http/responses.ts
@@ -0,0 +1,55 @@
+/** @file The one place where results of requests become HTTP: status, `Retry-After` and body. */
+import type { ServerResponse } from 'node:http';
+import { encode } from '../../wire/cbor.js';
+import { encodeJobStatus } from '../../wire/user-protocol.js';
+import type { JobView, RequestResult } from './request-result.js';
+
+/** Sends a response with a CBOR body. */
+export function sendCbor(response: ServerResponse, status: number, body: unknown): void {
+  sendEncoded(response, status, encode(body));
+}
+
+/** Sends a response whose body is encoded already. */
+export function sendEncoded(response: ServerResponse, status: number, body: Buffer): void {
+  response.writeHead(status, { 'content-type': 'application/cbor', 'content-length': body.length });
+  response.end(body);
+}
+
+/** Sends an error; `retryAfterS` asks the user to repeat the request after so many seconds. */
+export function sendError(
+  response: ServerResponse,
+  status: number,
+  reason: string,
+  retryAfterS: number | null = null,
+): void {
+  if (retryAfterS !== null) response.setHeader('retry-after', String(retryAfterS));
+  sendCbor(response, status, { error: reason });
+}
+
+/** The response for a job id that does not exist or cannot exist. */
+export const sendNoSuchJob = (response: ServerResponse): void => sendError(response, 404, 'no such job');
+
+/** Sends the result of a request; `createdStatus` is the status if the request itself made the change. */
+export function sendResult(
+  response: ServerResponse,
+  result: RequestResult<JobView>,
+  createdStatus: 200 | 201,
+): void {
+  switch (result.kind) {
+    case 'ok':
+      sendCbor(response, result.created ? createdStatus : 200, encodeJobView(result.value));
+      break;
+    case 'not-found':
+      sendNoSuchJob(response);
+      break;
+    case 'rejected':
+      sendError(response, 422, result.reason);
+      break;
+    case 'unavailable':
+      sendError(response, 503, result.reason, result.retryAfterS);
+      break;
+  }
+}
+
+const encodeJobView = ({ id, status, completedTasks, runningTasks }: JobView): unknown =>
+  encodeJobStatus(id, status, { id, done: completedTasks, running: runningTasks });
--- /dev/null
+++ b/src/edge/http/submissions.ts
@@ -0,0 +1,114 @@
+/**
+ * @file Accepts jobs: checks a submission and creates the job's record by compare-and-swap. Submissions are idempotent:
+ * one whose job is known gets the job's status, whatever else is wrong with it.
+ */
+import { setTimeout as sleep } from 'node:timers/promises';
+import type { JobRecord, JobSpec } from '../../core/model/job.js';
+import type { MachineType } from '../../core/model/machine.js';
+import { encodeJob } from '../../wire/job-record.js';
+import { jobKey } from '../../wire/keys.js';
+import { jobSummaryOf } from '../../wire/finished-job-summary.js';
+import { millisecondsSince, monotonicNow } from '../runtime/clock.js';
+import { jittered } from '../runtime/jitter.js';
+import { DEPENDENCIES_FEATURE, type ControllerVersions } from '../state-store/controller-versions.js';
+import type { ReadResult } from '../state-store/state-store-client.js';
+import type { StateStore } from '../state-store/state-store.js';
+import type { RequestAdmission } from './request-admission.js';
+import {
+  MACHINE_TYPES_UNKNOWN,
+  STATE_STORE_UNAVAILABLE,
+  UPGRADE_IN_PROGRESS,
+  changed,
+  type JobView,
+  type RequestResult,
+} from './request-result.js';
+import type { StatusQueries } from './status-queries.js';
+import { rejectionReason, type SubmissionLimits } from './submission-checks.js';
+
+/** The whole of a submission takes no longer, since its user waits for it. */
+const SUBMISSION_TIMEOUT_MS = 3500;
+/** A commit that the state store refuses is not repeated for longer than this. */
+const REFUSED_TIMEOUT_MS = 1200;
+const RETRY_BASE_MS = 150;
+const DEPENDENCY_READ_TIMEOUT_MS = 1500;
+const EXISTING_STATUS_TIMEOUT_MS = 1000;
+
+/** Accepts or refuses jobs. */
+export class Submissions {
+  constructor(
+    private readonly stateStore: StateStore,
+    private readonly limits: SubmissionLimits,
+    private readonly versions: Pick<ControllerVersions, 'allSupport'>,
+    private readonly queries: StatusQueries,
+    private readonly admission: RequestAdmission,
+    private readonly machineTypes: () => readonly MachineType[],
+  ) {}
+
+  /** Accepts a job. `spec` is the reason if the body could not be read. */
+  async submit(id: string, spec: JobSpec | string): Promise<RequestResult<JobView>> {
+    if (this.stateStore.replica.has(jobKey(id))) return this.queries.status(id, SUBMISSION_TIMEOUT_MS);
+    if (typeof spec === 'string') return this.reject(id, spec);
+    const reason = rejectionReason(spec, this.limits, this.machineTypes());
+    if (reason !== null) return this.reject(id, reason);
+    if (this.admission.disconnected) return STATE_STORE_UNAVAILABLE;
+    if (!this.stateStore.loaded || this.machineTypes().length === 0) return MACHINE_TYPES_UNKNOWN;
+    return this.admission.run(
+      async () => (await this.refuseForDependencies(spec)) ?? (await this.create(spec)),
+    );
+  }
+
+  /** Why a job with such dependencies is refused, for good or for now; null if it is not. */
+  private async refuseForDependencies(spec: JobSpec): Promise<RequestResult<JobView> | null> {
+    const { dependencies } = spec;
+    if (dependencies.length === 0) return null;
+    if (!this.versions.allSupport(DEPENDENCIES_FEATURE)) return UPGRADE_IN_PROGRESS;
+    const reads = await Promise.all(dependencies.map((id) => this.readDependency(id)));
+    if (reads.some((read) => read.kind === 'unread')) return STATE_STORE_UNAVAILABLE;
+    for (const [index, read] of reads.entries()) {
+      const id = dependencies[index] ?? '';
+      if (read.kind === 'absent') return this.reject(spec.id, `${id} was never accepted`);
+      if (read.kind === 'found' && jobSummaryOf(read.value).kind === 'service')
+        return this.reject(spec.id, `${id} is a service: it is never done`);
+    }
+    return null;
+  }
+
+  /** A dependency from the replica or, if another controller accepted it a moment ago, from the state store. */
+  private async readDependency(id: string): Promise<ReadResult> {
+    const entry = this.stateStore.replica.get(jobKey(id));
+    if (entry !== undefined) return { kind: 'found', value: entry.value };
+    return this.stateStore.read(jobKey(id), DEPENDENCY_READ_TIMEOUT_MS);
+  }
+
+  /** Rejects a submission for good, unless it repeats one that was accepted. */
+  private async reject(id: string, reason: string): Promise<RequestResult<JobView>> {
+    const existing = await this.queries.status(id, SUBMISSION_TIMEOUT_MS);
+    return existing.kind === 'not-found' ? { kind: 'rejected', reason } : existing;
+  }
+
+  /** Creates the job's record. Repeating the commit is safe: it holds only while there is no record. */
+  private async create(spec: JobSpec): Promise<RequestResult<JobView>> {
+    const startedAt = monotonicNow();
+    const record: JobRecord = { spec, submittedAt: new Date(), status: 'open' };
+    const key = jobKey(spec.id);
+    for (let retries = 0; ; retries++) {
+      const result = await this.stateStore.commit(
+        [{ key, modRevision: 0 }],
+        [{ kind: 'put', key, value: encodeJob(record) }],
+      );
+      if (result.kind === 'committed') return changed(spec.id, 'pending');
+      if (result.kind === 'conflict')
+        return this.existing(spec.id, result.revision, SUBMISSION_TIMEOUT_MS - millisecondsSince(startedAt));
+      const pauseMs = jittered(RETRY_BASE_MS * 2 ** retries);
+      const timeoutMs = result.kind === 'refused' ? REFUSED_TIMEOUT_MS : SUBMISSION_TIMEOUT_MS;
+      if (millisecondsSince(startedAt) + pauseMs > timeoutMs) return STATE_STORE_UNAVAILABLE;
+      await sleep(pauseMs);
+    }
+  }
+
+  /** The status of a job whose record was there already, at a revision that the replica may not have reached. */
+  private async existing(id: string, revision: number, timeoutMs: number): Promise<RequestResult<JobView>> {
+    const reached = await this.stateStore.waitForRevision(revision, timeoutMs);
+    return reached ? this.queries.status(id, EXISTING_STATUS_TIMEOUT_MS) : STATE_STORE_UNAVAILABLE;
+  }
+}
--- a/test/heartbeat-parsing.test.ts
+++ b/test/heartbeat-parsing.test.ts
@@ -1,7 +1,7 @@
 /** @file Parsing of heartbeats: the HTTP head, the fast path and the schema. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { parseHead } from '../src/edge/http/heartbeat-reader.js';
+import { parseHead } from '../src/edge/http/heartbeat-head.js';
 import { parseHeartbeat } from '../src/wire/worker-protocol.js';
 
 const HELLO = {
@@ -46,13 +46,17 @@
 test('a report is found in what has come of a connection; everything else is left to the general server', () => {
   const head = 'POST /hello HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\n';
   assert.deepEqual(parseHead(Buffer.from(`${head}abcPOST`), 100), {
-    kind: 'report',
-    from: head.length,
-    to: head.length + 3,
+    kind: 'heartbeat',
+    bodyStart: head.length,
+    bodyEnd: head.length + 3,
     close: false,
   });
   for (let n = 1; n < head.length + 3; n++)
-    assert.equal(parseHead(Buffer.from(`${head}abc`.slice(0, n)), 100).kind, 'part', `after ${n} bytes`);
+    assert.equal(
+      parseHead(Buffer.from(`${head}abc`.slice(0, n)), 100).kind,
+      'incomplete',
+      `after ${n} bytes`,
+    );
   for (const other of [
     'GET /healthz HTTP/1.1\r\n',
     'POST /hello2 HTTP/1.1\r\n',
--- a/test/leader-overload.test.ts
+++ b/test/leader-overload.test.ts
@@ -10,7 +10,8 @@
 import { Listener } from '../src/edge/http/listener.js';
 import { parseTarget } from '../src/edge/net/http-client.js';
 import { isHealthy } from '../src/edge/http/health.js';
-import { HeartbeatQueue, readHeartbeats } from '../src/edge/http/heartbeat-reader.js';
+import { HeartbeatQueue } from '../src/edge/http/heartbeat-queue.js';
+import { readHeartbeats } from '../src/edge/http/heartbeat-reader.js';
 import { WorkerCommandSender } from '../src/edge/workers/worker-command-sender.js';
 import { jobSpec } from './fixtures/cluster-config.js';
 import { listen } from './standins/http.js';
@@ -131,7 +132,13 @@
       seen.push(b.toString());
       return { status: 200, body: b } as const;
     };
-    readHeartbeats(socket as unknown as Socket, 1024, intake, answer, () => assert.fail('not a report'));
+    readHeartbeats(socket as unknown as Socket, {
+      maxBodyBytes: 1024,
+      queue: intake,
+      respond: answer,
+      handOver: () => assert.fail('not a heartbeat'),
+      rotates: () => false,
+    });
     return socket;
   };
   const [gone, held] = [connect(), connect()];
