--- a/src/edge/runtime/logger.ts
+++ b/src/edge/runtime/logger.ts
@@ -1,17 +1,37 @@
+/**
+ * @file The structured log: short event names, values in fields, one JSON object a line on standard error. It must not
+ * buffer: a process that is killed leaves all that it logged.
+ */
 import pino from 'pino';
 import { millisecondsSince, monotonicNow } from './clock.js';
 
-const LEVELS = new Set(['error', 'warn', 'info', 'debug']);
+/** What a field of a log line may hold. */
+export type LogValue = string | number | boolean | null | readonly LogValue[] | LogFields;
 
-/** The structured log. */
-export type Logger = pino.Logger;
+/** The fields of a log line. */
+export interface LogFields {
+  readonly [name: string]: LogValue;
+}
+
+type LogMethod = (fields: LogFields, event: string) => void;
+
+/** The log, by level; pino underneath. */
+export interface Logger {
+  readonly debug: LogMethod;
+  readonly info: LogMethod;
+  readonly warn: LogMethod;
+  readonly error: LogMethod;
+}
 
-/** Writes JSON lines to standard error, at once: a process that is killed leaves what it said. */
+const DEFAULT_LEVEL = 'info';
+const LEVELS: ReadonlySet<string> = new Set(['error', 'warn', 'info', 'debug']);
+
+/** The log of the controller with this label; `LOG_LEVEL` sets the lowest level that is written. */
 export function createLogger(label: string): Logger {
-  const wanted = process.env['LOG_LEVEL'] ?? 'info';
+  const level = process.env['LOG_LEVEL'] ?? DEFAULT_LEVEL;
   return pino(
     {
-      level: LEVELS.has(wanted) ? wanted : 'info',
+      level: LEVELS.has(level) ? level : DEFAULT_LEVEL,
       base: { label },
       timestamp: pino.stdTimeFunctions.isoTime,
     },
@@ -19,18 +39,29 @@
   );
 }
 
-const SPARSE_MS = 10_000;
-const lately = new WeakMap<Logger, Map<string, { at: bigint; passedOver: number }>>();
+/** An event is logged at most once in this time. */
+const RATE_LIMIT_MS = 10_000;
+
+interface LoggedEvent {
+  readonly at: bigint;
+  /** How often the event came since without being logged. */
+  suppressed: number;
+}
+
+const lastLogged = new WeakMap<Logger, Map<string, LoggedEvent>>();
 
-/** Warns of what may come in floods, such as messages that cannot be read: each text once in a while, with a count. */
-export function warnRateLimited(logger: Logger, about: Record<string, unknown>, text: string): void {
-  const texts = lately.get(logger) ?? new Map<string, { at: bigint; passedOver: number }>();
-  lately.set(logger, texts);
-  const last = texts.get(text);
-  if (last !== undefined && millisecondsSince(last.at) < SPARSE_MS) {
-    last.passedOver += 1;
+/**
+ * Warns of what may come in floods, such as malformed messages: each event at most once in `RATE_LIMIT_MS`, with the
+ * number of those suppressed in between. Events with different keys are limited separately.
+ */
+export function warnRateLimited(logger: Logger, fields: LogFields, event: string, key = event): void {
+  const events = lastLogged.get(logger) ?? new Map<string, LoggedEvent>();
+  lastLogged.set(logger, events);
+  const last = events.get(key);
+  if (last !== undefined && millisecondsSince(last.at) < RATE_LIMIT_MS) {
+    last.suppressed += 1;
     return;
   }
-  logger.warn(last === undefined ? about : { ...about, passedOver: last.passedOver }, text);
-  texts.set(text, { at: monotonicNow(), passedOver: 0 });
+  logger.warn(last === undefined ? fields : { ...fields, suppressed: last.suppressed }, event);
+  events.set(key, { at: monotonicNow(), suppressed: 0 });
 }
--- a/src/edge/runtime/rate-limiter.ts
+++ b/src/edge/runtime/rate-limiter.ts
@@ -1,7 +1,10 @@
-/** A steady allowance with a small burst; `take` tells how long to wait before spending. */
+/** @file A token bucket for calls to an outside system. It only counts; callers wait. */
+import { monotonicNow } from './clock.js';
+
+/** A constant rate with a small burst. */
 export class RateLimiter {
   private tokens: number;
-  private at = process.hrtime.bigint();
+  private refilledAt = monotonicNow();
 
   constructor(
     public perSecond: number,
@@ -10,12 +13,12 @@
     this.tokens = burst;
   }
 
-  /** Spends `n` and returns how many milliseconds to wait first (0: none). */
-  take(n: number): number {
-    const t = process.hrtime.bigint();
-    this.tokens = Math.min(this.burst, this.tokens + (Number(t - this.at) / 1e9) * this.perSecond);
-    this.at = t;
-    this.tokens -= n;
+  /** Takes `count` tokens and returns for how many milliseconds to wait before they are used (0: not at all). */
+  take(count: number): number {
+    const now = monotonicNow();
+    const refill = (Number(now - this.refilledAt) / 1e9) * this.perSecond;
+    this.tokens = Math.min(this.burst, this.tokens + refill) - count;
+    this.refilledAt = now;
     return this.tokens >= 0 ? 0 : (-this.tokens / this.perSecond) * 1000;
   }
 }
--- a/src/edge/runtime/supervised-task.ts
+++ b/src/edge/runtime/supervised-task.ts
@@ -1,49 +1,49 @@
-/** @file Long-lived tasks that end with their owner and begin anew after an error. */
-import { type Logger, warnRateLimited } from './logger.js';
+/** @file Background tasks that end with a subscription and are restarted after an error, and what they wait with. */
+import { setTimeout as delay } from 'node:timers/promises';
 import { Observable, Subscription, retry, timer } from 'rxjs';
+import { type Logger, warnRateLimited } from './logger.js';
+
+const RESTART_DELAY_MS = 250;
 
 /** The message of whatever was thrown. */
-export const errorMessage = (e: unknown): string => (e instanceof Error ? e.message : String(e));
+export const errorMessage = (error: unknown): string =>
+  error instanceof Error ? error.message : String(error);
 
-/** Whether the signal was given; a function, since the answer changes while one waits. */
+/** Whether the signal is aborted; a function, since the type checker takes the property for one that cannot change. */
 export const isAborted = (signal: AbortSignal): boolean => signal.aborted;
 
-/** Waits, or ends early (and quietly) when the signal is given. Callers look at the signal afterwards. */
-export function sleep(ms: number, signal: AbortSignal): Promise<void> {
-  return new Promise((resolve) => {
-    if (signal.aborted) return resolve();
-    const done = (): void => {
-      clearTimeout(t);
-      signal.removeEventListener('abort', done);
-      resolve();
-    };
-    const t = setTimeout(done, ms);
-    signal.addEventListener('abort', done);
-  });
+/** Waits; resolves early when the signal is aborted, so callers check the signal afterwards. */
+export async function sleep(ms: number, signal: AbortSignal): Promise<void> {
+  try {
+    await delay(ms, undefined, { signal });
+  } catch (error) {
+    if (!isAborted(signal)) throw error;
+  }
 }
 
 /**
- * A long-lived task as a subscription: unsubscribing aborts it, an error is logged and the task begins anew. It lives
- * as long as its owner holds the subscription.
+ * Runs a background task until unsubscribed from, which aborts its signal. An error is logged under the task's name and
+ * the task restarted after a delay.
  */
 export function supervise(
   name: string,
   logger: Logger,
-  body: (signal: AbortSignal) => Promise<void>,
+  run: (signal: AbortSignal) => Promise<void>,
 ): Subscription {
   return new Observable<never>((subscriber) => {
-    const stop = new AbortController();
-    body(stop.signal).then(
+    const abort = new AbortController();
+    run(abort.signal).then(
       () => subscriber.complete(),
-      (e: unknown) => subscriber.error(e),
+      (error: unknown) => subscriber.error(error),
     );
-    return () => stop.abort();
+    return () => abort.abort();
   })
     .pipe(
       retry({
-        delay: (e) => {
-          warnRateLimited(logger, { error: errorMessage(e) }, `task "${name}" failed and begins anew`);
-          return timer(250);
+        delay: (error) => {
+          const fields = { task: name, error: errorMessage(error) };
+          warnRateLimited(logger, fields, 'background task failed', `background task failed: ${name}`);
+          return timer(RESTART_DELAY_MS);
         },
       }),
     )
