--- a/src/core/capacity/scale-in.ts
+++ b/src/core/capacity/scale-in.ts
@@ -1,14 +1,13 @@
 /** @file Which machines to keep, and which to close and return. */
 import { freeOn, isUsable } from '../machines/free-resources.js';
 import type { ClusterState } from '../state/cluster-state.js';
-import { NO_GANG_CAPACITY } from '../model/pending-reasons.js';
+import { NO_CAPACITY, NO_GANG_CAPACITY, PREEMPTION_IN_PROGRESS } from '../model/pending-reasons.js';
 import { manySuspected } from '../reconciliation/failure-detector.js';
 import { leaseExpiry } from '../reconciliation/worker-leases.js';
 import type { Job } from '../model/job.js';
 import type { Machine, MachineType } from '../model/machine.js';
-import { NO_CAPACITY, PREEMPTION_IN_PROGRESS } from '../scheduling/scheduling-cycle.js';
 import { estimatedSeconds } from '../jobs/deadline-slack.js';
-import type { Resources } from '../scheduling/scoring.js';
+import type { Resources } from '../model/resources.js';
 import { type Timestamp, seconds, toSeconds } from '../model/time.js';
 import { isZoneUnavailable } from '../scheduling/zone-availability.js';
 
--- a/src/core/capacity/scale-out.ts
+++ b/src/core/capacity/scale-out.ts
@@ -9,7 +9,8 @@
 import type { Job } from '../model/job.js';
 import type { MachineType } from '../model/machine.js';
 import { estimatedSeconds, startDeadline } from '../jobs/deadline-slack.js';
-import { type Resources, fits, isZoneAllowed } from '../scheduling/scoring.js';
+import { type Resources, fits, subtractResources } from '../model/resources.js';
+import { isZoneAllowed } from '../scheduling/placement-constraints.js';
 import { type Timestamp, seconds, toSeconds } from '../model/time.js';
 import { isZoneUnavailable } from '../scheduling/zone-availability.js';
 
@@ -172,9 +173,7 @@
         fresh += 1;
         slots.push(slot);
       }
-      slot.r.cpus -= job.spec.cpus;
-      slot.r.gpus -= job.spec.gpus;
-      slot.r.memory -= job.spec.memory;
+      subtractResources(slot.r, job.spec);
       taken.set(slot.zone, (taken.get(slot.zone) ?? 0) + 1);
     }
     if (fresh >= RENT_A_ROUND) break;
--- a/src/core/cluster-scheduler.ts
+++ b/src/core/cluster-scheduler.ts
@@ -27,7 +27,8 @@
 import { nextTransaction, onCommitted, type Transaction } from './persistence/transactions.js';
 import { splitOversizedPages, type PageEntry } from './records/record-pages.js';
 import { mayStartTasks } from './state/leadership-timing.js';
-import { runSchedulingCycle, minCycleInterval } from './scheduling/scheduling-cycle.js';
+import { minCycleInterval } from './scheduling/cycle-interval.js';
+import { runSchedulingCycle } from './scheduling/scheduling-cycle.js';
 import {
   handlePreemptionNotices,
   isCutOffFromWorkers,
@@ -36,7 +37,8 @@
 } from './reconciliation/failure-detector.js';
 import { seconds, type Timestamp, type Duration, type MonotonicTime } from './model/time.js';
 import type { ZonePolicy } from './model/zone-policy.js';
-import { displacedReplicas, observeZones } from './scheduling/zone-availability.js';
+import { displacedReplicas } from './scheduling/displaced-replicas.js';
+import { observeZones } from './scheduling/zone-observation.js';
 import { newClusterState, type ClusterState } from './state/cluster-state.js';
 import { emitLog } from './state/log-effects.js';
 import type { Effect } from './model/effects.js';
--- a/src/core/jobs/deadline-slack.ts
+++ b/src/core/jobs/deadline-slack.ts
@@ -1,65 +1,86 @@
-/** @file By when a job should have started, and how hurried or patient it is. */
-import type { ClusterState } from '../state/cluster-state.js';
+/** @file By when a job should have started, and how urgent that is. */
+import type { ServiceLevelObjective } from '../model/cluster-config.js';
 import type { Job } from '../model/job.js';
 import { type Timestamp, seconds, toSeconds, wallSecondsBetween } from '../model/time.js';
+import type { ClusterState } from '../state/cluster-state.js';
+
+/** How long a job may wait without an objective for its class. */
+const DEFAULT_START_WITHIN_S = 120;
+
+/** However late its deadline, no job waits longer than this while a machine that fits stands empty. */
+const MAX_SLACK_WAIT_S = 45;
+
+/** How long after its start deadline, or the loss of a replica, a job counts as urgent; then any capacity will do. */
+const URGENT_AFTER_DEADLINE_S = 5;
 
-/** How long a job may wait for which nothing is said. */
-const DEFAULT_WAIT_S = 120;
+const wallSeconds = (time: Date): number => time.getTime() / 1000;
 
-/** How long a job has waited since it could have started. */
+/** How long a job has waited since its dependencies were done. */
 export const pendingSeconds = (job: Job, now: Timestamp): number =>
   job.readySince === null ? 0 : wallSecondsBetween(job.readySince, now.wall);
 
+/** The submitted estimate of a task's run time, corrected by what completed tasks of the class took. */
+export function estimatedSeconds(state: ClusterState, job: Job): number {
+  return toSeconds(job.spec.estimatedDuration) * (state.jobs.durationFactors.get(job.spec.class) ?? 1);
+}
+
 /**
- * When a job should have started: by the objectives of its class, by its deadline, and by those of the jobs that need
- * it.
+ * Seconds of wall time by which a job should have started: by the objectives of its class, by its deadline, and by
+ * those of the jobs that depend on it.
  */
 export function startDeadline(state: ClusterState, job: Job): number {
-  let within = Infinity;
+  const startWithin = objectiveSeconds(state, job);
+  const latestStart = job.latestCompletion - estimatedSeconds(state, job);
+  if (startWithin === Infinity && latestStart !== Infinity) return latestStart;
+  const readyAt = wallSeconds(job.readySince ?? job.submittedAt);
+  return Math.min(readyAt + (startWithin === Infinity ? DEFAULT_START_WITHIN_S : startWithin), latestStart);
+}
+
+/** Seconds within which the job should start by the objectives of its class; infinite without one. */
+function objectiveSeconds(state: ClusterState, job: Job): number {
+  let startWithin = Infinity;
   for (const objective of state.config.objectives) {
     if (objective.class !== job.spec.class || objective.threshold === null) continue;
-    const span = toSeconds(objective.threshold);
-    if (objective.kind === 'wait') within = Math.min(within, span);
+    const threshold = toSeconds(objective.threshold);
+    if (objective.kind === 'wait') startWithin = Math.min(startWithin, threshold);
     if (objective.kind === 'finished')
-      within = Math.min(within, Math.max(0, span - estimatedSeconds(state, job)));
+      startWithin = Math.min(startWithin, Math.max(0, threshold - estimatedSeconds(state, job)));
   }
-  const latestStart = job.latestCompletion - estimatedSeconds(state, job);
-  if (within === Infinity && latestStart !== Infinity) return latestStart;
-  const since = job.readySince ?? job.submittedAt;
-  return Math.min(since.getTime() / 1000 + (within === Infinity ? DEFAULT_WAIT_S : within), latestStart);
+  return startWithin;
 }
 
-/** The owner's estimate, corrected by what was seen of the class. */
-export function estimatedSeconds(state: ClusterState, job: Job): number {
-  return toSeconds(job.spec.estimatedDuration) * (state.jobs.durationFactors.get(job.spec.class) ?? 1);
-}
-
-/** Work that is not wanted before new machines could be up twice over. */
+/** Whether the job need not start before new machines could be up twice over. */
 export function hasDeadlineSlack(state: ClusterState, job: Job, now: Timestamp): boolean {
-  if (job.spec.kind === 'service' || pendingSeconds(job, now) > PATIENT_S) return false;
-  let boot = 0;
-  for (const type of state.machines.types.values()) boot = Math.max(boot, toSeconds(type.bootTime));
-  // Only where some class is promised a start within that time is there anything to leave room for.
-  const hasty = state.config.objectives.some(
-    (objective) =>
-      objective.kind === 'wait' && objective.threshold !== null && toSeconds(objective.threshold) < 2 * boot,
+  if (job.spec.kind === 'service' || pendingSeconds(job, now) > MAX_SLACK_WAIT_S) return false;
+  const twoBootsSeconds = 2 * slowestBootSeconds(state);
+  // Only where some class has an objective within that time is there anything to leave capacity for.
+  return (
+    state.config.objectives.some((objective) => requiresStartWithin(objective, twoBootsSeconds)) &&
+    startDeadline(state, job) - wallSeconds(now.wall) > twoBootsSeconds
   );
-  return hasty && startDeadline(state, job) - now.wall.getTime() / 1000 > 2 * boot;
 }
 
-/** However far off its own time is: nobody waits longer than this while a machine that fits stands empty. */
-const PATIENT_S = 45;
+function slowestBootSeconds(state: ClusterState): number {
+  let slowest = 0;
+  for (const type of state.machines.types.values()) slowest = Math.max(slowest, toSeconds(type.bootTime));
+  return slowest;
+}
 
-/** Room beside a cached image is looked for so long after the moment; then any room will do. */
-const LATELY_S = 5;
+const requiresStartWithin = ({ kind, threshold }: ServiceLevelObjective, limitSeconds: number): boolean =>
+  kind === 'wait' && threshold !== null && toSeconds(threshold) < limitSeconds;
 
-/** Whether the job is wanted before an image could be fetched. */
+/** Whether the job should start before its image could be fetched. */
 export function isUrgent(state: ClusterState, job: Job, now: Timestamp): boolean {
   if (job.spec.priority !== 'production') return false;
-  // A lost replica is wanted at once, whenever its job came.
-  if (job.replicaLostAt !== null && now.monotonic - job.replicaLostAt < seconds(LATELY_S)) return true;
-  let fastest = 0;
-  for (const type of state.machines.types.values()) fastest = Math.max(fastest, type.fetchGbPerS);
-  const left = startDeadline(state, job) - now.wall.getTime() / 1000;
-  return fastest > 0 && left > -LATELY_S && left < job.spec.imageGb / fastest;
+  // A lost replica is missed at once, whenever its job was submitted.
+  if (job.replicaLostAt !== null && now.monotonic - job.replicaLostAt < seconds(URGENT_AFTER_DEADLINE_S))
+    return true;
+  let fastestGbPerS = 0;
+  for (const type of state.machines.types.values()) fastestGbPerS = Math.max(fastestGbPerS, type.fetchGbPerS);
+  const secondsLeft = startDeadline(state, job) - wallSeconds(now.wall);
+  return (
+    fastestGbPerS > 0 &&
+    secondsLeft > -URGENT_AFTER_DEADLINE_S &&
+    secondsLeft < job.spec.imageGb / fastestGbPerS
+  );
 }
--- a/src/core/machines/free-resources.ts
+++ b/src/core/machines/free-resources.ts
@@ -1,68 +1,84 @@
-/** @file Which machines take tasks now, and what is free on them. */
-import type { ClusterState } from '../state/cluster-state.js';
-import { leaseExpiry } from '../reconciliation/worker-leases.js';
+/**
+ * @file Which machines take tasks now, and what capacity they have. It owns `Machine.resources`, which others only reset
+ * to null after a change of what the machine holds.
+ */
 import type { Machine } from '../model/machine.js';
-import type { JobSpec } from '../model/job.js';
-import type { Resources } from '../scheduling/scoring.js';
-import { type MonotonicTime, seconds } from '../model/time.js';
+import { type Resources, copyResources, subtractResources } from '../model/resources.js';
+import type { MonotonicTime } from '../model/time.js';
+import { leaseExpiry } from '../reconciliation/worker-leases.js';
+import type { ClusterState } from '../state/cluster-state.js';
+import { heartbeatTimeout } from './responsiveness.js';
 
-/** Whether a task may be placed here now. */
+/** Whether a task may be assigned to the machine now. */
 export function isUsable(state: ClusterState, machine: Machine, now: MonotonicTime): boolean {
-  if (!machine.fenced || machine.agentEpoch === 0 || machine.agentEpoch <= machine.lastExpiredEpoch)
-    return false;
-  if (
-    machine.quarantined ||
-    machine.releasing ||
-    machine.preemptionAt !== null ||
-    machine.instanceState === 'failed' ||
-    machine.unreachableSince !== null
-  )
-    return false;
-  // Without an answer to it the worker goes on to its next session soon, and what it holds is gone.
-  if (now >= leaseExpiry(state, machine)) return false;
   return (
-    now - machine.lastHeartbeatAt <= (state.config.heartbeatInterval * 5n) / 2n + seconds(1) &&
+    hasCurrentAgent(machine) &&
+    isInService(machine) &&
+    // Unless a heartbeat is acknowledged before then, the worker begins a new agent epoch, and what it holds is gone.
+    now < leaseExpiry(state, machine) &&
+    now - machine.lastHeartbeatAt <= heartbeatTimeout(state.config) &&
     state.machines.types.has(machine.type)
   );
 }
 
-/** What is free on a machine, counted again only after a change there. */
-export function resourcesOf(
-  state: ClusterState,
-  machine: Machine,
-): { readonly free: Resources; readonly projected: Resources } {
-  machine.resources ??= countFree(state, machine);
+/** Whether the worker has shown this term's fencing token in an agent epoch that has not expired. */
+const hasCurrentAgent = (machine: Machine): boolean =>
+  machine.fenced && machine.agentEpoch !== 0 && machine.agentEpoch > machine.lastExpiredEpoch;
+
+const isInService = (machine: Machine): boolean =>
+  !machine.quarantined &&
+  !machine.releasing &&
+  machine.preemptionAt === null &&
+  machine.instanceState !== 'failed' &&
+  machine.unreachableSince === null;
+
+/** A machine's capacity: what is free, and what will be free once the tasks being stopped have ended. */
+export interface MachineResources {
+  readonly free: Readonly<Resources>;
+  readonly projected: Readonly<Resources>;
+}
+
+/** The machine's capacity, computed again only after a change there. */
+export function resourcesOf(state: ClusterState, machine: Machine): MachineResources {
+  machine.resources ??= computeResources(state, machine);
   return machine.resources;
 }
 
-/** r_i: what neither an intent nor a reported task takes. Callers do not change it. */
+/** What neither an assignment nor a reported task takes. */
 export const freeOn = (state: ClusterState, machine: Machine): Readonly<Resources> =>
   resourcesOf(state, machine).free;
 
-function countFree(state: ClusterState, machine: Machine): { free: Resources; projected: Resources } {
+function computeResources(
+  state: ClusterState,
+  machine: Machine,
+): { readonly free: Resources; readonly projected: Resources } {
   const type = state.machines.types.get(machine.type);
-  if (type === undefined)
-    return { free: { cpus: 0, gpus: 0, memory: 0 }, projected: { cpus: 0, gpus: 0, memory: 0 } };
-  const free: Resources = { cpus: type.cpus, gpus: type.gpus, memory: type.memory };
-  const projected: Resources = { ...free };
-  const take = (from: Resources, spec: JobSpec): void => {
-    from.cpus -= spec.cpus;
-    from.gpus -= spec.gpus;
-    from.memory -= spec.memory;
-  };
+  if (type === undefined) return { free: noResources(), projected: noResources() };
+  const free = copyResources(type);
+  const projected = copyResources(type);
   for (const assignment of machine.assignments.values()) {
     const job = state.jobs.byId.get(assignment.jobId);
     if (job === undefined) continue;
-    take(free, job.spec);
-    if (assignment.stopRequest === null) take(projected, job.spec);
+    subtractResources(free, job.spec);
+    if (assignment.stopRequest === null) subtractResources(projected, job.spec);
   }
-  if (machine.hasOrphanedTasks)
-    for (const [key, task] of machine.reportedTasks) {
-      const assignment = machine.assignments.get(key);
-      const job = state.jobs.byId.get(task.jobId);
-      if (job === undefined || (assignment !== undefined && assignment.attempt === task.attempt)) continue;
-      take(free, job.spec);
-      take(projected, job.spec);
-    }
+  if (machine.hasOrphanedTasks) subtractOrphanedTasks(state, machine, free, projected);
   return { free, projected };
 }
+
+const noResources = (): Resources => ({ cpus: 0, gpus: 0, memory: 0 });
+
+/** Tasks that are reported without an assignment of that attempt take capacity too. */
+function subtractOrphanedTasks(
+  state: ClusterState,
+  machine: Machine,
+  free: Resources,
+  projected: Resources,
+): void {
+  for (const [key, task] of machine.reportedTasks) {
+    const job = state.jobs.byId.get(task.jobId);
+    if (job === undefined || machine.assignments.get(key)?.attempt === task.attempt) continue;
+    subtractResources(free, job.spec);
+    subtractResources(projected, job.spec);
+  }
+}
--- a/src/core/machines/image-cache.ts
+++ b/src/core/machines/image-cache.ts
@@ -1,31 +1,42 @@
-/** @file Which images a machine has cached. */
-import type { ClusterState } from '../state/cluster-state.js';
-import type { Machine } from '../model/machine.js';
+/** @file Which images a machine has cached, as far as the leader knows: it owns `Machine.cachedImages`. */
 import type { JobSpec } from '../model/job.js';
+import type { Machine } from '../model/machine.js';
 import type { MonotonicTime } from '../model/time.js';
+import type { ClusterState } from '../state/cluster-state.js';
 
-/** Notes that a machine has an image. What it caches is bounded: images that were used longest ago make way. */
+/** Notes that a machine has an image. The cache is bounded: images that were used longest ago are evicted. */
 export function recordImageUse(
   state: ClusterState,
   machine: Machine,
   spec: Pick<JobSpec, 'image' | 'imageGb'>,
   now: MonotonicTime,
 ): void {
-  const known = machine.cachedImages.get(spec.image);
-  if (known !== undefined) {
-    known.lastUsedAt = now;
+  const cached = machine.cachedImages.get(spec.image);
+  if (cached !== undefined) {
+    cached.lastUsedAt = now;
     return;
   }
   machine.cachedImages.set(spec.image, { gb: spec.imageGb, lastUsedAt: now });
-  const room = state.machines.types.get(machine.type)?.cacheGb ?? Infinity;
-  let held = 0;
-  for (const i of machine.cachedImages.values()) held += i.gb;
-  while (held > room && machine.cachedImages.size > 1) {
-    let oldest: string | null = null;
-    let at = now + 1n;
-    for (const [name, i] of machine.cachedImages) if (i.lastUsedAt < at) [oldest, at] = [name, i.lastUsedAt];
+  evictImages(machine, state.machines.types.get(machine.type)?.cacheGb ?? Infinity, now);
+}
+
+/** Evicts until the cache fits; the last image stays, whatever its size. */
+function evictImages({ cachedImages }: Machine, cacheGb: number, now: MonotonicTime): void {
+  let usedGb = 0;
+  for (const { gb } of cachedImages.values()) usedGb += gb;
+  while (usedGb > cacheGb && cachedImages.size > 1) {
+    const oldest = leastRecentlyUsed(cachedImages, now);
     if (oldest === null) return;
-    held -= machine.cachedImages.get(oldest)?.gb ?? 0;
-    machine.cachedImages.delete(oldest);
+    usedGb -= cachedImages.get(oldest)?.gb ?? 0;
+    cachedImages.delete(oldest);
   }
 }
+
+/** The image used longest ago, the first of equals; null: all were used later than now. */
+function leastRecentlyUsed(images: Machine['cachedImages'], now: MonotonicTime): string | null {
+  let oldest: string | null = null;
+  let oldestUseAt = now + 1n;
+  for (const [image, { lastUsedAt }] of images)
+    if (lastUsedAt < oldestUseAt) [oldest, oldestUseAt] = [image, lastUsedAt];
+  return oldest;
+}
--- a/src/core/machines/machine-registry.ts
+++ b/src/core/machines/machine-registry.ts
@@ -1,49 +1,51 @@
-/** @file The machines that the owner of a part knows. */
-import type { ClusterState } from '../state/cluster-state.js';
+/** @file Adds machines to those that the partition's leader knows. */
 import type { Machine } from '../model/machine.js';
 import type { MonotonicTime } from '../model/time.js';
+import type { ClusterState } from '../state/cluster-state.js';
 
-/** The machine of that name, made known when it is not. */
+/** The machine of that name, added when it is not known yet. */
 export function getOrAddMachine(state: ClusterState, name: string, now: MonotonicTime): Machine {
-  let machine = state.machines.byName.get(name);
-  if (machine === undefined) {
-    machine = {
-      name,
-      endpoint: '',
-      type: '',
-      zone: '',
-      spot: false,
-      agentEpoch: 0,
-      sequence: 0,
-      fencingToken: 0,
-      preemptionAt: null,
-      lastAcknowledgedAt: state.term.previousLeadersDeadline,
-      lastHeartbeatAt: 0n,
-      firstHeartbeatAt: null,
-      fenced: false,
-      lastExpiredEpoch: 0,
-      assignments: new Map(),
-      reportedTasks: new Map(),
-      cachedImages: new Map(),
-      failuresByJob: new Map(),
-      quarantined: false,
-      quarantinedSince: null,
-      idleSince: null,
-      instanceState: null,
-      lastListedAt: null,
-      releasing: false,
-      draining: false,
-      firstSeenAt: now,
-      answeredSequences: [],
-      unacknowledgedStarts: 0,
-      unacknowledgedSequence: 0,
-      unreachableSince: null,
-      probedAt: null,
-      resources: null,
-      hasOrphanedTasks: false,
-    };
-    state.machines.byName.set(name, machine);
-    state.machines.longestName = Math.max(state.machines.longestName, encodeURIComponent(name).length);
-  }
+  const known = state.machines.byName.get(name);
+  if (known !== undefined) return known;
+  const machine = newMachine(name, state.term.previousLeadersDeadline, now);
+  state.machines.byName.set(name, machine);
+  state.machines.longestName = Math.max(state.machines.longestName, encodeURIComponent(name).length);
   return machine;
 }
+
+/** A machine of which nothing is known: a previous leader may have acknowledged its heartbeats until its deadline. */
+const newMachine = (name: string, previousLeadersDeadline: MonotonicTime, now: MonotonicTime): Machine => ({
+  name,
+  endpoint: '',
+  type: '',
+  zone: '',
+  spot: false,
+  agentEpoch: 0,
+  sequence: 0,
+  fencingToken: 0,
+  preemptionAt: null,
+  lastAcknowledgedAt: previousLeadersDeadline,
+  lastHeartbeatAt: 0n,
+  firstHeartbeatAt: null,
+  fenced: false,
+  lastExpiredEpoch: 0,
+  assignments: new Map(),
+  reportedTasks: new Map(),
+  cachedImages: new Map(),
+  failuresByJob: new Map(),
+  quarantined: false,
+  quarantinedSince: null,
+  idleSince: null,
+  instanceState: null,
+  lastListedAt: null,
+  releasing: false,
+  draining: false,
+  firstSeenAt: now,
+  answeredSequences: [],
+  unacknowledgedStarts: 0,
+  unacknowledgedSequence: 0,
+  unreachableSince: null,
+  probedAt: null,
+  resources: null,
+  hasOrphanedTasks: false,
+});
--- a/src/core/model/job.ts
+++ b/src/core/model/job.ts
@@ -1,4 +1,5 @@
 import type { Duration, MonotonicTime } from './time.js';
+import type { PendingReason } from './pending-reasons.js';
 import type { TaskChunk } from './records.js';
 
 /** How the tasks of a job belong together. */
@@ -71,7 +72,7 @@
   firstSeenAt: MonotonicTime;
   /** When a running replica was last lost: its users are without it from then on. */
   replicaLostAt: MonotonicTime | null;
-  pendingReason: string;
+  pendingReason: PendingReason;
   /** From when its waiting counts: its submission, or the end of the last job that it needed; null: it waits for one. */
   readySince: Date | null;
   /** Its own priority, or that of a job that needs it if that is higher. */
--- a/src/core/model/machine.ts
+++ b/src/core/model/machine.ts
@@ -1,4 +1,4 @@
-import type { Resources } from '../scheduling/scoring.js';
+import type { Resources } from './resources.js';
 import type { Duration, MonotonicTime } from './time.js';
 import type { Assignment } from './assignment.js';
 import type { ReportedTask } from './heartbeat.js';
--- a/src/core/model/pending-reasons.ts
+++ b/src/core/model/pending-reasons.ts
@@ -1,2 +1,36 @@
-/** Why a gang waits. */
-export const NO_GANG_CAPACITY = 'no room for all tasks at once';
+/** @file Why a job has tasks without an assignment, in the words that log lines show. */
+
+/** No machine has capacity for a task. */
+export const NO_CAPACITY = 'no capacity';
+
+/** No choice of machines has capacity for all tasks of a gang at once. */
+export const NO_GANG_CAPACITY = 'no capacity for all tasks at once';
+
+/** Tasks of lower priority are being stopped for it. */
+export const PREEMPTION_IN_PROGRESS = 'preemption in progress beside the cached image';
+
+/** Its team's quota does not allow more tasks. */
+export const QUOTA_EXCEEDED = 'team quota';
+
+/** Machines have capacity, but not in the zones that its constraints allow. */
+export const ZONE_CONSTRAINTS = 'zone constraints';
+
+/** Tasks of the gang's previous attempt may still be running. */
+export const PREVIOUS_ATTEMPT_ENDING = 'tasks of the previous attempt have not all ended';
+
+/** Some of its dependencies are not done. */
+export const WAITING_FOR_DEPENDENCIES = 'waiting for dependencies';
+
+/** No scheduling cycle has considered it yet. */
+export const NOT_CONSIDERED_YET = 'new';
+
+/** Why a job has tasks without an assignment. */
+export type PendingReason =
+  | typeof NO_CAPACITY
+  | typeof NO_GANG_CAPACITY
+  | typeof PREEMPTION_IN_PROGRESS
+  | typeof QUOTA_EXCEEDED
+  | typeof ZONE_CONSTRAINTS
+  | typeof PREVIOUS_ATTEMPT_ENDING
+  | typeof WAITING_FOR_DEPENDENCIES
+  | typeof NOT_CONSIDERED_YET;
--- a/src/core/reconciliation/failure-detector.ts
+++ b/src/core/reconciliation/failure-detector.ts
@@ -1,4 +1,4 @@
-import { gracePeriod } from '../scheduling/preemption.js';
+import { gracePeriod } from '../scheduling/eviction.js';
 import { assignmentsOf, stopAssignment } from '../assignments/assignments.js';
 import type { Machine } from '../model/machine.js';
 import { estimatedSeconds } from '../jobs/deadline-slack.js';
--- /dev/null
+++ b/src/core/scheduling/candidates.ts
@@ -0,0 +1,80 @@
+/**
+ * @file The machines that may take tasks, with their capacity as one scheduling cycle sees it. A cycle reserves on these
+ * copies; the machines themselves change only when a task is assigned.
+ */
+import { isUsable, resourcesOf } from '../machines/free-resources.js';
+import type { JobSpec } from '../model/job.js';
+import type { Machine, MachineType } from '../model/machine.js';
+import { type Resources, copyResources, subtractResources } from '../model/resources.js';
+import { type Timestamp, toSeconds } from '../model/time.js';
+import type { ClusterState } from '../state/cluster-state.js';
+
+/** A machine that may take tasks, as one cycle sees it. */
+export interface Candidate {
+  readonly machine: Machine;
+  readonly type: MachineType;
+  /** Capacity that no assignment and no reported task takes. */
+  readonly free: Resources;
+  /** Free capacity with that of tasks being stopped, less what is reserved for jobs of higher priority. */
+  readonly projected: Resources;
+  taskCount: number;
+  /** Images being fetched there, by name, with the gigabytes that are at least still to come. */
+  readonly imagePulls: Map<string, number>;
+}
+
+/** The machines that may take tasks now, with their capacity. */
+export function collectCandidates(state: ClusterState, now: Timestamp): Candidate[] {
+  const candidates: Candidate[] = [];
+  for (const machine of state.machines.byName.values()) {
+    state.machines.scanned += 1;
+    const type = state.machines.types.get(machine.type);
+    if (type === undefined || !isUsable(state, machine, now.monotonic)) continue;
+    const { free, projected } = resourcesOf(state, machine);
+    candidates.push({
+      machine,
+      type,
+      free: copyResources(free),
+      projected: copyResources(projected),
+      taskCount: machine.assignments.size,
+      imagePulls: imagePullsOn(state, machine, type, now),
+    });
+  }
+  return candidates;
+}
+
+/** What a machine is fetching, by the assignments on it that wait for an image. */
+function imagePullsOn(
+  state: ClusterState,
+  machine: Machine,
+  type: MachineType,
+  now: Timestamp,
+): Map<string, number> {
+  const pulls = new Map<string, number>();
+  for (const assignment of machine.assignments.values()) {
+    if (assignment.phase !== 'placed' && assignment.phase !== 'fetching') continue;
+    const job = state.jobs.byId.get(assignment.jobId);
+    if (job === undefined || machine.cachedImages.has(job.spec.image)) continue;
+    const { image, imageGb } = job.spec;
+    const fetchedGb = toSeconds(now.monotonic - assignment.createdAt) * type.fetchGbPerS;
+    const remainingGb = Math.max(0, imageGb - fetchedGb);
+    pulls.set(image, Math.min(pulls.get(image) ?? Infinity, remainingGb));
+  }
+  return pulls;
+}
+
+/** Reserves capacity for one task that starts on the candidate, and its image pull. */
+export function reserveTask(candidate: Candidate, spec: JobSpec): void {
+  subtractResources(candidate.free, spec);
+  subtractResources(candidate.projected, spec);
+  candidate.taskCount += 1;
+  if (!candidate.machine.cachedImages.has(spec.image) && !candidate.imagePulls.has(spec.image))
+    candidate.imagePulls.set(spec.image, spec.imageGb);
+}
+
+/** A candidate on which a plan can reserve without effect on the cycle. */
+export const copyCandidate = (candidate: Candidate): Candidate => ({
+  ...candidate,
+  free: copyResources(candidate.free),
+  projected: copyResources(candidate.projected),
+  imagePulls: new Map(candidate.imagePulls),
+});
--- /dev/null
+++ b/src/core/scheduling/eviction.ts
@@ -0,0 +1,58 @@
+/** @file Stops tasks for a job that preempts them, with the time that they need for a checkpoint where there is any. */
+import { assignmentsOf, stopAssignment } from '../assignments/assignments.js';
+import { pendingSeconds } from '../jobs/deadline-slack.js';
+import { type Assignment, taskKey } from '../model/assignment.js';
+import type { Job } from '../model/job.js';
+import { seconds, toSeconds } from '../model/time.js';
+import { emitLog } from '../state/log-effects.js';
+import type { SchedulingCycle } from './cycle-context.js';
+
+/** A start objective that was missed by more than this no longer shortens the time for checkpoints. */
+const OBJECTIVE_TOLERANCE_S = 5;
+
+/** Seconds that a stopped task of the job gets for its checkpoint; 0: it makes none. */
+export function gracePeriod(job: Job): number {
+  return job.spec.checkpointInterval > 0n ? toSeconds(job.spec.checkpointDuration) + 1 : 0;
+}
+
+/** Stops a victim of a preemption, and with one task of a gang all the others. */
+export function evict(cycle: SchedulingCycle, assignment: Assignment, preemptor: Job): void {
+  const { state, now } = cycle;
+  const victim = state.jobs.byId.get(assignment.jobId);
+  if (victim === undefined || assignment.stopRequest !== null) return;
+  emitLog(
+    state,
+    'task preempted',
+    {
+      task: taskKey(assignment.jobId, assignment.taskIndex),
+      machine: assignment.machineName,
+      class: victim.spec.class,
+      preemptor: preemptor.spec.id,
+      preemptorClass: preemptor.spec.class,
+    },
+    'info',
+  );
+  const grace = checkpointWouldBeTooLate(cycle, victim, preemptor) ? 0 : gracePeriod(victim);
+  victim.preemptionCount += 1;
+  const stopped = victim.spec.kind === 'gang' ? assignmentsOf(victim) : [assignment];
+  for (const each of stopped) stopAssignment(state, each, grace, 'preempted', now.monotonic);
+}
+
+/** A checkpoint takes longer than the preemptor can wait: an array task then falls back to its last one. */
+const checkpointWouldBeTooLate = (cycle: SchedulingCycle, victim: Job, preemptor: Job): boolean =>
+  victim.spec.kind === 'array' &&
+  preemptor.spec.priority === 'production' &&
+  startObjectiveSeconds(cycle, preemptor) < gracePeriod(victim);
+
+/** Seconds in which the job should start by the objectives of its class; infinite without one that is still in force. */
+function startObjectiveSeconds({ state, now }: SchedulingCycle, job: Job): number {
+  let within = Infinity;
+  for (const objective of state.config.objectives)
+    if (objective.kind === 'wait' && objective.class === job.spec.class && objective.threshold !== null)
+      within = Math.min(within, toSeconds(objective.threshold));
+  if (within === Infinity) return Infinity;
+  const inForceSeconds = within + OBJECTIVE_TOLERANCE_S;
+  const replicaJustLost =
+    job.replicaLostAt !== null && now.monotonic - job.replicaLostAt < seconds(inForceSeconds);
+  return pendingSeconds(job, now) > inForceSeconds && !replicaJustLost ? Infinity : within;
+}
--- /dev/null
+++ b/src/core/scheduling/preemption-plan.ts
@@ -0,0 +1,105 @@
+/** @file Finds the cheapest capacity for tasks of a blocked job, and which assignments to stop for it. Stops nothing. */
+import { assignmentsByZone } from '../assignments/assignments.js';
+import type { Assignment } from '../model/assignment.js';
+import type { Job } from '../model/job.js';
+import { addResources, copyResources, fits } from '../model/resources.js';
+import type { Candidate } from './candidates.js';
+import type { SchedulingCycle } from './cycle-context.js';
+import { IMAGE_FETCH_WEIGHT, evictionCost } from './eviction-cost.js';
+import { isZoneAllowed } from './placement-constraints.js';
+import { mayPreempt } from './priority.js';
+import { type Reservation, reserve } from './reservation.js';
+import { imageFetchDelay } from './scoring.js';
+
+/** Reserves capacity for up to `taskCount` tasks on the given machines, task by task at the least cost. */
+export function reserveCheapest(
+  cycle: SchedulingCycle,
+  job: Job,
+  candidates: readonly Candidate[],
+  taskCount: number,
+): Reservation[] {
+  const { state } = cycle;
+  const tasksByZone = assignmentsByZone(job);
+  const reservations: Reservation[] = [];
+  const victims = new Set<Assignment>();
+  // Each machine's offer is computed once, and again only after one of its own was taken.
+  const offers = candidates.map((candidate) => cheapestOn(cycle, job, candidate, victims));
+  while (reservations.length < taskCount && state.jobs.quotas.allows(job.spec, reservations.length + 1)) {
+    const index = indexOfCheapest(offers, job, tasksByZone);
+    const offer = offers[index];
+    if (offer === undefined || offer === null) break;
+    const { zone } = offer.candidate.machine;
+    reserve(state, job, offer);
+    for (const assignment of offer.victims) victims.add(assignment);
+    tasksByZone.set(zone, (tasksByZone.get(zone) ?? 0) + 1);
+    reservations.push(offer);
+    offers[index] = cheapestOn(cycle, job, offer.candidate, victims);
+  }
+  return reservations;
+}
+
+/** The first of the cheapest offers in zones that the job may use; -1: there is none. */
+function indexOfCheapest(
+  offers: readonly (Reservation | null)[],
+  job: Job,
+  tasksByZone: ReadonlyMap<string, number>,
+): number {
+  let cheapest = -1;
+  let lowestCost = Infinity;
+  for (let index = 0; index < offers.length; index++) {
+    const offer = offers[index];
+    if (offer === null || offer === undefined || (cheapest >= 0 && offer.cost >= lowestCost)) continue;
+    if (!isZoneAllowed(job, offer.candidate.machine.zone, tasksByZone)) continue;
+    cheapest = index;
+    lowestCost = offer.cost;
+  }
+  return cheapest;
+}
+
+/** Capacity for one task on the candidate, where possible without victims; null: not even with all that it may stop. */
+function cheapestOn(
+  cycle: SchedulingCycle,
+  job: Job,
+  candidate: Candidate,
+  chosenVictims: ReadonlySet<Assignment>,
+): Reservation | null {
+  if (fits(job.spec, candidate.projected))
+    return { candidate, victims: [], cost: imageFetchCost(cycle, job, candidate) };
+  const projected = copyResources(candidate.projected);
+  const victims: Assignment[] = [];
+  let cost = 0;
+  for (const victim of possibleVictims(cycle, job, candidate, chosenVictims)) {
+    addResources(projected, victim.job.spec);
+    victims.push(victim.assignment);
+    cost += victim.cost;
+    if (fits(job.spec, projected))
+      return { candidate, victims, cost: cost + imageFetchCost(cycle, job, candidate) };
+  }
+  return null;
+}
+
+const imageFetchCost = ({ state }: SchedulingCycle, job: Job, candidate: Candidate): number =>
+  imageFetchDelay(job.spec, candidate, state.settings) * IMAGE_FETCH_WEIGHT;
+
+interface PossibleVictim {
+  readonly assignment: Assignment;
+  readonly job: Job;
+  readonly cost: number;
+}
+
+/** Assignments on the candidate that the job may preempt, cheapest first. */
+function possibleVictims(
+  { state, now }: SchedulingCycle,
+  preemptor: Job,
+  { machine }: Candidate,
+  chosenVictims: ReadonlySet<Assignment>,
+): PossibleVictim[] {
+  const possible: PossibleVictim[] = [];
+  for (const assignment of machine.assignments.values()) {
+    const job = state.jobs.byId.get(assignment.jobId);
+    if (job === undefined || assignment.stopRequest !== null || chosenVictims.has(assignment)) continue;
+    if (mayPreempt(preemptor, job))
+      possible.push({ assignment, job, cost: evictionCost(assignment, job, now) });
+  }
+  return possible.sort((left, right) => left.cost - right.cost);
+}
--- a/src/core/scheduling/priority.ts
+++ b/src/core/scheduling/priority.ts
@@ -1,46 +1,63 @@
-/** @file The strict order among jobs: priorities and guarantees. */
-import type { ClusterState } from '../state/cluster-state.js';
+/** @file The strict order among jobs, by priority and fair share, and which of them may preempt which. */
+import type { ClusterConfig, Team } from '../model/cluster-config.js';
 import { type Job, priorityRank } from '../model/job.js';
+import { RESOURCE_EPSILON } from '../model/resources.js';
+import type { ClusterState } from '../state/cluster-state.js';
+
+const PRODUCTION_PRIORITY = 1000;
+
+/** More than all ranks of priorities below production. */
+const FAIR_SHARE_BONUS = 10;
 
 /**
- * Levels give waiting and running work one strict order, so that two jobs can never take each other's place in turn:
- * production first, then work inside its team's guarantee, then borrowed work; by priority within each.
+ * Scheduling priorities give pending and running work one strict order, so that two jobs can never preempt each other in
+ * turn: production first, then work inside its team's fair share, then borrowed work; by priority within each.
  */
 export function schedulingPriority(job: Job): number {
-  if (job.priority === 'production') return 1000;
-  return (job.withinFairShare ? 10 : 0) + priorityRank(job.priority);
+  if (job.priority === 'production') return PRODUCTION_PRIORITY;
+  return (job.withinFairShare ? FAIR_SHARE_BONUS : 0) + priorityRank(job.priority);
 }
 
-/** A job is inside the guarantee if it fits there together with its team's earlier unfinished jobs. */
+/** Updates which active jobs are inside their team's fair share, together with the team's earlier unfinished jobs. */
 export function updateFairShares(state: ClusterState): void {
-  const byTeam = new Map<string, Job[]>();
-  for (const id of state.jobs.active) {
-    const job = state.jobs.byId.get(id);
-    if (job === undefined) continue;
-    const list = byTeam.get(job.spec.team) ?? [];
-    list.push(job);
-    byTeam.set(job.spec.team, list);
-  }
-  for (const [name, jobs] of byTeam) {
-    const team = state.config.teams.find((team) => team.name === name);
-    jobs.sort(
-      (a, b) => a.submittedAt.getTime() - b.submittedAt.getTime() || (a.spec.id < b.spec.id ? -1 : 1),
-    );
+  for (const [teamName, jobs] of activeJobsByTeam(state)) {
+    const team = findTeam(state.config, teamName);
+    jobs.sort(compareSubmitted);
     let cpus = 0;
     let gpus = 0;
     for (const job of jobs) {
       cpus += job.spec.cpus * job.spec.taskCount;
       gpus += job.spec.gpus * job.spec.taskCount;
-      job.withinFairShare =
-        team !== undefined &&
-        (team.fairShareCpus > 0 || team.fairShareGpus > 0) &&
-        (team.fairShareCpus <= 0 || cpus <= team.fairShareCpus + 1e-6) &&
-        (team.fairShareGpus <= 0 || gpus <= team.fairShareGpus + 1e-6);
+      job.withinFairShare = team !== undefined && isWithinFairShare(team, cpus, gpus);
     }
   }
 }
 
-/** Whether the blocked job may take the victim's place. Equal or higher priority gives way only to a guarantee. */
+function activeJobsByTeam(state: ClusterState): Map<string, Job[]> {
+  const byTeam = new Map<string, Job[]>();
+  for (const id of state.jobs.active) {
+    const job = state.jobs.byId.get(id);
+    if (job === undefined) continue;
+    const jobs = byTeam.get(job.spec.team);
+    if (jobs === undefined) byTeam.set(job.spec.team, [job]);
+    else jobs.push(job);
+  }
+  return byTeam;
+}
+
+const findTeam = (config: ClusterConfig, name: string): Team | undefined =>
+  config.teams.find((team) => team.name === name);
+
+const compareSubmitted = (left: Job, right: Job): number =>
+  left.submittedAt.getTime() - right.submittedAt.getTime() || (left.spec.id < right.spec.id ? -1 : 1);
+
+/** Whether the amounts fit the team's fair share; a share of 0 is none, and a team without any borrows everything. */
+const isWithinFairShare = (team: Team, cpus: number, gpus: number): boolean =>
+  (team.fairShareCpus > 0 || team.fairShareGpus > 0) &&
+  (team.fairShareCpus <= 0 || cpus <= team.fairShareCpus + RESOURCE_EPSILON) &&
+  (team.fairShareGpus <= 0 || gpus <= team.fairShareGpus + RESOURCE_EPSILON);
+
+/** Whether a blocked job may preempt a victim. Equal or higher priority yields only to another team's fair share. */
 export function mayPreempt(job: Job, victim: Job): boolean {
   if (schedulingPriority(job) <= schedulingPriority(victim)) return false;
   return priorityRank(victim.priority) < priorityRank(job.priority) || victim.spec.team !== job.spec.team;
--- /dev/null
+++ b/src/core/scheduling/reservation.ts
@@ -0,0 +1,35 @@
+/**
+ * @file Capacity kept for a blocked job within a cycle. It is taken from the projected capacity of candidates, so that
+ * work of lower priority does not get it while the tasks that make room are still ending.
+ */
+import type { Assignment } from '../model/assignment.js';
+import type { Job } from '../model/job.js';
+import { addResources, subtractResources } from '../model/resources.js';
+import type { ClusterState } from '../state/cluster-state.js';
+import type { Candidate } from './candidates.js';
+
+/** Capacity for one task of a blocked job, and the assignments that must be stopped for it. */
+export interface Reservation {
+  readonly candidate: Candidate;
+  readonly victims: readonly Assignment[];
+  /** What stopping the victims and fetching the image lose. */
+  readonly cost: number;
+}
+
+/** Takes the reservation out of the candidate's projected capacity, to which the victims' capacity is added. */
+export function reserve(state: ClusterState, job: Job, { candidate, victims }: Reservation): void {
+  subtractResources(candidate.projected, job.spec);
+  for (const assignment of victims) {
+    const victim = state.jobs.byId.get(assignment.jobId);
+    if (victim !== undefined) addResources(candidate.projected, victim.spec);
+  }
+}
+
+/** Undoes `reserve`. */
+export function releaseReservation(state: ClusterState, job: Job, { candidate, victims }: Reservation): void {
+  addResources(candidate.projected, job.spec);
+  for (const assignment of victims) {
+    const victim = state.jobs.byId.get(assignment.jobId);
+    if (victim !== undefined) subtractResources(candidate.projected, victim.spec);
+  }
+}
--- a/src/core/scheduling/scoring.ts
+++ b/src/core/scheduling/scoring.ts
@@ -1,80 +1,74 @@
-import type { Job, JobSpec } from '../model/job.js';
-import type { OperatorSettings } from '../model/operator-settings.js';
-import type { Machine, MachineType } from '../model/machine.js';
-import { toSeconds } from '../model/time.js';
-
 /**
- * The design's core: filter by request, score by weighted delays plus contention, pick the largest smaller free
- * share within the band. The names are the paper's: r (free resources), c (request), ζ (tasks held), Ω, Γ, λ.
+ * @file The cost model and the choice among machines, from "Delay-Aware Container Scheduling in Kubernetes" (*the paper*;
+ * docs/design.md says what was kept and what was changed). Filter by request, score by weighted delays plus contention,
+ * pick the largest smaller free share within the band. This is the only file that uses the paper's symbols:
+ *
+ * | symbol | paper | here |
+ * | --- | --- | --- |
+ * | r_i | free resources of machine i | `Candidate.free` |
+ * | c_j | the request of task j | `cpus`, `memory` and `gpus` of the job's specification |
+ * | ζ_i (zeta) | tasks held by machine i | `Candidate.taskCount` |
+ * | Ã | eq. (9) | `grantedCpu` |
+ * | t^IM | eq. (10) | `imageFetchDelay` |
+ * | Γ (gamma) | eq. (18) | `contentionCost` |
+ * | Ω (omega) | eq. (3), Algorithm 2 | `placementCost` |
+ * | α (alpha) | weight of the processing delay against the network delay | `settings.alpha` |
+ * | φ (phi) | share of the free CPU that a task may be granted beyond its request | `settings.phi` |
+ * | λ (lambda) | seconds: machines this close to the best cost count as equal | `settings.lambda` |
+ * | βCS, βRC | seconds of contention: of any task held, and doubling with each | `settings.betaCs`, `settings.betaRc` |
+ *
+ * Everything here is pure. Scores are updated in place: a cycle computes hundreds of thousands of them.
  */
-export interface Resources {
-  cpus: number;
-  gpus: number;
-  memory: number;
-}
-
-/** A machine that may take tasks, as one pass sees it. */
-export interface Candidate {
-  readonly machine: Machine;
-  readonly type: MachineType;
-  /** r_i: what no intent and no reported task takes. */
-  readonly free: Resources;
-  /** r_i and what is being stopped, less what is promised to work of a higher level. */
-  readonly projected: Resources;
-  /** ζ_i: tasks held. */
-  taskCount: number;
-  /** Images being fetched there, by name, with the gigabytes that are at least still to come. */
-  readonly imagePulls: Map<string, number>;
-}
+import type { JobSpec } from '../model/job.js';
+import type { OperatorSettings } from '../model/operator-settings.js';
+import { toSeconds } from '../model/time.js';
+import type { Candidate } from './candidates.js';
 
+/** Shares and bandwidths that differ by less than this count as equal. */
 const EPSILON = 1e-6;
 
-/** Whether a request fits into what is free. */
-export function fits(spec: JobSpec, r: Resources): boolean {
-  return spec.cpus <= r.cpus + EPSILON && spec.gpus <= r.gpus + EPSILON && spec.memory <= r.memory + EPSILON;
+/** CPUs that a task is granted, eq. (9), with twice the request as the limit. */
+export function grantedCpu(requestedCpus: number, freeCpus: number, grantableShare: number): number {
+  return Math.max(requestedCpus, Math.min(grantableShare * freeCpus, 2 * requestedCpus));
 }
 
-/** Ã, eq. (9), with twice the request as the limit. */
-export function grantedCpu(c: number, r: number, phi: number): number {
-  return Math.max(c, Math.min(phi * r, 2 * c));
+/** Seconds lost by contention, eq. (18): nothing on an empty machine, doubling with each task held. */
+export function contentionCost(taskCount: number, settings: OperatorSettings): number {
+  return taskCount > 0 ? settings.betaCs + 2 ** (taskCount - 1) * settings.betaRc : 0;
 }
 
-/** Γ, eq. (18): nothing on an empty machine, doubling with each task held. */
-export function contentionCost(zeta: number, settings: OperatorSettings): number {
-  return zeta > 0 ? settings.betaCs + 2 ** (zeta - 1) * settings.betaRc : 0;
+/** Seconds that the task should run there, eq. (8) with the run-time estimate instead of a data volume. */
+function processingDelay(spec: JobSpec, candidate: Candidate, settings: OperatorSettings): number {
+  const estimate = toSeconds(spec.estimatedDuration);
+  const granted = grantedCpu(spec.cpus, candidate.free.cpus, settings.phi);
+  return granted > 0 ? (estimate * spec.cpus) / granted : estimate;
 }
 
 /**
  * Seconds until the image is there: none for a cached one. Images fetched at the same time share the machine's
- * bandwidth (ours; the paper's network delay takes the bandwidth that is free), and one that is under way already has
- * only its rest to come.
+ * bandwidth (ours; the paper's network delay, eq. (10), takes the bandwidth that is free), and one that is under way
+ * already has only its rest to come.
  */
 export function imageFetchDelay(spec: JobSpec, candidate: Candidate, settings: OperatorSettings): number {
   if (candidate.machine.cachedImages.has(spec.image)) return 0;
   const bandwidth = Math.max(settings.bandwidth ?? candidate.type.fetchGbPerS, EPSILON);
-  const rest = candidate.imagePulls.get(spec.image);
-  const sharers = candidate.imagePulls.size + (rest === undefined ? 1 : 0);
-  return ((rest ?? spec.imageGb) * sharers) / bandwidth;
+  const remainingGb = candidate.imagePulls.get(spec.image);
+  const concurrentPulls = candidate.imagePulls.size + (remainingGb === undefined ? 1 : 0);
+  return ((remainingGb ?? spec.imageGb) * concurrentPulls) / bandwidth;
 }
 
-/** Ω in seconds for running `c` on the candidate. */
+/** Seconds that running a task of the job on the candidate costs: Ω of eq. (3) and Algorithm 2. */
 export function placementCost(spec: JobSpec, candidate: Candidate, settings: OperatorSettings): number {
-  const granted = grantedCpu(spec.cpus, candidate.free.cpus, settings.phi);
-  const processing =
-    granted > 0
-      ? (toSeconds(spec.estimatedDuration) * spec.cpus) / granted
-      : toSeconds(spec.estimatedDuration);
-  const network = imageFetchDelay(spec, candidate, settings);
   return (
-    settings.alpha * processing +
-    (1 - settings.alpha) * network +
+    settings.alpha * processingDelay(spec, candidate, settings) +
+    (1 - settings.alpha) * imageFetchDelay(spec, candidate, settings) +
     contentionCost(candidate.taskCount, settings)
   );
 }
 
 const share = (part: number, whole: number): number => (whole > 0 ? part / whole : 1);
 
-/** The smaller of the free CPU and free memory shares. */
+/** The smaller of the free CPU and free memory shares, eq. (17) with shares instead of raw amounts. */
 export function freeShare(candidate: Candidate): number {
   return Math.min(
     share(candidate.free.cpus, candidate.type.cpus),
@@ -82,7 +76,10 @@
   );
 }
 
-/** A candidate with what decides between it and the others. It is counted anew only when something is placed there. */
+/** Ranks machines that cost about the same for a job; the smallest value wins. */
+export type TieBreaker = (candidate: Candidate) => number;
+
+/** A candidate with what decides between it and the others. It is scored again only when a task is reserved there. */
 export interface ScoredCandidate {
   readonly candidate: Candidate;
   cost: number;
@@ -90,77 +87,56 @@
   tieBreak: number;
 }
 
-/** Scores a machine for a request. */
+/** Scores a machine for a task of the job. */
 export function scoreCandidate(
   spec: JobSpec,
   candidate: Candidate,
   settings: OperatorSettings,
-  steer: (candidate: Candidate) => number,
+  tieBreaker: TieBreaker,
 ): ScoredCandidate {
   return {
     candidate,
     cost: placementCost(spec, candidate, settings),
     freeShare: freeShare(candidate),
-    tieBreak: steer(candidate),
+    tieBreak: tieBreaker(candidate),
   };
 }
 
+/** Scores a machine again, in place, after a task was reserved there. */
+export function updateScore(
+  scored: ScoredCandidate,
+  spec: JobSpec,
+  settings: OperatorSettings,
+  tieBreaker: TieBreaker,
+): void {
+  scored.cost = placementCost(spec, scored.candidate, settings);
+  scored.freeShare = freeShare(scored.candidate);
+  scored.tieBreak = tieBreaker(scored.candidate);
+}
+
 /**
- * Algorithm 2: among the candidates within λ of the best Ω, the largest smaller free share. `steer` (ours) narrows the
- * band first: those with the smallest value stay.
+ * Algorithm 2: among the candidates within λ of the best Ω, the largest smaller free share. The tie-breaker (ours)
+ * narrows that band first: those with its smallest value stay.
  */
 export function pickBest(
-  rows: readonly ScoredCandidate[],
+  scored: readonly ScoredCandidate[],
   settings: OperatorSettings,
 ): ScoredCandidate | null {
-  let best = Infinity;
-  for (const row of rows) if (row.cost < best) best = row.cost;
-  const band = best + settings.lambda;
-  let chosen: ScoredCandidate | null = null;
-  for (const row of rows) {
-    if (row.cost > band) continue;
-    if (chosen === null || row.tieBreak < chosen.tieBreak) {
-      chosen = row;
-      continue;
-    }
-    // Equal shares go by name, so that the same picture always gives the same place.
-    if (
-      row.tieBreak === chosen.tieBreak &&
-      (row.freeShare > chosen.freeShare + EPSILON ||
-        (Math.abs(row.freeShare - chosen.freeShare) <= EPSILON &&
-          row.candidate.machine.name < chosen.candidate.machine.name))
-    )
-      chosen = row;
-  }
-  return chosen;
+  let lowestCost = Infinity;
+  for (const { cost } of scored) if (cost < lowestCost) lowestCost = cost;
+  const highestCost = lowestCost + settings.lambda;
+  let best: ScoredCandidate | null = null;
+  for (const option of scored)
+    if (option.cost <= highestCost && (best === null || isBetter(option, best))) best = option;
+  return best;
 }
 
-/** What a job asks of a machine. */
-export type ResourceShape = Pick<JobSpec, 'cpus' | 'gpus' | 'memory' | 'machineTypes' | 'zone' | 'allowSpot'>;
-
-/** Whether whatever has no room for `b` surely has none for `a` either. */
-export function needsAtLeast(a: ResourceShape, b: ResourceShape): boolean {
-  if (a.cpus < b.cpus || a.gpus < b.gpus || a.memory < b.memory) return false;
-  if (a.allowSpot && !b.allowSpot) return false;
-  if (b.zone !== null && a.zone !== b.zone) return false;
+/** Equal shares go by name, so that the same state always gives the same assignment. */
+function isBetter(option: ScoredCandidate, best: ScoredCandidate): boolean {
+  if (option.tieBreak !== best.tieBreak) return option.tieBreak < best.tieBreak;
   return (
-    b.machineTypes === null ||
-    (a.machineTypes !== null && a.machineTypes.every((t) => b.machineTypes?.includes(t) === true))
+    option.freeShare > best.freeShare + EPSILON ||
+    (Math.abs(option.freeShare - best.freeShare) <= EPSILON &&
+      option.candidate.machine.name < best.candidate.machine.name)
   );
 }
-
-/** Zones in which another task of the job may start, given where its tasks may be now. */
-export function isZoneAllowed(job: Job, zone: string, taken: ReadonlyMap<string, number>): boolean {
-  const spec = job.spec;
-  if (spec.zone !== null && spec.zone !== zone) return false;
-  if (spec.singleZone) for (const [z, n] of taken) if (n > 0 && z !== zone) return false;
-  if (spec.spreadAcrossZones && (taken.get(zone) ?? 0) + 1 > Math.ceil(spec.taskCount / 2)) return false;
-  return true;
-}
-
-/** What the job's own words say about a machine, whatever is free on it. */
-export function isMachineAllowed(spec: JobSpec, machine: Machine): boolean {
-  if (spec.machineTypes !== null && !spec.machineTypes.includes(machine.type)) return false;
-  if (machine.spot && !spec.allowSpot) return false;
-  return spec.zone === null || spec.zone === machine.zone;
-}
--- a/src/core/state/scheduling-state.ts
+++ b/src/core/state/scheduling-state.ts
@@ -16,13 +16,9 @@
   lastCycleAt: MonotonicTime;
   /** Moving average, measured by the caller: the core reads no clock. */
   averageCycleDuration: Duration;
-  /** The gang for which the current cycle keeps free capacity together. */
-  gangHoldingCapacity: string | null;
   starvedGang: StarvedGang | null;
   /** Some active job has a task that takes most of a machine. */
   wholeMachineNeeded: boolean;
-  /** Jobs for which the current cycle has reserved capacity already. */
-  readonly jobsWithReservations: Set<string>;
 }
 
 /** No cycle has run yet. */
@@ -30,8 +26,6 @@
   cycleNeeded: true,
   lastCycleAt: startedAt,
   averageCycleDuration: 0n,
-  gangHoldingCapacity: null,
   starvedGang: null,
   wholeMachineNeeded: false,
-  jobsWithReservations: new Set(),
 });
--- a/test/fleet-sizing.test.ts
+++ b/test/fleet-sizing.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { forecastDemand } from '../src/core/capacity/demand-forecast.js';
 import type { JobSpec } from '../src/core/model/job.js';
-import { minCycleInterval } from '../src/core/scheduling/scheduling-cycle.js';
+import { minCycleInterval } from '../src/core/scheduling/cycle-interval.js';
 import { seconds, toSeconds } from '../src/core/model/time.js';
 import { CLUSTER_CONFIG } from './fixtures/cluster-config.js';
 import { timeAt } from './fixtures/clock.js';
--- a/test/leader-overload.test.ts
+++ b/test/leader-overload.test.ts
@@ -3,7 +3,7 @@
 import { Duplex } from 'node:stream';
 import { test } from 'node:test';
 import type { Transaction } from '../src/core/persistence/transactions.js';
-import { minCycleInterval } from '../src/core/scheduling/scheduling-cycle.js';
+import { minCycleInterval } from '../src/core/scheduling/cycle-interval.js';
 import { seconds } from '../src/core/model/time.js';
 import type { Effect } from '../src/core/model/effects.js';
 import type { WorkerCommand } from '../src/core/model/worker-command.js';
--- a/test/trace-runner.ts
+++ b/test/trace-runner.ts
@@ -7,7 +7,7 @@
 import { ClusterScheduler, type Event } from '../src/core/cluster-scheduler.js';
 import type { JobRecord, JobSpec } from '../src/core/model/job.js';
 import type { Heartbeat } from '../src/core/model/heartbeat.js';
-import { pendingJobsInOrder } from '../src/core/scheduling/scheduling-cycle.js';
+import { pendingJobsInOrder } from '../src/core/scheduling/job-queue.js';
 import { seconds, type Timestamp } from '../src/core/model/time.js';
 import type { Effect } from '../src/core/model/effects.js';
 import { timeAt } from './fixtures/clock.js';
