--- a/src/core/capacity/draining.ts
+++ b/src/core/capacity/draining.ts
@@ -8,7 +8,7 @@
 import type { Machine, MachineType } from '../model/machine.js';
 import { NO_GANG_CAPACITY } from '../model/pending-reasons.js';
 import { type Timestamp, toSeconds } from '../model/time.js';
-import { NO_CAPACITY, PREEMPTION_IN_PROGRESS } from '../scheduling/scheduling-cycle.js';
+import { NO_CAPACITY, PREEMPTION_IN_PROGRESS } from '../model/pending-reasons.js';
 import type { Resources } from '../model/resources.js';
 import type { ClusterState } from '../state/cluster-state.js';
 import { usedShare } from './utilization.js';
--- a/src/core/capacity/fleet-sizing.ts
+++ b/src/core/capacity/fleet-sizing.ts
@@ -2,7 +2,7 @@
 import type { Job } from '../model/job.js';
 import type { Timestamp } from '../model/time.js';
 import { runSchedulingCycle } from '../scheduling/scheduling-cycle.js';
-import { displacedReplicas } from '../scheduling/zone-availability.js';
+import { displacedReplicas } from '../scheduling/displaced-replicas.js';
 import type { ClusterState } from '../state/cluster-state.js';
 import { chooseDrainingMachines } from './draining.js';
 import { machinesToRelease } from './machine-release.js';
--- a/src/core/model/job.ts
+++ b/src/core/model/job.ts
@@ -1,4 +1,5 @@
 /** @file Jobs: as submitted, as recorded in the state store, and as the leader knows them. */
+import type { PendingReason } from './pending-reasons.js';
 import type { Duration, MonotonicTime } from './time.js';
 import type { TaskChunk } from './records.js';
 
@@ -78,7 +79,7 @@
   firstSeenAt: MonotonicTime;
   /** When a running replica was last lost: its users are without it from then on. */
   replicaLostAt: MonotonicTime | null;
-  pendingReason: string;
+  pendingReason: PendingReason;
   /** From when it counts as pending: its submission, or the end of the last dependency; null: a dependency is open. */
   readySince: Date | null;
   /** Its own priority, or that of a job that depends on it if that is higher. */
--- a/src/core/periodic/maintenance.ts
+++ b/src/core/periodic/maintenance.ts
@@ -13,7 +13,7 @@
 import { handlePreemptionNotices } from '../reconciliation/preemption-notices.js';
 import { probeUnreachableMachines } from '../reconciliation/reachability.js';
 import { expireLeases } from '../reconciliation/worker-leases.js';
-import { observeZones } from '../scheduling/zone-availability.js';
+import { observeZones } from '../scheduling/zone-observation.js';
 import type { ClusterState } from '../state/cluster-state.js';
 import { mayStartTasks } from '../state/leadership-timing.js';
 import { isOverloaded } from '../state/overload.js';
