--- a/src/core/capacity/fleet-summary.ts
+++ b/src/core/capacity/fleet-summary.ts
@@ -1,5 +1,6 @@
 /** @file Sums up the fleet and the pending work in the log, for whoever is on call. It changes nothing. */
 import { freeOn, isUsable } from '../machines/free-resources.js';
+import type { LogFields } from '../model/effects.js';
 import type { Job } from '../model/job.js';
 import type { Timestamp } from '../model/time.js';
 import type { ClusterState } from '../state/cluster-state.js';
@@ -39,7 +40,7 @@
   return counts;
 }
 
-function countPending(state: ClusterState): Record<string, unknown> {
+function countPending(state: ClusterState): LogFields {
   let pendingTasks = 0;
   let oldest: Job | null = null;
   for (const id of state.jobs.pending) {
--- a/src/core/cluster-scheduler.ts
+++ b/src/core/cluster-scheduler.ts
@@ -27,7 +27,12 @@
 import { minCycleInterval, runSchedulingCycle } from './scheduling/scheduling-cycle.js';
 import { newClusterState, type ClusterState } from './state/cluster-state.js';
 import { mayStartTasks } from './state/leadership-timing.js';
-import type { LeadershipTerm } from './state/term-state.js';
+import {
+  type LeadershipTerm,
+  advanceFencingToken,
+  confirmLeadership,
+  recordEventLoopLag,
+} from './state/term-state.js';
 
 /** The leader of a partition during one term: all that it knows, and what follows from each event. */
 export class ClusterScheduler {
@@ -62,8 +67,7 @@
 
   /** Records how late a timer of the process fired. */
   recordEventLoopLag(lag: Duration): void {
-    const { term } = this.state;
-    term.eventLoopLag = (term.eventLoopLag * 3n + lag) / 4n;
+    recordEventLoopLag(this.state.term, lag);
   }
 
   /** The commands for the answer to a heartbeat that was just handled. */
@@ -104,12 +108,9 @@
         onCommitted(state, event.transaction, event.modRevision, now);
         return sendCommittedStarts(state, event.transaction, now);
       case 'leadership-confirmed':
-        if (event.confirmedAt > state.term.confirmedAt) state.term.confirmedAt = event.confirmedAt;
-        return;
+        return confirmLeadership(state.term, event.confirmedAt);
       case 'token-advanced':
-        state.term.fencingToken = event.fencingToken;
-        state.term.tokenAdvancedAt = now.monotonic;
-        return;
+        return advanceFencingToken(state.term, event.fencingToken, now.monotonic);
       case 'machine-types':
         return updateMachineTypes(state, event.types);
       case 'instance-inventory':
--- a/src/core/commands/command-outcomes.ts
+++ b/src/core/commands/command-outcomes.ts
@@ -1,6 +1,5 @@
 /** @file What became of commands that were sent directly. */
 import type { CommandsAnswered } from '../events.js';
-import { attemptKey } from '../model/assignment.js';
 import type { Machine } from '../model/machine.js';
 import type { Timestamp } from '../model/time.js';
 import type { WorkerCommand } from '../model/worker-command.js';
@@ -8,7 +7,7 @@
 import { applyHeartbeat } from '../reconciliation/heartbeat-intake.js';
 import { markReachable } from '../reconciliation/reachability.js';
 import type { ClusterState } from '../state/cluster-state.js';
-import { getOrCreateMap } from '../state/maps.js';
+import { trackStartAnswered, trackUnresolvedStart } from './start-tracking.js';
 
 /** Takes in the outcome of direct commands, and the heartbeat if the worker itself answered. */
 export function onCommandsAnswered(state: ClusterState, answer: CommandsAnswered, now: Timestamp): void {
@@ -28,11 +27,7 @@
   answer: CommandsAnswered,
   command: WorkerCommand,
 ): void {
-  const key = attemptKey(command.jobId, command.taskIndex, command.attempt);
-  const inFlight = getOrCreateMap(state.commands.startsInFlight, answer.machineName);
-  const remaining = (inFlight.get(key) ?? 1) - 1;
-  if (remaining > 0) inFlight.set(key, remaining);
-  else inFlight.delete(key);
+  trackStartAnswered(state.commands, answer.machineName, command);
   // It may still arrive, unless the worker has gone on to a newer epoch or a higher token and would refuse it.
   if (
     answer.outcome === 'unknown' &&
@@ -40,5 +35,5 @@
     machine.agentEpoch === answer.agentEpoch &&
     machine.fencingToken <= answer.fencingToken
   )
-    getOrCreateMap(state.commands.unresolvedStarts, answer.machineName).set(key, answer.fencingToken);
+    trackUnresolvedStart(state.commands, answer.machineName, command, answer.fencingToken);
 }
--- a/src/core/commands/direct-starts.ts
+++ b/src/core/commands/direct-starts.ts
@@ -1,14 +1,14 @@
 /** @file Start commands that are sent straight to workers once a commit allows them, ahead of the next heartbeat. */
 import { assignmentsOf } from '../assignments/assignments.js';
-import { type Assignment, attemptKey } from '../model/assignment.js';
+import type { Assignment } from '../model/assignment.js';
 import type { Machine } from '../model/machine.js';
 import type { MonotonicTime, Timestamp } from '../model/time.js';
 import type { Transaction } from '../persistence/transactions.js';
 import type { ClusterState } from '../state/cluster-state.js';
 import { startMayStillArrive } from '../state/command-state.js';
-import { getOrCreateMap } from '../state/maps.js';
 import { isOverloaded } from '../state/overload.js';
 import { isStartable } from './start-conditions.js';
+import { trackStartSent } from './start-tracking.js';
 import { startCommand } from './worker-commands.js';
 
 /**
@@ -57,10 +57,8 @@
   assignments: readonly Assignment[],
   now: MonotonicTime,
 ): void {
-  const inFlight = getOrCreateMap(state.commands.startsInFlight, machine.name);
   for (const assignment of assignments) {
-    const key = attemptKey(assignment.jobId, assignment.taskIndex, assignment.attempt);
-    inFlight.set(key, (inFlight.get(key) ?? 0) + 1);
+    trackStartSent(state.commands, assignment);
     assignment.startSentInSequence = 0;
     assignment.startSentAt ??= now;
   }
--- a/src/core/commands/forgets.ts
+++ b/src/core/commands/forgets.ts
@@ -7,6 +7,7 @@
 import type { Machine } from '../model/machine.js';
 import type { PendingForget } from '../model/worker-command.js';
 import type { ClusterState } from '../state/cluster-state.js';
+import { attemptMayStillStart } from '../state/command-state.js';
 
 /** The exited tasks that the machine's worker may forget now. */
 export function forgetsFor(state: ClusterState, machine: Machine): PendingForget[] {
@@ -19,11 +20,7 @@
 function mayForget(state: ClusterState, machine: Machine, forget: PendingForget): boolean {
   const key = attemptKey(forget.jobId, forget.taskIndex, forget.attempt);
   // A worker that has forgotten an attempt does not know it: a delayed start command would start it again.
-  if (
-    state.commands.unresolvedStarts.get(machine.name)?.has(key) === true ||
-    (state.commands.startsInFlight.get(machine.name)?.get(key) ?? 0) > 0
-  )
-    return false;
+  if (attemptMayStillStart(state.commands, machine.name, key)) return false;
   if (!machine.fenced) return false;
   const job = state.jobs.byId.get(forget.jobId);
   // A job that is finished needs no more results.
@@ -43,3 +40,8 @@
   for (const [task, forget] of pending)
     if (!exited.has(attemptKey(forget.jobId, forget.taskIndex, forget.attempt))) pending.delete(task);
 }
+
+/** Drops all forgets for a machine: its worker knows none of the attempts any more. */
+export function dropForgets(state: ClusterState, machineName: string): void {
+  state.commands.pendingForgets.delete(machineName);
+}
--- /dev/null
+++ b/src/core/commands/start-tracking.ts
@@ -0,0 +1,61 @@
+/**
+ * @file Keeps track of start commands that were sent directly: those in flight, and those of unknown outcome that may
+ * still arrive. The maps of both are changed here and nowhere else.
+ */
+import { type Assignment, attemptKey } from '../model/assignment.js';
+import type { Machine } from '../model/machine.js';
+import type { WorkerCommand } from '../model/worker-command.js';
+import type { CommandState } from '../state/command-state.js';
+import { getOrCreateMap } from '../state/maps.js';
+
+/** Records that a start command for the assignment is sent. */
+export function trackStartSent(commands: CommandState, assignment: Assignment): void {
+  const inFlight = getOrCreateMap(commands.startsInFlight, assignment.machineName);
+  const key = attemptKey(assignment.jobId, assignment.taskIndex, assignment.attempt);
+  inFlight.set(key, (inFlight.get(key) ?? 0) + 1);
+}
+
+/** Records that a start command is no longer in flight. */
+export function trackStartAnswered(
+  commands: CommandState,
+  machineName: string,
+  { jobId, taskIndex, attempt }: WorkerCommand,
+): void {
+  const inFlight = getOrCreateMap(commands.startsInFlight, machineName);
+  const key = attemptKey(jobId, taskIndex, attempt);
+  const remaining = (inFlight.get(key) ?? 1) - 1;
+  if (remaining > 0) inFlight.set(key, remaining);
+  else inFlight.delete(key);
+}
+
+/** Records that a start command with that fencing token may still arrive. */
+export function trackUnresolvedStart(
+  commands: CommandState,
+  machineName: string,
+  { jobId, taskIndex, attempt }: WorkerCommand,
+  fencingToken: number,
+): void {
+  getOrCreateMap(commands.unresolvedStarts, machineName).set(
+    attemptKey(jobId, taskIndex, attempt),
+    fencingToken,
+  );
+}
+
+/** Drops start commands that carry a lower token than the worker has seen: it will refuse them. */
+export function dropFencedStarts(commands: CommandState, machine: Machine): void {
+  const unresolved = commands.unresolvedStarts.get(machine.name);
+  if (unresolved === undefined) return;
+  for (const [attempt, fencingToken] of unresolved)
+    if (machine.fencingToken > fencingToken) unresolved.delete(attempt);
+}
+
+/** Drops start commands for an agent epoch that has ended: the worker will refuse them. Those in flight get answers. */
+export function dropUnresolvedStarts(commands: CommandState, machineName: string): void {
+  commands.unresolvedStarts.delete(machineName);
+}
+
+/** Drops all start commands to a machine that is gone. */
+export function dropStarts(commands: CommandState, machineName: string): void {
+  commands.unresolvedStarts.delete(machineName);
+  commands.startsInFlight.delete(machineName);
+}
--- a/src/core/periodic/maintenance.ts
+++ b/src/core/periodic/maintenance.ts
@@ -9,7 +9,7 @@
 import { type Duration, type MonotonicTime, type Timestamp, seconds } from '../model/time.js';
 import { evictFinishedJobs } from '../persistence/finished-jobs.js';
 import { findUnresponsiveMachines, isCutOffFromWorkers } from '../reconciliation/failure-detector.js';
-import { fenceMachines, tokenAdvanceReason } from '../reconciliation/fencing.js';
+import { fenceMachines, requestTokenAdvance } from '../reconciliation/fencing.js';
 import { handlePreemptionNotices } from '../reconciliation/preemption-notices.js';
 import { probeUnreachableMachines } from '../reconciliation/reachability.js';
 import { expireLeases } from '../reconciliation/worker-leases.js';
@@ -45,7 +45,7 @@
   /** Does what is due, in a fixed order. */
   run(now: Timestamp): void {
     if (now.monotonic - this.sweptAt >= SWEEP_INTERVAL) this.sweep(now);
-    this.requestTokenAdvance(now);
+    requestTokenAdvance(this.state, now);
     if (now.monotonic - this.fleetSizedAt > this.fleetSizingInterval() && this.mayStartTasks(now)) {
       this.fleetSizedAt = now.monotonic;
       sizeFleet(this.state, now);
@@ -85,13 +85,6 @@
     observeZones(state, now);
   }
 
-  private requestTokenAdvance(now: Timestamp): void {
-    const reason = tokenAdvanceReason(this.state, now);
-    if (reason === null) return;
-    this.state.term.tokenAdvancedAt = now.monotonic;
-    this.state.effects.push({ kind: 'advance-token', reason });
-  }
-
   private fleetSizingInterval(): Duration {
     return isOverloaded(this.state.term) ? OVERLOADED_FLEET_SIZING_INTERVAL : FLEET_SIZING_INTERVAL;
   }
--- a/src/core/reconciliation/agent-epochs.ts
+++ b/src/core/reconciliation/agent-epochs.ts
@@ -3,6 +3,8 @@
  * refuses commands for those epochs.
  */
 import { endAssignment } from '../assignments/assignments.js';
+import { dropForgets } from '../commands/forgets.js';
+import { dropUnresolvedStarts } from '../commands/start-tracking.js';
 import type { Machine } from '../model/machine.js';
 import { type MonotonicTime, laterOf } from '../model/time.js';
 import type { ClusterState } from '../state/cluster-state.js';
@@ -32,8 +34,8 @@
   // what was ended.
   machine.lastAcknowledgedAt = laterOf(machine.lastAcknowledgedAt, now);
   machine.lastExpiredEpoch = Math.max(machine.lastExpiredEpoch, agentEpoch - 1);
-  state.commands.unresolvedStarts.delete(machine.name);
-  state.commands.pendingForgets.delete(machine.name);
+  dropUnresolvedStarts(state.commands, machine.name);
+  dropForgets(state, machine.name);
   for (const assignment of [...machine.assignments.values()])
     if (assignment.agentEpoch < agentEpoch) endAssignment(state, assignment, false, 'newer agent epoch', now);
   state.scheduling.cycleNeeded = true;
--- a/src/core/reconciliation/fencing.ts
+++ b/src/core/reconciliation/fencing.ts
@@ -61,11 +61,19 @@
   requestProbe(state, machine);
 }
 
+/** Has the fencing token advanced if that is needed. */
+export function requestTokenAdvance(state: ClusterState, now: Timestamp): void {
+  const reason = tokenAdvanceReason(state, now);
+  if (reason === null) return;
+  state.term.tokenAdvancedAt = now.monotonic;
+  state.effects.push({ kind: 'advance-token', reason });
+}
+
 /**
  * Why a higher fencing token is needed; null: it is not. An unresolved start command may block progress, and only a
  * higher token on the worker proves that it will never be carried out.
  */
-export function tokenAdvanceReason(state: ClusterState, now: Timestamp): string | null {
+function tokenAdvanceReason(state: ClusterState, now: Timestamp): string | null {
   if (
     now.monotonic - state.term.tokenAdvancedAt < state.config.workerLease / 2n ||
     !mayStartTasks(state.term.confirmedAt, now.monotonic)
--- a/src/core/reconciliation/heartbeat-intake.ts
+++ b/src/core/reconciliation/heartbeat-intake.ts
@@ -3,6 +3,7 @@
  * a current heartbeat proves about tasks is concluded by the modules that it calls.
  */
 import { dropCompletedForgets } from '../commands/forgets.js';
+import { dropFencedStarts } from '../commands/start-tracking.js';
 import { isUsable } from '../machines/free-resources.js';
 import { getOrAddMachine } from '../machines/machine-registry.js';
 import type { Heartbeat } from '../model/heartbeat.js';
@@ -50,7 +51,7 @@
   }
   const wasUsable = isUsable(state, machine, now.monotonic);
   updateMachine(state, machine, heartbeat, now);
-  dropFencedStarts(state, machine);
+  dropFencedStarts(state.commands, machine);
   reconcileAssignments(state, machine, heartbeat, now);
   if (isUsable(state, machine, now.monotonic) !== wasUsable) state.scheduling.cycleNeeded = true;
 }
@@ -84,11 +85,3 @@
     heartbeat.preemptionNotice === null ? null : now.monotonic + heartbeat.preemptionNotice;
   if (heartbeat.fencingToken >= state.term.firstFencingToken) machine.fenced = true;
 }
-
-/** A delayed start command that carries a lower token than the worker has seen is refused there. */
-function dropFencedStarts(state: ClusterState, machine: Machine): void {
-  const unresolved = state.commands.unresolvedStarts.get(machine.name);
-  if (unresolved === undefined) return;
-  for (const [attempt, fencingToken] of unresolved)
-    if (machine.fencingToken > fencingToken) unresolved.delete(attempt);
-}
--- a/src/core/reconciliation/machine-removal.ts
+++ b/src/core/reconciliation/machine-removal.ts
@@ -1,5 +1,7 @@
 /** @file Removes machines from the state, with everything that is kept by machine name. */
 import { endAssignment } from '../assignments/assignments.js';
+import { dropForgets } from '../commands/forgets.js';
+import { dropStarts } from '../commands/start-tracking.js';
 import type { Machine } from '../model/machine.js';
 import { type MonotonicTime, type Timestamp, seconds } from '../model/time.js';
 import type { ClusterState } from '../state/cluster-state.js';
@@ -11,9 +13,8 @@
 export function removeMachine(state: ClusterState, name: string): void {
   state.machines.byName.delete(name);
   state.machines.booting.delete(name);
-  state.commands.unresolvedStarts.delete(name);
-  state.commands.startsInFlight.delete(name);
-  state.commands.pendingForgets.delete(name);
+  dropStarts(state.commands, name);
+  dropForgets(state, name);
 }
 
 /**
--- a/src/core/state/command-state.ts
+++ b/src/core/state/command-state.ts
@@ -23,8 +23,13 @@
 /** Whether a start command of the assignment may still reach its machine. */
 export function startMayStillArrive(commands: CommandState, assignment: Assignment): boolean {
   const key = attemptKey(assignment.jobId, assignment.taskIndex, assignment.attempt);
+  return attemptMayStillStart(commands, assignment.machineName, key);
+}
+
+/** Whether a start command for an attempt, named by `attemptKey`, may still reach the machine. */
+export function attemptMayStillStart(commands: CommandState, machineName: string, key: string): boolean {
   return (
-    commands.unresolvedStarts.get(assignment.machineName)?.has(key) === true ||
-    (commands.startsInFlight.get(assignment.machineName)?.get(key) ?? 0) > 0
+    commands.unresolvedStarts.get(machineName)?.has(key) === true ||
+    (commands.startsInFlight.get(machineName)?.get(key) ?? 0) > 0
   );
 }
--- a/src/core/state/term-state.ts
+++ b/src/core/state/term-state.ts
@@ -42,3 +42,19 @@
   lastWorkerJoinedAt: term.startedAt,
   eventLoopLag: 0n,
 });
+
+/** Records that the state store confirmed the leadership as of that moment. Confirmations may come out of order. */
+export function confirmLeadership(term: TermState, confirmedAt: MonotonicTime): void {
+  if (confirmedAt > term.confirmedAt) term.confirmedAt = confirmedAt;
+}
+
+/** Puts a higher fencing token in force. */
+export function advanceFencingToken(term: TermState, fencingToken: number, now: MonotonicTime): void {
+  term.fencingToken = fencingToken;
+  term.tokenAdvancedAt = now;
+}
+
+/** Records how late a timer of the process fired. */
+export function recordEventLoopLag(term: TermState, lag: Duration): void {
+  term.eventLoopLag = (term.eventLoopLag * 3n + lag) / 4n;
+}
