--- a/src/core/assignments/assignments.ts
+++ b/src/core/assignments/assignments.ts
@@ -1,54 +1,109 @@
-/** @file The life of an intent, one possible place of a task: placed, stopped, ended on proof. */
-import { CHUNK_TASKS, chunkOf, releaseFinishedChunks, markChunkChanged } from '../records/chunks.js';
-import type { ClusterState } from '../state/cluster-state.js';
-import { emitLog } from '../state/log-effects.js';
-import { getOrCreateMap } from '../state/maps.js';
-import { isOverloaded } from '../state/overload.js';
-import { startMayStillArrive } from '../state/command-state.js';
+/**
+ * @file The life of an assignment: created, restored from its record, stopped, ended on proof. It owns the bookkeeping of
+ * assignments in chunks, jobs, machines and quotas. It must never end an assignment whose task may still be running.
+ */
 import { type Assignment, taskKey } from '../model/assignment.js';
+import type { LogFields } from '../model/effects.js';
 import type { Job } from '../model/job.js';
 import type { Machine } from '../model/machine.js';
+import type { AssignmentRecord, TaskChunk } from '../model/records.js';
 import { type MonotonicTime, toSeconds } from '../model/time.js';
+import { getOrAddMachine } from '../machines/machine-registry.js';
+import { chunkOf } from '../records/chunks.js';
+import { markChunkChanged } from '../records/record-changes.js';
+import { releaseFinishedChunks } from '../records/record-pages.js';
+import type { ClusterState } from '../state/cluster-state.js';
+import { startMayStillArrive } from '../state/command-state.js';
+import { addUnassignedTask, removeUnassignedTask } from '../state/job-table.js';
+import { emitLog } from '../state/log-effects.js';
+import { isOverloaded } from '../state/overload.js';
+import { requestCompletionIfAllDone } from './job-completion.js';
+
+/** Stands for a heartbeat before this term: a previous leader may have sent the start command in any answer. */
+const SENT_BEFORE_TERM = 0;
 
-/** Records a possible place of a task; nothing is sent before it is committed. */
+/** Assigns a task to a machine; nothing is sent before the assignment is committed. */
 export function assignTask(
   state: ClusterState,
   job: Job,
-  task: number,
+  taskIndex: number,
   attempt: number,
   machine: Machine,
   now: MonotonicTime,
 ): Assignment {
-  const chunk = chunkOf(job, task);
+  const chunk = chunkOf(job, taskIndex);
   chunk.highestAttempt = Math.max(chunk.highestAttempt, attempt);
   markChunkChanged(state, job, chunk, true, now);
-  const assignment: Assignment = {
-    jobId: job.spec.id,
-    taskIndex: task,
-    attempt,
-    machineName: machine.name,
-    agentEpoch: machine.agentEpoch,
-    zone: machine.zone,
-    recordVersion: state.records.version,
-    createdAt: now,
-    phase: 'assigned',
-    stopRequest: null,
-    startSentInSequence: null,
-    startSentAt: null,
-    runningSince: null,
-  };
-  chunk.assignments.set(task, assignment);
-  job.unassignedTasks.delete(task);
-  if (job.unassignedTasks.size === 0) state.jobs.pending.delete(job.spec.id);
+  const { name: machineName, agentEpoch, zone } = machine;
+  const record: AssignmentRecord = { taskIndex, attempt, machineName, agentEpoch, zone };
+  const assignment = newAssignment(job, record, state.records.version, null, now);
+  addAssignment(state, job, chunk, machine, assignment);
+  removeUnassignedTask(state.jobs, job, taskIndex);
+  machine.idleSince = null;
+  return assignment;
+}
+
+/** Takes in a recorded assignment when a term begins. Only proof that the task is not running ends it. */
+export function restoreAssignment(
+  state: ClusterState,
+  job: Job,
+  chunk: TaskChunk,
+  record: AssignmentRecord,
+  now: MonotonicTime,
+): void {
+  const machine = getOrAddMachine(state, record.machineName, now);
+  const assignment = newAssignment(job, record, 0, SENT_BEFORE_TERM, now);
+  addAssignment(state, job, chunk, machine, assignment);
+  job.unassignedTasks.delete(record.taskIndex);
+}
+
+const newAssignment = (
+  job: Job,
+  record: AssignmentRecord,
+  recordVersion: number,
+  startSentInSequence: number | null,
+  now: MonotonicTime,
+): Assignment => ({
+  jobId: job.spec.id,
+  taskIndex: record.taskIndex,
+  attempt: record.attempt,
+  machineName: record.machineName,
+  agentEpoch: record.agentEpoch,
+  zone: record.zone,
+  recordVersion,
+  createdAt: now,
+  phase: 'assigned',
+  stopRequest: null,
+  startSentInSequence,
+  startSentAt: null,
+  runningSince: null,
+});
+
+function addAssignment(
+  state: ClusterState,
+  job: Job,
+  chunk: TaskChunk,
+  machine: Machine,
+  assignment: Assignment,
+): void {
+  chunk.assignments.set(assignment.taskIndex, assignment);
   job.assignedCount += 1;
   state.jobs.quotas.acquire(job.spec);
-  machine.assignments.set(taskKey(job.spec.id, task), assignment);
+  machine.assignments.set(taskKey(assignment.jobId, assignment.taskIndex), assignment);
   machine.resources = null;
-  machine.idleSince = null;
-  return assignment;
 }
 
-/** Ends an intent on proof that the task is not on the machine and cannot come there. */
+function removeAssignment(state: ClusterState, job: Job, chunk: TaskChunk, assignment: Assignment): void {
+  chunk.assignments.delete(assignment.taskIndex);
+  job.assignedCount -= 1;
+  state.jobs.quotas.release(job.spec);
+  const machine = state.machines.byName.get(assignment.machineName);
+  if (machine === undefined) return;
+  machine.assignments.delete(taskKey(assignment.jobId, assignment.taskIndex));
+  machine.resources = null;
+}
+
+/** Ends an assignment on proof that the task is not on the machine and cannot start there. */
 export function endAssignment(
   state: ClusterState,
   assignment: Assignment,
@@ -60,100 +115,73 @@
   if (job === undefined) return;
   const chunk = chunkOf(job, assignment.taskIndex);
   if (chunk.assignments.get(assignment.taskIndex) !== assignment) return;
-  chunk.assignments.delete(assignment.taskIndex);
-  const machine = state.machines.byName.get(assignment.machineName);
-  if (machine !== undefined) {
-    machine.assignments.delete(taskKey(assignment.jobId, assignment.taskIndex));
-    machine.resources = null;
-  }
-  job.assignedCount -= 1;
-  state.jobs.quotas.release(job.spec);
-  if (completed && !chunk.completedTasks.has(assignment.taskIndex)) {
-    chunk.completedTasks.add(assignment.taskIndex);
-    job.completedCount += 1;
-  } else if (!completed && job.status === 'open' && !chunk.completedTasks.has(assignment.taskIndex)) {
-    job.unassignedTasks.add(assignment.taskIndex);
-    state.jobs.pending.add(assignment.jobId);
-    if (job.spec.kind === 'service') job.replicaLostAt = now;
+  removeAssignment(state, job, chunk, assignment);
+  if (!chunk.completedTasks.has(assignment.taskIndex)) {
+    if (completed) {
+      chunk.completedTasks.add(assignment.taskIndex);
+      job.completedCount += 1;
+    } else if (job.status === 'open') {
+      addUnassignedTask(state.jobs, job, assignment.taskIndex);
+      if (job.spec.kind === 'service') job.replicaLostAt = now;
+    }
   }
   markChunkChanged(state, job, chunk, false, now);
   releaseFinishedChunks(job);
   state.scheduling.cycleNeeded = true;
-  emitLog(state, 'place ended', {
-    task: taskKey(assignment.jobId, assignment.taskIndex),
-    attempt: assignment.attempt,
-    machine: assignment.machineName,
-    why: reason,
-    ...(assignment.runningSince === null
-      ? {}
-      : { ran: toSeconds(now - assignment.runningSince), expected: toSeconds(job.spec.estimatedDuration) }),
-  });
-  if (job.completedCount === job.spec.taskCount) requestCompletion(state, job, now);
+  emitLog(state, 'assignment ended', endFields(job, assignment, reason, now));
+  requestCompletionIfAllDone(state, job, now);
 }
 
-/** Has the job committed as done once all its results are. */
-export function requestCompletion(state: ClusterState, job: Job, now: MonotonicTime): void {
-  if (job.status !== 'open' || job.completionRequested || job.spec.kind === 'service') return;
-  job.completionRequested = true;
-  state.records.jobsToComplete.set(job.spec.id, now);
-  // Its user hears of the end once all results are recorded.
-  for (const chunk of job.chunks.values())
-    if (chunk.version > chunk.committedVersion && chunk.page !== null)
-      state.records.urgentPages.add(chunk.page.id);
-}
+const endFields = (job: Job, assignment: Assignment, reason: string, now: MonotonicTime): LogFields => ({
+  task: taskKey(assignment.jobId, assignment.taskIndex),
+  attempt: assignment.attempt,
+  machine: assignment.machineName,
+  reason,
+  ...(assignment.runningSince === null
+    ? {}
+    : {
+        ranS: toSeconds(now - assignment.runningSince),
+        estimatedS: toSeconds(job.spec.estimatedDuration),
+      }),
+});
 
-/**
- * A gang's tasks complete together: once one is done, all are, also one whose machine never came to tell it. Without
- * this a gang whose last member was lost with its machine waited for ever, neither done nor placed again.
- */
-export function completeGang(state: ClusterState, job: Job, now: MonotonicTime): void {
-  for (const task of [...job.unassignedTasks]) {
-    const chunk = chunkOf(job, task);
-    job.unassignedTasks.delete(task);
-    chunk.completedTasks.add(task);
-    job.completedCount += 1;
-    markChunkChanged(state, job, chunk, true, now);
-  }
-  state.jobs.pending.delete(job.spec.id);
-  if (job.completedCount === job.spec.taskCount) requestCompletion(state, job, now);
-}
-
-/** An intent of this term whose `run` never left can be ended at once: nobody else could have sent it. */
+/** An assignment of this term whose start command was never sent can end at once: nobody else could have sent it. */
 export const startNeverSent = (state: ClusterState, assignment: Assignment): boolean =>
   assignment.startSentInSequence === null && !startMayStillArrive(state.commands, assignment);
 
-/** Has a task stopped, or its place ended at once if its start never left. */
+/** Has a task stopped, or its assignment ended at once if its start command was never sent. */
 export function stopAssignment(
   state: ClusterState,
   assignment: Assignment,
-  grace: number,
+  gracePeriodS: number,
   reason: string,
   now: MonotonicTime,
 ): void {
   if (startNeverSent(state, assignment)) {
-    endAssignment(state, assignment, false, `never sent: ${reason}`, now);
+    endAssignment(state, assignment, false, `start never sent: ${reason}`, now);
     return;
   }
-  if (assignment.stopRequest !== null && assignment.stopRequest.gracePeriodS <= grace) return;
-  assignment.stopRequest = { gracePeriodS: grace, reason, requestedAt: now };
+  if (assignment.stopRequest !== null && assignment.stopRequest.gracePeriodS <= gracePeriodS) return;
+  assignment.stopRequest = { gracePeriodS, reason, requestedAt: now };
   const machine = state.machines.byName.get(assignment.machineName);
-  if (machine !== undefined) machine.resources = null;
-  if (machine === undefined || machine.agentEpoch !== assignment.agentEpoch || !machine.fenced) return;
-  // The answer to its next report carries it too.
-  if (isOverloaded(state.term)) return;
+  if (machine === undefined) return;
+  machine.resources = null;
+  if (machine.agentEpoch !== assignment.agentEpoch || !machine.fenced) return;
+  // The answer to the worker's next heartbeat carries the command too.
+  if (!isOverloaded(state.term)) sendStop(state, machine, assignment, gracePeriodS);
+}
+
+function sendStop(
+  state: ClusterState,
+  machine: Machine,
+  { jobId, taskIndex, attempt }: Assignment,
+  gracePeriodS: number,
+): void {
   state.effects.push({
     kind: 'send-commands',
     machineName: machine.name,
     agentEpoch: machine.agentEpoch,
-    commands: [
-      {
-        op: 'stop',
-        jobId: assignment.jobId,
-        taskIndex: assignment.taskIndex,
-        attempt: assignment.attempt,
-        gracePeriodS: grace,
-      },
-    ],
+    commands: [{ op: 'stop', jobId, taskIndex, attempt, gracePeriodS }],
   });
 }
 
@@ -163,49 +191,23 @@
   job: Job,
   reason: string,
   now: MonotonicTime,
-  grace = 0,
+  gracePeriodS = 0,
 ): void {
-  for (const chunk of job.chunks.values())
-    for (const assignment of [...chunk.assignments.values()])
-      stopAssignment(state, assignment, grace, reason, now);
+  for (const assignment of assignmentsOf(job)) stopAssignment(state, assignment, gracePeriodS, reason, now);
 }
 
-/** All possible places of a job’s tasks. */
+/** All assignments of a job's tasks. */
 export function assignmentsOf(job: Job): Assignment[] {
-  const out: Assignment[] = [];
-  for (const chunk of job.chunks.values()) out.push(...chunk.assignments.values());
-  return out;
+  const assignments: Assignment[] = [];
+  for (const chunk of job.chunks.values()) assignments.push(...chunk.assignments.values());
+  return assignments;
 }
 
-/** How many tasks may be in each zone now, by recorded intents. */
+/** How many of a job's tasks are assigned in each zone. */
 export function assignmentsByZone(job: Job): Map<string, number> {
-  const taken = new Map<string, number>();
+  const countByZone = new Map<string, number>();
   for (const chunk of job.chunks.values())
-    for (const assignment of chunk.assignments.values())
-      taken.set(assignment.zone, (taken.get(assignment.zone) ?? 0) + 1);
-  return taken;
-}
-
-/** Remembers that an exited task is to be forgotten once its result is committed. */
-export function requestForget(
-  state: ClusterState,
-  machine: string,
-  job: string,
-  task: number,
-  attempt: number,
-  now: MonotonicTime,
-): void {
-  const known = state.jobs.byId.get(job);
-  const chunk = known === undefined ? undefined : known.chunks.get(Math.floor(task / CHUNK_TASKS));
-  const key = taskKey(job, task);
-  const map = getOrCreateMap(state.commands.pendingForgets, machine);
-  if (map.get(key)?.attempt === attempt) return;
-  map.set(key, {
-    jobId: job,
-    taskIndex: task,
-    attempt,
-    chunkIndex: chunk?.index ?? null,
-    recordVersion: chunk?.version ?? 0,
-    requestedAt: now,
-  });
+    for (const { zone } of chunk.assignments.values())
+      countByZone.set(zone, (countByZone.get(zone) ?? 0) + 1);
+  return countByZone;
 }
--- a/src/core/jobs/dependencies.ts
+++ b/src/core/jobs/dependencies.ts
@@ -1,5 +1,6 @@
 /** @file Jobs that wait for jobs, as the owner sees them: when they become ready, and what they pass on. */
-import { releaseFinishedChunks } from '../records/chunks.js';
+import { releaseFinishedChunks } from '../records/record-pages.js';
+import { markJobFinished } from '../state/job-table.js';
 import { emitLog } from '../state/log-effects.js';
 import type { ClusterState } from '../state/cluster-state.js';
 import type { GraphChange } from '../state/dependency-graph.js';
@@ -58,13 +59,8 @@
   const job = state.jobs.byId.get(id);
   state.jobs.deadlines.delete(id);
   if (job === undefined || job.status !== 'open') return;
-  job.status = 'cancelled';
-  job.unassignedTasks.clear();
-  state.jobs.active.delete(id);
-  state.jobs.pending.delete(id);
-  state.jobs.finished.set(id, now.monotonic);
+  markJobFinished(state.jobs, job, 'cancelled', now.monotonic);
   state.records.unrecordedCancellations.add(id);
-  state.jobs.fairSharesStale = true;
   releaseFinishedChunks(job);
   emitLog(state, 'job cancelled: a job that it needs was', { job: id }, 'info');
   withdrawUrgency(state, job);
--- a/src/core/persistence/finished-jobs.ts
+++ b/src/core/persistence/finished-jobs.ts
@@ -1,17 +1,28 @@
-import { releaseFinishedChunks } from '../records/chunks.js';
+/** @file Jobs that have finished: how they leave the queues, and when they leave memory. */
+import { onJobFinished } from '../jobs/dependencies.js';
+import type { Job, JobStatus } from '../model/job.js';
+import { seconds, type MonotonicTime, type Timestamp } from '../model/time.js';
+import { releaseFinishedChunks } from '../records/record-pages.js';
 import type { ClusterState } from '../state/cluster-state.js';
-import { seconds, type MonotonicTime } from '../model/time.js';
+import { markJobFinished } from '../state/job-table.js';
 
-/** The demand forecast looks at what was submitted lately, finished or not. */
-const KEPT = seconds(120);
+/** The demand forecast looks at what was submitted recently, finished or not. */
+const RETENTION = seconds(120);
+
+/** Takes in a job's status as recorded: it leaves the queues, and its dependents learn of it. */
+export function finishJob(state: ClusterState, job: Job, status: JobStatus, now: Timestamp): void {
+  markJobFinished(state.jobs, job, status, now.monotonic);
+  releaseFinishedChunks(job);
+  if (status !== 'open') onJobFinished(state, job.spec.id, status, now);
+}
 
 /**
- * Lets go of jobs that have been over for a while and of which nothing is placed any more. What a worker still says of
- * them is answered as for any job that is not open: its tasks are stopped, its results forgotten.
+ * Evicts jobs that have been finished for a while and of which nothing is assigned any more. What a worker still reports
+ * of them is answered as for any job that is not open: its tasks are stopped, its results forgotten.
  */
 export function evictFinishedJobs(state: ClusterState, now: MonotonicTime): void {
-  for (const [id, since] of state.jobs.finished) {
-    if (now - since < KEPT) return;
+  for (const [id, finishedAt] of state.jobs.finished) {
+    if (now - finishedAt < RETENTION) return;
     state.jobs.finished.delete(id);
     const job = state.jobs.byId.get(id);
     if (job === undefined || job.status === 'open') continue;
--- /dev/null
+++ b/src/core/persistence/job-records.ts
@@ -0,0 +1,50 @@
+/** @file Records of jobs as they are read when a term begins, and as the watch of the state store delivers them. */
+import { stopAllAssignments } from '../assignments/assignments.js';
+import { onJobFinished, registerJob } from '../jobs/dependencies.js';
+import { newJob, type Job, type JobRecord } from '../model/job.js';
+import type { Timestamp } from '../model/time.js';
+import type { ClusterState } from '../state/cluster-state.js';
+import { emitLog } from '../state/log-effects.js';
+import { finishJob } from './finished-jobs.js';
+
+/** Takes in a job's record: a new job is registered; a cancellation stops what may be running. */
+export function onJobChanged(
+  state: ClusterState,
+  id: string,
+  record: JobRecord,
+  modRevision: number,
+  now: Timestamp,
+): void {
+  const known = state.jobs.byId.get(id);
+  if (known === undefined) addJob(state, newJob(record, modRevision, now.monotonic), now);
+  else if (modRevision > known.modRevision) updateJob(state, known, record, modRevision, now);
+}
+
+function addJob(state: ClusterState, job: Job, now: Timestamp): void {
+  const { id, taskCount } = job.spec;
+  state.jobs.byId.set(id, job);
+  if (job.status === 'open') {
+    for (let taskIndex = 0; taskIndex < taskCount; taskIndex++) job.unassignedTasks.add(taskIndex);
+    registerJob(state, job, now);
+  } else {
+    state.jobs.finished.set(id, now.monotonic);
+    onJobFinished(state, id, job.status, now);
+  }
+}
+
+function updateJob(
+  state: ClusterState,
+  job: Job,
+  record: JobRecord,
+  modRevision: number,
+  now: Timestamp,
+): void {
+  const { id } = job.spec;
+  job.modRevision = modRevision;
+  if (record.status !== 'open') state.records.unrecordedCancellations.delete(id);
+  if (record.status === job.status) return;
+  finishJob(state, job, record.status, now);
+  if (record.status !== 'cancelled') return;
+  emitLog(state, 'job cancelled', { job: id }, 'info');
+  stopAllAssignments(state, job, 'cancelled', now.monotonic);
+}
--- a/src/core/reconciliation/task-exits.ts
+++ b/src/core/reconciliation/task-exits.ts
@@ -2,7 +2,8 @@
  * @file What follows from the exit of a task: its assignment ends, its gang is stopped, failures are counted against the
  * job and the machine. Failures are counted here and nowhere else.
  */
-import { endAssignment, requestForget, stopAssignment } from '../assignments/assignments.js';
+import { endAssignment, stopAssignment } from '../assignments/assignments.js';
+import { requestForget } from '../assignments/pending-forgets.js';
 import { taskKey } from '../model/assignment.js';
 import type { Heartbeat, ReportedTask } from '../model/heartbeat.js';
 import type { Job } from '../model/job.js';
--- /dev/null
+++ b/src/core/records/atomic-page-groups.ts
@@ -0,0 +1,21 @@
+/** @file Groups of pages that must each be written in one transaction, since chunks move between their pages. */
+import type { Job } from '../model/job.js';
+import type { RecordPage } from '../model/records.js';
+import type { RecordState } from '../state/record-state.js';
+
+/** Whether the page must be written in one transaction with others. */
+export const isInAtomicGroup = (records: RecordState, page: RecordPage): boolean =>
+  records.atomicPageGroups.some((group) => group.includes(page.id));
+
+/** Whether a chunk of the job is recorded in such a page: none of its tasks is assigned until that is written. */
+export function hasPageInAtomicGroup(records: RecordState, job: Job): boolean {
+  if (records.atomicPageGroups.length === 0) return false;
+  for (const chunk of job.chunks.values())
+    if (chunk.page !== null && isInAtomicGroup(records, chunk.page)) return true;
+  return false;
+}
+
+/** The first group leaves the queue once all its pages are committed. */
+export function onPagesCommitted(records: RecordState, pageIds: ReadonlySet<number>): void {
+  if (records.atomicPageGroups[0]?.every((id) => pageIds.has(id)) === true) records.atomicPageGroups.shift();
+}
--- a/src/core/records/chunks.ts
+++ b/src/core/records/chunks.ts
@@ -1,35 +1,38 @@
-/** @file Runs of a job's tasks that are recorded together. */
-import type { ClusterState } from '../state/cluster-state.js';
-import type { ChunkRecord, TaskChunk } from '../model/records.js';
+/**
+ * @file Chunks: runs of a job's tasks that are recorded together. It owns which chunk a task belongs to and the form in
+ * which a chunk is written; changes of chunks are queued by record-changes.ts.
+ */
 import type { Assignment } from '../model/assignment.js';
 import type { Job } from '../model/job.js';
-import { removeFromPage, pageFor } from './record-pages.js';
-import type { MonotonicTime } from '../model/time.js';
+import type { ChunkRecord, TaskChunk } from '../model/records.js';
 
-/** Tasks per chunk: a whole chunk of places, with the longest names, fits a page of the state service. */
+/** Tasks per chunk: a whole chunk of assignments, with the longest names, fits a page of the state store. */
 export const CHUNK_TASKS = 40;
 
-/** A chunk with nothing placed yet. */
+/** Index of the chunk that a task belongs to. */
+export const chunkIndexOf = (taskIndex: number): number => Math.floor(taskIndex / CHUNK_TASKS);
+
+/** A chunk without assignments. */
 export const newChunk = (
-  job: string,
+  jobId: string,
   index: number,
-  attempt: number,
-  done: readonly number[],
+  highestAttempt: number,
+  completedTasks: readonly number[],
 ): TaskChunk => ({
-  jobId: job,
+  jobId,
   index,
   page: null,
-  highestAttempt: attempt,
-  completedTasks: new Set(done),
+  highestAttempt,
+  completedTasks: new Set(completedTasks),
   assignments: new Map(),
   version: 0,
   committedVersion: 0,
   cachedRecord: null,
 });
 
-/** The chunk that records a task, made when it is first needed. */
-export function chunkOf(job: Job, task: number): TaskChunk {
-  const index = Math.floor(task / CHUNK_TASKS);
+/** The chunk that records a task, created when it is first needed. */
+export function chunkOf(job: Job, taskIndex: number): TaskChunk {
+  const index = chunkIndexOf(taskIndex);
   let chunk = job.chunks.get(index);
   if (chunk === undefined) {
     chunk = newChunk(job.spec.id, index, 0, []);
@@ -38,7 +41,7 @@
   return chunk;
 }
 
-/** A chunk as it stands, made anew only after a change. */
+/** A chunk as it is to be written, built again only after a change. */
 export function chunkRecordOf(chunk: TaskChunk): ChunkRecord {
   chunk.cachedRecord ??= {
     highestAttempt: chunk.highestAttempt,
@@ -54,32 +57,9 @@
   return chunk.cachedRecord;
 }
 
-/**
- * Notes that a chunk has changed. What something waits for is urgent: a new place, or the last result of a job. An
- * ended place may wait a moment for others, since whoever reads the old record only takes more to be possible.
- */
-export function markChunkChanged(
-  state: ClusterState,
-  job: Job,
-  chunk: TaskChunk,
-  urgent: boolean,
-  now: MonotonicTime,
-): void {
-  state.records.version += 1;
-  chunk.version = state.records.version;
-  chunk.cachedRecord = null;
-  const page = pageFor(state, job, chunk);
-  page.version = state.records.version;
-  if (!state.records.dirtyPages.has(page.id)) state.records.dirtyPages.set(page.id, now);
-  if (urgent) state.records.urgentPages.add(page.id);
-}
-
-/** Once a job is over, chunks without places need no record: its own key tells how it ended. */
-export function releaseFinishedChunks(job: Job): void {
-  if (job.status === 'open') return;
-  for (const chunk of job.chunks.values()) if (chunk.assignments.size === 0) removeFromPage(chunk);
-}
+/** Whether the chunk has changes that are not committed. */
+export const hasUncommittedChanges = (chunk: TaskChunk): boolean => chunk.version > chunk.committedVersion;
 
-/** Whether the record that holds the intent is committed. */
+/** Whether the record that holds the assignment is committed. */
 export const isAssignmentCommitted = (job: Job, assignment: Assignment): boolean =>
   chunkOf(job, assignment.taskIndex).committedVersion >= assignment.recordVersion;
--- /dev/null
+++ b/src/core/records/record-changes.ts
@@ -0,0 +1,97 @@
+/**
+ * @file Changes that are not committed yet. It owns the version counter, the dirty pages and the urgent ones among them;
+ * it must never write a page by itself: transactions are built in src/core/persistence.
+ */
+import type { Job } from '../model/job.js';
+import type { RecordPage, TaskChunk } from '../model/records.js';
+import type { MonotonicTime } from '../model/time.js';
+import type { ClusterState } from '../state/cluster-state.js';
+import type { RecordState } from '../state/record-state.js';
+import { hasUncommittedChanges } from './chunks.js';
+import { pageFor } from './record-pages.js';
+
+/**
+ * Records that a chunk has changed. What a task or a user waits for is urgent: a new assignment, or the last result of a
+ * job. An ended assignment may wait to be committed with others, since whoever reads the old record only takes more
+ * tasks to be running than are.
+ */
+export function markChunkChanged(
+  state: ClusterState,
+  job: Job,
+  chunk: TaskChunk,
+  urgent: boolean,
+  now: MonotonicTime,
+): void {
+  const { records } = state;
+  chunk.cachedRecord = null;
+  const page = pageFor(state, job, chunk);
+  markPageChanged(records, page, now);
+  chunk.version = records.version;
+  if (urgent) records.urgentPages.add(page.id);
+}
+
+/** Records that a page has to be written. */
+export function markPageChanged(records: RecordState, page: RecordPage, now: MonotonicTime): void {
+  records.version += 1;
+  page.version = records.version;
+  if (!records.dirtyPages.has(page.id)) records.dirtyPages.set(page.id, now);
+}
+
+/** Has a job's uncommitted changes committed soon: its user is told of its end only after that. */
+export function markJobUrgent(records: RecordState, job: Job): void {
+  for (const chunk of job.chunks.values())
+    if (hasUncommittedChanges(chunk) && chunk.page !== null) records.urgentPages.add(chunk.page.id);
+}
+
+/** Whether the job has uncommitted changes outside the given pages. */
+export function hasChangesOutside(job: Job, pageIds: ReadonlySet<number>): boolean {
+  for (const chunk of job.chunks.values())
+    if (hasUncommittedChanges(chunk) && (chunk.page === null || !pageIds.has(chunk.page.id))) return true;
+  return false;
+}
+
+/** Open jobs with assignments in the page that are not committed yet. */
+export function jobsStartingInPage(state: ClusterState, pageId: number): Job[] {
+  const starting: Job[] = [];
+  for (const chunk of state.records.pages.get(pageId)?.chunks ?? []) {
+    if (!hasUncommittedChanges(chunk)) continue;
+    const job = state.jobs.byId.get(chunk.jobId);
+    if (job !== undefined && job.status === 'open' && hasUncommittedAssignment(chunk)) starting.push(job);
+  }
+  return starting;
+}
+
+function hasUncommittedAssignment(chunk: TaskChunk): boolean {
+  for (const assignment of chunk.assignments.values())
+    if (assignment.recordVersion > chunk.committedVersion) return true;
+  return false;
+}
+
+/**
+ * Records that a page was committed as it was at `version`, with the chunks that it then held. What has changed since
+ * stays dirty from the time at which the page first was, and may be urgent in its turn.
+ */
+export function markPageCommitted(
+  state: ClusterState,
+  page: RecordPage,
+  version: number,
+  chunks: readonly TaskChunk[],
+): void {
+  const { dirtyPages, urgentPages } = state.records;
+  page.committedVersion = Math.max(page.committedVersion, version);
+  for (const chunk of chunks) chunk.committedVersion = Math.max(chunk.committedVersion, version);
+  const dirtySince = dirtyPages.get(page.id);
+  dirtyPages.delete(page.id);
+  urgentPages.delete(page.id);
+  if (page.version <= page.committedVersion) return;
+  dirtyPages.set(page.id, dirtySince ?? 0n);
+  if (isStillUrgent(state, page)) urgentPages.add(page.id);
+}
+
+/** Whether a task or a user waits for what changed in the page while the transaction was under way. */
+function isStillUrgent(state: ClusterState, page: RecordPage): boolean {
+  if (jobsStartingInPage(state, page.id).length > 0) return true;
+  for (const chunk of page.chunks)
+    if (hasUncommittedChanges(chunk) && state.records.jobsToComplete.has(chunk.jobId)) return true;
+  return false;
+}
--- a/src/core/scheduling/scheduling-cycle.ts
+++ b/src/core/scheduling/scheduling-cycle.ts
@@ -1,5 +1,5 @@
 /** @file One round of placement over the waiting jobs. */
-import { hasPageInAtomicGroup } from '../records/record-pages.js';
+import { hasPageInAtomicGroup } from '../records/atomic-page-groups.js';
 import { isUsable, resourcesOf } from '../machines/free-resources.js';
 import { chunkOf } from '../records/chunks.js';
 import type { ClusterState } from '../state/cluster-state.js';
@@ -7,7 +7,8 @@
 import { emitLog } from '../state/log-effects.js';
 import { isOverloaded } from '../state/overload.js';
 import { assignGang } from './gang-scheduling.js';
-import { completeGang, assignTask, assignmentsByZone } from '../assignments/assignments.js';
+import { assignTask, assignmentsByZone } from '../assignments/assignments.js';
+import { completeGang } from '../assignments/job-completion.js';
 import { schedulingPriority, updateFairShares } from './priority.js';
 import type { Job } from '../model/job.js';
 import type { Machine, MachineType } from '../model/machine.js';
@@ -53,7 +54,11 @@
       state.jobs.pending.delete(id);
       continue;
     }
-    if (job.status !== 'open' || job.retryNotBefore > now.monotonic || hasPageInAtomicGroup(state, job))
+    if (
+      job.status !== 'open' ||
+      job.retryNotBefore > now.monotonic ||
+      hasPageInAtomicGroup(state.records, job)
+    )
       continue;
     const starved = state.scheduling.starvedGang?.job === id && state.scheduling.starvedGang.prioritized;
     rows.push({
--- a/src/edge/config/platform-settings.ts
+++ b/src/edge/config/platform-settings.ts
@@ -2,7 +2,7 @@
 import * as z from 'zod';
 import type { ClusterConfig } from '../../core/model/cluster-config.js';
 import { seconds } from '../../core/model/time.js';
-import { MIN_VALUE_BYTES } from '../../core/records/record-pages.js';
+import { MIN_VALUE_BYTES } from '../../core/records/page-size.js';
 import { MIN_MEMORY_MB } from '../runtime/memory-monitor.js';
 import { MIN_SOCKETS } from './connection-limits.js';
 
--- a/test/job-completion.test.ts
+++ b/test/job-completion.test.ts
@@ -4,7 +4,8 @@
 import { seconds } from '../src/core/model/time.js';
 import { endAssignment, assignTask } from '../src/core/assignments/assignments.js';
 import { getOrAddMachine } from '../src/core/machines/machine-registry.js';
-import { operationCount, onCommitted } from '../src/core/persistence/transactions.js';
+import { onCommitted } from '../src/core/persistence/commits.js';
+import { operationCount } from '../src/core/persistence/transactions.js';
 import { CLUSTER_CONFIG, jobSpec } from './fixtures/cluster-config.js';
 import { createScheduler } from './fixtures/scheduler.js';
 
