--- a/src/core/assignments/assignments.ts
+++ b/src/core/assignments/assignments.ts
@@ -43,7 +43,7 @@
   return assignment;
 }
 
-/** Takes in a recorded assignment when a term begins. Only proof that the task is not running ends it. */
+/** Restores a recorded assignment when a term begins. Only proof that the task is not running ends it. */
 export function restoreAssignment(
   state: ClusterState,
   job: Job,
@@ -149,7 +149,7 @@
 export const startNeverSent = (state: ClusterState, assignment: Assignment): boolean =>
   assignment.startSentInSequence === null && !startMayStillArrive(state.commands, assignment);
 
-/** Has a task stopped, or its assignment ended at once if its start command was never sent. */
+/** Requests the stop of a task; if its start command was never sent, its assignment ends at once. */
 export function stopAssignment(
   state: ClusterState,
   assignment: Assignment,
--- a/src/core/assignments/job-completion.ts
+++ b/src/core/assignments/job-completion.ts
@@ -5,8 +5,8 @@
 import { markChunkChanged, markJobUrgent } from '../records/record-changes.js';
 import type { ClusterState } from '../state/cluster-state.js';
 
-/** Has the job committed as done after all its results. Services are never done. */
-export function requestCompletion(state: ClusterState, job: Job, now: MonotonicTime): void {
+/** Queues the job to be committed as done after all its results. Services are never done. */
+function requestCompletion(state: ClusterState, job: Job, now: MonotonicTime): void {
   if (job.status !== 'open' || job.completionRequested || job.spec.kind === 'service') return;
   job.completionRequested = true;
   state.records.jobsToComplete.set(job.spec.id, now);
--- a/src/core/assignments/pending-forgets.ts
+++ b/src/core/assignments/pending-forgets.ts
@@ -5,7 +5,7 @@
 import type { ClusterState } from '../state/cluster-state.js';
 import { getOrCreateMap } from '../state/maps.js';
 
-/** Has the worker told to forget an exited task, after what its chunk now holds is committed. */
+/** Queues a forget command for an exited task, to be sent once what its chunk now holds is committed. */
 export function requestForget(
   state: ClusterState,
   machineName: string,
--- a/src/core/model/cluster-config.ts
+++ b/src/core/model/cluster-config.ts
@@ -30,7 +30,7 @@
   readonly workerLease: Duration;
   /** A gang's task that waits longer for the other tasks to start exits. */
   readonly gangStartTimeout: Duration;
-  /** Within this span a gang's tasks notice that one is lost, and within it all must be told of a stop. */
+  /** Within this span a gang's tasks notice that one is lost, and within it all must receive a stop command. */
   readonly gangPeerTimeout: Duration;
   /** Within this span of a confirmed cancellation every task of the job has to be gone. */
   readonly cancellationDeadline: Duration;
--- a/src/core/persistence/commits.ts
+++ b/src/core/persistence/commits.ts
@@ -1,4 +1,4 @@
-/** @file Takes in that a transaction was committed: its pages, its cancellations, and the jobs that are done by it. */
+/** @file What follows from a committed transaction: for its pages, its cancellations, and the jobs that it completes. */
 import type { Job } from '../model/job.js';
 import type { Timestamp } from '../model/time.js';
 import { onPagesCommitted } from '../records/atomic-page-groups.js';
@@ -7,7 +7,7 @@
 import { finishJob } from './finished-jobs.js';
 import type { Transaction } from './transactions.js';
 
-/** Takes in that a transaction was committed at a revision of the state store. */
+/** Applies a transaction that was committed at a revision of the state store. */
 export function onCommitted(
   state: ClusterState,
   transaction: Transaction,
--- a/src/core/persistence/finished-jobs.ts
+++ b/src/core/persistence/finished-jobs.ts
@@ -9,7 +9,7 @@
 /** The demand forecast looks at what was submitted recently, finished or not. */
 const RETENTION = seconds(120);
 
-/** Takes in a job's status as recorded: it leaves the queues, and its dependents learn of it. */
+/** Applies a job's status as recorded: the job leaves the queues, and its dependents become ready or cancelled. */
 export function finishJob(state: ClusterState, job: Job, status: JobStatus, now: Timestamp): void {
   markJobFinished(state.jobs, job, status, now.monotonic);
   releaseFinishedChunks(job);
--- a/src/core/persistence/job-records.ts
+++ b/src/core/persistence/job-records.ts
@@ -7,7 +7,7 @@
 import { emitLog } from '../state/log-effects.js';
 import { finishJob } from './finished-jobs.js';
 
-/** Takes in a job's record: a new job is registered; a cancellation stops what may be running. */
+/** Applies a job's record: a new job is registered; a cancellation stops what may be running. */
 export function onJobChanged(
   state: ClusterState,
   id: string,
--- a/src/core/persistence/recovery.ts
+++ b/src/core/persistence/recovery.ts
@@ -11,7 +11,7 @@
 import { addPage, type PageEntry, poolOf, putIntoPage } from '../records/record-pages.js';
 import type { ClusterState } from '../state/cluster-state.js';
 
-/** Takes in a page. All jobs are read before any page. */
+/** Restores a page. All jobs are read before any page. */
 export function onPageLoaded(
   state: ClusterState,
   id: number,
--- a/src/core/persistence/transaction-builder.ts
+++ b/src/core/persistence/transaction-builder.ts
@@ -1,6 +1,6 @@
 /**
  * @file Chooses what the next transaction commits. It only reads the dirty state: what a transaction holds stays dirty
- * until commits.ts takes in that it was committed, so that a lost one is simply built again.
+ * until commits.ts applies its commit, so that a lost one is simply built again.
  */
 import type { Job } from '../model/job.js';
 import { seconds, type Duration, type MonotonicTime } from '../model/time.js';
@@ -36,7 +36,7 @@
   }
   const draft = newDraft(state);
   // A job must not be committed as done ahead of the results that make it so. Jobs whose results are committed come
-  // first: behind the pages they would wait as long as pages go on changing.
+  // first: after the pages they would wait as long as pages go on changing.
   addCompletedJobs(state, draft, draft.maxOperations / 2);
   addPages(state, draft, pagesToCommit(state, now));
   addCompletedJobs(state, draft, draft.maxOperations);
--- a/src/core/records/page-size.ts
+++ b/src/core/records/page-size.ts
@@ -31,7 +31,7 @@
 
 /**
  * The most bytes that a chunk's entry can come to take: each task that is not completed may have an assignment, and a
- * result takes less than an assignment. The bound only falls as results come in, so a page that has room for its
+ * result takes less than an assignment. The bound only falls as results come in, so a page that can hold its
  * chunks' bounds never overflows.
  */
 export function entryBytesBound(state: ClusterState, job: Job, chunk: TaskChunk): number {
--- a/src/core/records/record-changes.ts
+++ b/src/core/records/record-changes.ts
@@ -37,7 +37,7 @@
   if (!records.dirtyPages.has(page.id)) records.dirtyPages.set(page.id, now);
 }
 
-/** Has a job's uncommitted changes committed soon: its user is told of its end only after that. */
+/** Makes a job's uncommitted changes urgent: its user sees it done only after they are committed. */
 export function markJobUrgent(records: RecordState, job: Job): void {
   for (const chunk of job.chunks.values())
     if (hasUncommittedChanges(chunk) && chunk.page !== null) records.urgentPages.add(chunk.page.id);
--- a/src/core/records/record-pages.ts
+++ b/src/core/records/record-pages.ts
@@ -47,14 +47,14 @@
   if (chunk.page !== null) return chunk.page;
   const pool = poolOf(job);
   const page =
-    fullestPageWithRoom(state, pool, entryBytesBound(state, job, chunk)) ?? addNewPage(state.records, pool);
+    fullestPageThatFits(state, pool, entryBytesBound(state, job, chunk)) ?? addNewPage(state.records, pool);
   page.pool = pool;
   putIntoPage(page, chunk);
   return page;
 }
 
-/** The fullest page that has room: the fewer pages are written, the sooner each is. An empty page can change its pool. */
-function fullestPageWithRoom(state: ClusterState, pool: PagePool, neededBytes: number): RecordPage | null {
+/** The fullest page with enough free bytes: the fewer pages are written, the sooner each is. An empty page can change its pool. */
+function fullestPageThatFits(state: ClusterState, pool: PagePool, neededBytes: number): RecordPage | null {
   const capacity = pageCapacityBytes(state.config);
   const maxChunks = maxChunksPerPage(state.config);
   let fullest: RecordPage | null = null;
--- a/src/core/state/dependency-graph.ts
+++ b/src/core/state/dependency-graph.ts
@@ -14,7 +14,7 @@
 const NO_CHANGE: GraphChange = { ready: [], cancelled: [] };
 
 /**
- * The dependency graph of all jobs. It takes in jobs and how they finish in any order, as they are read or watched, and
+ * The dependency graph of all jobs. Jobs and how they finish may be added in any order, as they are read or watched, and
  * costs constant work for each dependency of a job, however many jobs there are.
  *
  * A cancellation propagates without a write of its own: a dependent of a cancelled job is cancelled by that fact alone.
@@ -45,7 +45,7 @@
     return this.dependents.get(id) ?? [];
   }
 
-  /** Takes in an unfinished job. */
+  /** Adds an unfinished job. */
   add(id: string, dependencies: readonly string[]): GraphChange {
     if (dependencies.length === 0 || this.finished.has(id) || this.unmetDependencies.has(id))
       return NO_CHANGE;
@@ -66,7 +66,7 @@
     return NO_CHANGE;
   }
 
-  /** Takes in that a job finished. `derived`: through a dependency, so that it is among the cancelled returned. */
+  /** Records how a job finished. `derived`: through a dependency, so that it is among the cancelled returned. */
   markFinished(id: string, status: 'done' | 'cancelled', derived = false): GraphChange {
     if (this.finished.has(id)) return NO_CHANGE;
     if (status === 'done') return { ready: this.markDone(id), cancelled: [] };
--- a/src/core/state/log-effects.ts
+++ b/src/core/state/log-effects.ts
@@ -2,7 +2,7 @@
 import type { LogFields } from '../model/effects.js';
 import type { ClusterState } from './cluster-state.js';
 
-/** Has a line written to the log: a short event text, with the values in fields. */
+/** Requests a log line: a short event text, with the values in fields. */
 export function emitLog(
   state: Pick<ClusterState, 'effects'>,
   message: string,
--- a/src/core/state/machine-table.ts
+++ b/src/core/state/machine-table.ts
@@ -15,7 +15,7 @@
   readonly byName: Map<string, Machine>;
   readonly types: Map<string, MachineType>;
   readonly booting: Map<string, BootingMachine>;
-  /** Machines proven terminated, with the time: later heartbeats in their names are delayed copies. Names are unique. */
+  /** Machines proven terminated, with the time: later heartbeats in their names are delayed duplicates. Names are unique. */
   readonly terminated: Map<string, MonotonicTime>;
   /** An inventory of the cloud was received in this term. */
   inventorySeen: boolean;
