--- a/src/core/jobs/dependencies.ts
+++ b/src/core/jobs/dependencies.ts
@@ -2,7 +2,8 @@
 import type { Job } from '../model/job.js';
 import { NOT_CONSIDERED_YET, WAITING_FOR_DEPENDENCIES } from '../model/pending-reasons.js';
 import type { Timestamp } from '../model/time.js';
-import { releaseFinishedChunks } from '../records/chunks.js';
+import { releaseFinishedChunks } from '../records/record-pages.js';
+import { markJobFinished } from '../state/job-table.js';
 import type { ClusterState } from '../state/cluster-state.js';
 import type { GraphChange } from '../state/dependency-graph.js';
 import { emitLog } from '../state/log-effects.js';
@@ -58,13 +59,8 @@
   const job = state.jobs.byId.get(id);
   state.jobs.deadlines.delete(id);
   if (job === undefined || job.status !== 'open') return;
-  job.status = 'cancelled';
-  job.unassignedTasks.clear();
-  state.jobs.active.delete(id);
-  state.jobs.pending.delete(id);
-  state.jobs.finished.set(id, now.monotonic);
+  markJobFinished(state.jobs, job, 'cancelled', now.monotonic);
   state.records.unrecordedCancellations.add(id);
-  state.jobs.fairSharesStale = true;
   releaseFinishedChunks(job);
   emitLog(state, 'job cancelled: a dependency was cancelled', { job: id }, 'info');
   withdrawUrgency(state, job);
--- a/src/core/scheduling/gang-scheduling.ts
+++ b/src/core/scheduling/gang-scheduling.ts
@@ -1,5 +1,6 @@
 /** @file Assigns all tasks of a gang in one cycle, or none. */
-import { assignTask, completeGang } from '../assignments/assignments.js';
+import { assignTask } from '../assignments/assignments.js';
+import { completeGang } from '../assignments/job-completion.js';
 import type { Job } from '../model/job.js';
 import type { Machine } from '../model/machine.js';
 import { NO_GANG_CAPACITY, PREVIOUS_ATTEMPT_ENDING, QUOTA_EXCEEDED } from '../model/pending-reasons.js';
--- a/src/core/scheduling/job-queue.ts
+++ b/src/core/scheduling/job-queue.ts
@@ -2,7 +2,7 @@
 import { startDeadline } from '../jobs/deadline-slack.js';
 import type { Job } from '../model/job.js';
 import type { Timestamp } from '../model/time.js';
-import { hasPageInAtomicGroup } from '../records/record-pages.js';
+import { hasPageInAtomicGroup } from '../records/atomic-page-groups.js';
 import type { ClusterState } from '../state/cluster-state.js';
 import { schedulingPriority } from './priority.js';
 
@@ -30,7 +30,7 @@
 
 /** Jobs wait out their back-off after failures, and while their record pages are being rearranged. */
 const isSchedulable = (state: ClusterState, job: Job, now: Timestamp): boolean =>
-  job.status === 'open' && job.retryNotBefore <= now.monotonic && !hasPageInAtomicGroup(state, job);
+  job.status === 'open' && job.retryNotBefore <= now.monotonic && !hasPageInAtomicGroup(state.records, job);
 
 function queuePriority(state: ClusterState, job: Job): number {
   const { starvedGang } = state.scheduling;
