--- a/measure/memory.ts
+++ b/measure/memory.ts
@@ -8,7 +8,6 @@
 import { FinishedJobCompactor } from '../src/edge/state-store/finished-job-compactor.js';
 import { HeartbeatQueue, readHeartbeats } from '../src/edge/http/heartbeat-reader.js';
 import type { KeyChange, ReplicaEntry } from '../src/edge/state-store/replica-view.js';
-import type { StateStore } from '../src/edge/state-store/state-store.js';
 import { jobKey, pageKey } from '../src/wire/keys.js';
 import { encodeJob } from '../src/wire/job-record.js';
 import { encodePage } from '../src/wire/page-record.js';
@@ -135,7 +134,7 @@
     );
   tell(`${openJobs} open jobs of ${TASKS} tasks, as placed by the owner`);
   const copy = new Copy();
-  const counts = new TaskCounts(copy as unknown as StateStore);
+  const counts = new TaskCounts(copy);
   const ended = new FinishedJobCompactor(copy, counts);
   const pages = new DecodedPageCache();
   const routine = ended.start();
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -11,7 +11,6 @@
 import { encodeJob } from '../src/wire/job-record.js';
 import { encodePage } from '../src/wire/page-record.js';
 import type { KeyChange, ReplicaEntry } from '../src/edge/state-store/replica-view.js';
-import type { StateStore } from '../src/edge/state-store/state-store.js';
 import { Subject } from 'rxjs';
 import { SimulatedFleet } from './standins/simulated-fleet.js';
 import { jobSpec } from './fixtures/cluster-config.js';
@@ -151,7 +150,7 @@
   const copy = new Copy();
   let clock = 0n;
   const images = new ImageCacheObserver(
-    copy as unknown as StateStore,
+    copy,
     createLogger('test'),
     new DecodedPageCache(),
     () => false,
--- a/test/leader-overload.test.ts
+++ b/test/leader-overload.test.ts
@@ -13,7 +13,6 @@
 import { isHealthy } from '../src/edge/http/health.js';
 import { HeartbeatQueue, readHeartbeats } from '../src/edge/http/heartbeat-reader.js';
 import { WorkerCommandSender } from '../src/edge/workers/worker-command-sender.js';
-import { jobSpec } from './fixtures/cluster-config.js';
 import { listen } from './standins/http.js';
 import {
   reserveAddress,
@@ -25,79 +24,80 @@
 import { StateStoreStandIn } from './standins/state-store.js';
 import { TaskHistory } from './standins/worker.js';
 import { timeAt } from './fixtures/clock.js';
-import { createSchedulerWithType } from './fixtures/scheduler.js';
+import { createSchedulerWithType, heartbeatOf, openJob } from './fixtures/scheduler.js';
+import type { JobSpec } from '../src/core/model/job.js';
 
 /**
- * A process that is behind: a takeover on a small share of a core. What is guarded here was lost one after the other
- * on simulated machines: connections waited longer than their workers, direct calls took the time of the reports, the
- * lease in the state service ran out under an owner that had the state service, and passes went on meanwhile.
+ * An overloaded process: a failover on a small share of a core. Each test covers a failure seen on simulated machines:
+ * connections waited longer than their workers, direct calls took the time of heartbeats, the state store lease expired
+ * under a leader that reached the state store, and scheduling cycles ran meanwhile.
  */
 
-/** Turns are taken by hand, and time goes on only where a test says so. */
-function intakeByHand(
+/** A queue whose slices run and whose time advances only where a test says so. */
+function createManualQueue(
   onStale: () => void = () => undefined,
   coreShare = 1,
 ): {
-  intake: HeartbeatQueue;
-  turn: () => void;
-  pass: (ms: number) => void;
-  due: () => number;
+  queue: HeartbeatQueue;
+  runSlice: () => void;
+  advance: (ms: number) => void;
+  scheduledSlices: () => number;
 } {
   let now = 0n;
-  const due: (() => void)[] = [];
-  const intake = new HeartbeatQueue(
+  const scheduled: (() => void)[] = [];
+  const queue = new HeartbeatQueue(
     onStale,
     coreShare,
     () => now,
-    (f) => {
-      due.push(f);
+    (run) => {
+      scheduled.push(run);
       return {} as NodeJS.Immediate;
     },
   );
   return {
-    intake,
-    turn: () => due.shift()?.(),
-    pass: (ms) => (now += BigInt(ms) * 1_000_000n),
-    due: () => due.length,
+    queue,
+    runSlice: () => scheduled.shift()?.(),
+    advance: (ms) => (now += BigInt(ms) * 1_000_000n),
+    scheduledSlices: () => scheduled.length,
   };
 }
 
 test('heartbeats are answered oldest first in slices of 10 ms, so that the event loop turns in between', () => {
-  const { intake, turn, pass, due } = intakeByHand();
+  const { queue, runSlice, advance, scheduledSlices } = createManualQueue();
   const answered: number[] = [];
   for (let n = 0; n < 7; n++)
-    intake.push(() => {
+    queue.push(() => {
       answered.push(n);
-      pass(4);
+      advance(4);
     }, false);
-  turn();
-  assert.deepEqual(answered, [], 'the end of a connection is seen one round after what it brought');
-  turn();
+  runSlice();
+  assert.deepEqual(answered, [], 'the end of a connection is seen one turn after its data');
+  runSlice();
   assert.deepEqual(answered, [0, 1, 2]);
-  turn();
-  turn();
+  runSlice();
+  runSlice();
   assert.deepEqual(answered, [0, 1, 2, 3, 4, 5, 6]);
-  assert.equal(due(), 0, 'nothing waits, nothing is planned');
+  assert.equal(scheduledSlices(), 0, 'nothing is queued, nothing is scheduled');
 });
 
 test('a slice is as long as the share of a core allows', () => {
-  const { intake, turn, pass } = intakeByHand(undefined, 0.1);
+  const { queue, runSlice, advance } = createManualQueue(undefined, 0.1);
   let answered = 0;
   const push = (): void => {
-    intake.push(() => {
+    queue.push(() => {
       answered += 1;
-      pass(1);
+      advance(1);
     }, false);
   };
   push();
   push();
-  turn();
-  turn();
+  runSlice();
+  runSlice();
   assert.equal(answered, 1);
 });
 
 test('the health check sends users to the peers while the leader is overloaded or its replica is stale, if peers serve', () => {
-  const fine = {
+  const healthy = {
     ready: true,
     replicaAgeMs: 500,
     isLeader: false,
@@ -105,25 +105,25 @@
     peerCount: 2,
     peersServing: 2,
   };
-  assert.equal(isHealthy(fine), true);
-  assert.equal(isHealthy({ ...fine, ready: false }), false);
-  assert.equal(isHealthy({ ...fine, peersServing: 1, isLeader: true, overloaded: true }), false);
-  assert.equal(isHealthy({ ...fine, peersServing: 0, isLeader: true, overloaded: true }), true);
-  assert.equal(isHealthy({ ...fine, replicaAgeMs: 5000 }), false);
-  // An outage that all see: going away would only keep users out for longer.
-  assert.equal(isHealthy({ ...fine, replicaAgeMs: 5000, peersServing: 0 }), true);
-  assert.equal(isHealthy({ ...fine, replicaAgeMs: 20_000, peersServing: 0 }), false);
-  // The leader answers all workers: users are left to the others before it falls behind, while all of them serve.
-  assert.equal(isHealthy({ ...fine, isLeader: true }), false);
-  assert.equal(isHealthy({ ...fine, isLeader: true, peersServing: 1 }), true);
-  assert.equal(isHealthy({ ...fine, isLeader: true, peerCount: 1, peersServing: 1 }), true);
+  assert.equal(isHealthy(healthy), true);
+  assert.equal(isHealthy({ ...healthy, ready: false }), false);
+  assert.equal(isHealthy({ ...healthy, peersServing: 1, isLeader: true, overloaded: true }), false);
+  assert.equal(isHealthy({ ...healthy, peersServing: 0, isLeader: true, overloaded: true }), true);
+  assert.equal(isHealthy({ ...healthy, replicaAgeMs: 5000 }), false);
+  // An outage that all see: becoming unhealthy would only lock users out for longer.
+  assert.equal(isHealthy({ ...healthy, replicaAgeMs: 5000, peersServing: 0 }), true);
+  assert.equal(isHealthy({ ...healthy, replicaAgeMs: 20_000, peersServing: 0 }), false);
+  // The leader answers all workers: users go to the peers before it is overloaded, while all peers serve.
+  assert.equal(isHealthy({ ...healthy, isLeader: true }), false);
+  assert.equal(isHealthy({ ...healthy, isLeader: true, peersServing: 1 }), true);
+  assert.equal(isHealthy({ ...healthy, isLeader: true, peerCount: 1, peersServing: 1 }), true);
 });
 
 test('a heartbeat whose worker has disconnected is skipped; the others are processed', () => {
-  const { intake, turn } = intakeByHand();
+  const { queue, runSlice } = createManualQueue();
   const seen: string[] = [];
   const written: string[] = [];
-  const report = (body: string): Buffer =>
+  const heartbeatRequest = (body: string): Buffer =>
     Buffer.from(`POST /hello HTTP/1.1\r\nContent-Length: ${body.length}\r\n\r\n${body}`);
   const connect = (): Duplex => {
     const socket = new Duplex({
@@ -138,46 +138,46 @@
       seen.push(b.toString());
       return { status: 200, body: b } as const;
     };
-    readHeartbeats(socket as unknown as Socket, 1024, intake, answer, () => assert.fail('not a report'));
+    readHeartbeats(socket as unknown as Socket, 1024, queue, answer, () => assert.fail('not a heartbeat'));
     return socket;
   };
   const [gone, held] = [connect(), connect()];
-  gone.emit('data', report('gone'));
-  // Not pipelined by the rules, but nothing is lost and nothing answered out of turn if it is.
-  held.emit('data', Buffer.concat([report('first'), report('second')]));
-  turn();
+  gone.emit('data', heartbeatRequest('gone'));
+  // Pipelining is against the protocol, but if it happens nothing is lost or answered out of order.
+  held.emit('data', Buffer.concat([heartbeatRequest('first'), heartbeatRequest('second')]));
+  runSlice();
   gone.emit('end');
-  turn();
+  runSlice();
   assert.deepEqual(seen, ['first']);
-  turn();
-  turn();
+  runSlice();
+  runSlice();
   assert.deepEqual(seen, ['first', 'second']);
   assert.equal(written.length, 2);
-  assert.equal(intake.size, 0);
+  assert.equal(queue.size, 0);
   held.destroy();
   gone.destroy();
 });
 
 test('many new connections in a row that were closed before they were accepted show that the queue is stale', () => {
   let stale = 0;
-  const { intake, turn } = intakeByHand(() => (stale += 1));
+  const { queue, runSlice } = createManualQueue(() => (stale += 1));
   const giveUp = (n: number, fresh = true): void => {
-    for (let k = 0; k < n; k++) intake.push(() => assert.fail('given up'), fresh)();
+    for (let k = 0; k < n; k++) queue.push(() => assert.fail('given up'), fresh)();
   };
   giveUp(31);
-  // Connections that are open already say nothing of the queue, neither way.
+  // Open connections say nothing about the queue, neither way.
   giveUp(40, false);
-  intake.push(() => undefined, false);
-  turn();
-  turn();
+  queue.push(() => undefined, false);
+  runSlice();
+  runSlice();
   assert.equal(stale, 0);
   giveUp(1);
   assert.equal(stale, 1);
-  // One that is still there when its turn comes shows that the wait is short enough.
+  // One that is still open when it is processed shows that the wait is short enough.
   giveUp(31);
-  intake.push(() => undefined, true);
-  turn();
-  turn();
+  queue.push(() => undefined, true);
+  runSlice();
+  runSlice();
   giveUp(31);
   assert.equal(stale, 1);
 });
@@ -196,7 +196,7 @@
   await waitUntil('the first', () => taken.length === 1);
   assert.equal(listener.reopen(), false, 'not so soon after it was opened');
   const waiting = Array.from({ length: 6 }, client);
-  // Their connections are made; the loop has gone round once, and taken one of them in at the most.
+  // Their connections are established; the event loop has turned once, and accepted one of them at the most.
   await new Promise((done) => setImmediate(done));
   const before = taken.length;
   assert.ok(before <= 2);
@@ -211,66 +211,60 @@
   running.unsubscribe();
 });
 
-/** An owner with machines that report, one of which holds a committed replica. */
-class Behind {
+/** A leader with machines that send heartbeats. */
+class OverloadedLeader {
   readonly scheduler = createSchedulerWithType({ previousLeader: 'none' });
-  session = 1;
-  private seq = 0;
-  private stamp = 10;
+  agentEpoch = 1;
+  private sequence = 0;
+  private modRevision = 10;
 
-  constructor(private readonly machines: number) {}
+  constructor(private readonly machineCount: number) {}
 
-  late(s: number): void {
+  lag(s: number): void {
     for (let n = 0; n < 20; n++) this.scheduler.recordEventLoopLag(seconds(s));
   }
 
-  /** Each machine reports, with what it is told to hold; what its answer carries comes back. */
-  report(s: number, token = 1, holds: Record<string, readonly string[]> = {}): WorkerCommand[] {
-    this.seq += 1;
+  /** Each machine sends a heartbeat with its running tasks; yields the commands in the responses. */
+  sendHeartbeats(
+    s: number,
+    fencingToken = 1,
+    runningJobs: Record<string, readonly string[]> = {},
+  ): WorkerCommand[] {
+    this.sequence += 1;
     this.scheduler.handle({ kind: 'leadership-confirmed', confirmedAt: timeAt(s).monotonic }, timeAt(s));
     const commands: WorkerCommand[] = [];
-    for (let n = 0; n < this.machines; n++) {
-      const tasks = (holds[`m${n}`] ?? []).map((job) => ({
-        ...{
-          jobId: job,
-          taskIndex: 0,
-          attempt: 1,
-          state: 'running' as const,
-          exitReason: null,
-          checkpointed: false,
-        },
+    for (let n = 0; n < this.machineCount; n++) {
+      const tasks = (runningJobs[`m${n}`] ?? []).map((jobId) => ({
+        jobId,
+        taskIndex: 0,
+        attempt: 1,
+        state: 'running' as const,
+        exitReason: null,
+        checkpointed: false,
       }));
-      const report = { machineName: `m${n}`, endpoint: `m${n}:1`, type: 'big', zone: 'east', spot: false };
-      const whole = {
-        ...report,
-        agentEpoch: this.session,
-        sequence: this.seq,
-        fencingToken: token,
-        preemptionNotice: null,
-        tasks,
-      };
-      this.scheduler.handle({ kind: 'heartbeat', heartbeat: whole }, timeAt(s));
-      commands.push(...this.scheduler.answerHeartbeat(whole, timeAt(s)));
+      const { agentEpoch, sequence } = this;
+      const heartbeat = heartbeatOf(`m${n}`, { agentEpoch, sequence, fencingToken, tasks });
+      this.scheduler.handle({ kind: 'heartbeat', heartbeat }, timeAt(s));
+      commands.push(...this.scheduler.answerHeartbeat(heartbeat, timeAt(s)));
     }
     return commands;
   }
 
-  job(
+  changeJob(
     s: number,
     id: string,
-    over: Parameters<typeof jobSpec>[1],
-    standing: 'open' | 'cancelled' = 'open',
+    overrides: Partial<JobSpec>,
+    status: 'open' | 'cancelled' = 'open',
   ): Effect[] {
-    const record = { spec: jobSpec(id, over), submittedAt: timeAt(s).wall, status: standing };
-    return this.scheduler.handle({ kind: 'job-changed', id, record, modRevision: ++this.stamp }, timeAt(s));
+    const record = { ...openJob(id, overrides, s), status };
+    const modRevision = ++this.modRevision;
+    return this.scheduler.handle({ kind: 'job-changed', id, record, modRevision }, timeAt(s));
   }
 
   commit(s: number): Effect[] {
     const transaction = this.scheduler.nextTransaction(timeAt(s)) as Transaction;
-    return this.scheduler.handle(
-      { kind: 'transaction-committed', transaction, modRevision: ++this.stamp },
-      timeAt(s),
-    );
+    const modRevision = ++this.modRevision;
+    return this.scheduler.handle({ kind: 'transaction-committed', transaction, modRevision }, timeAt(s));
   }
 
   tick(s: number): Effect[] {
@@ -278,116 +272,119 @@
   }
 }
 
-const direct = (effects: readonly Effect[]): Effect[] =>
+const directCommands = (effects: readonly Effect[]): Effect[] =>
   effects.filter((effect) => effect.kind === 'send-commands');
 
 test('while overloaded, starts and stops are sent in heartbeat responses, not by direct calls', () => {
-  for (const late of [0, 1]) {
-    const b = new Behind(1);
-    b.report(0);
-    b.late(late);
-    b.job(1, 'req-1', {});
-    // A pass is made late, but it is made.
+  for (const lagS of [0, 1]) {
+    const leader = new OverloadedLeader(1);
+    leader.sendHeartbeats(0);
+    leader.lag(lagS);
+    leader.changeJob(1, 'req-1', {});
+    // The scheduling cycle is late, but it runs.
     for (const s of [2, 3, 4]) {
-      b.report(s);
-      b.tick(s);
+      leader.sendHeartbeats(s);
+      leader.tick(s);
     }
-    assert.equal(direct(b.commit(4)).length, late === 0 ? 1 : 0);
-    // The answer carries the start in both cases, until a report shows the task.
+    assert.equal(directCommands(leader.commit(4)).length, lagS === 0 ? 1 : 0);
+    // The response carries the start in both cases, until a heartbeat lists the task.
     assert.deepEqual(
-      b.report(5).map((command) => `${command.op} ${command.jobId}`),
+      leader.sendHeartbeats(5).map((command) => `${command.op} ${command.jobId}`),
       ['start req-1'],
     );
-    b.report(6, 1, { m0: ['req-1'] });
-    assert.equal(direct(b.job(7, 'req-1', {}, 'cancelled')).length, late === 0 ? 1 : 0);
+    leader.sendHeartbeats(6, 1, { m0: ['req-1'] });
+    assert.equal(directCommands(leader.changeJob(7, 'req-1', {}, 'cancelled')).length, lagS === 0 ? 1 : 0);
     assert.deepEqual(
-      b.report(8, 1, { m0: ['req-1'] }).map((command) => `${command.op} ${command.jobId}`),
+      leader.sendHeartbeats(8, 1, { m0: ['req-1'] }).map((command) => `${command.op} ${command.jobId}`),
       ['stop req-1'],
     );
   }
 });
 
-/** Makes machines known that have not reported, as a takeover does. */
-function listMachines(b: Behind, count: number): void {
+/** Makes machines known that have not sent a heartbeat, as at a failover. */
+function listMachines(leader: OverloadedLeader, count: number): void {
   const names = Array.from({ length: count }, (_, n) => `m${n}`);
   const machines = names.map((name) => ({
     ...{ name, endpoint: `${name}:1`, type: 'big', zone: 'east', spot: false },
     ...{ state: 'running' as const, age: seconds(60) },
   }));
-  b.scheduler.handle({ kind: 'instance-inventory', machines, requestedAt: timeAt(0).monotonic }, timeAt(0));
+  leader.scheduler.handle(
+    { kind: 'instance-inventory', machines, requestedAt: timeAt(0).monotonic },
+    timeAt(0),
+  );
 }
 
 test('a new leader probes all machines without heartbeats, but hardly any while it is overloaded', () => {
-  for (const late of [0, 1]) {
-    const b = new Behind(40);
-    listMachines(b, 40);
-    b.late(late);
-    assert.equal(direct(b.tick(1.2)).length, late === 0 ? 40 : 1);
+  for (const lagS of [0, 1]) {
+    const leader = new OverloadedLeader(40);
+    listMachines(leader, 40);
+    leader.lag(lagS);
+    assert.equal(directCommands(leader.tick(1.2)).length, lagS === 0 ? 40 : 1);
   }
 });
 
-// Direct calls took most of a small core while hundreds of workers came back by themselves, and their leases ran out.
+// Direct calls took most of a small core while hundreds of workers released by themselves, and their leases expired.
 test('while first heartbeats keep arriving, hardly any machine is probed; machines with heartbeats only if necessary', () => {
-  const b = new Behind(10);
-  listMachines(b, 40);
-  b.report(1, 0);
-  assert.equal(direct(b.tick(1.5)).length, 1);
-  const asked = direct(b.tick(2.2)).map((effect) =>
+  const leader = new OverloadedLeader(10);
+  listMachines(leader, 40);
+  leader.sendHeartbeats(1, 0);
+  assert.equal(directCommands(leader.tick(1.5)).length, 1);
+  const probed = directCommands(leader.tick(2.2)).map((effect) =>
     effect.kind === 'send-commands' ? effect.machineName : '',
   );
-  assert.equal(asked.length, 29, 'the others that nobody heard, but for the one that was just asked');
+  assert.equal(probed.length, 29, 'the other machines without heartbeats, but for the one just probed');
   assert.deepEqual(
-    asked.filter((name) => Number(name.slice(1)) < 10),
+    probed.filter((name) => Number(name.slice(1)) < 10),
     [],
   );
-  // They had the token in the answer and should have shown it.
-  const silent = direct(b.tick(2.7)).map((effect) =>
+  // They had the fencing token in the response and should have reported it.
+  const probedAgain = directCommands(leader.tick(2.7)).map((effect) =>
     effect.kind === 'send-commands' ? effect.machineName : '',
   );
-  assert.equal(silent.filter((name) => Number(name.slice(1)) < 10).length, 10);
+  assert.equal(probedAgain.filter((name) => Number(name.slice(1)) < 10).length, 10);
 });
 
 test('while overloaded, no unresponsive machine is released, and scheduling cycles run at long intervals', () => {
-  for (const late of [0, 1]) {
-    const b = new Behind(8);
-    b.report(0);
-    b.job(0, 'req-1', { kind: 'service', priority: 'production', cpus: 8 });
-    b.commit(0);
-    const [place] = [...b.scheduler.state.machines.byName.values()].filter(
+  for (const lagS of [0, 1]) {
+    const leader = new OverloadedLeader(8);
+    leader.sendHeartbeats(0);
+    leader.changeJob(0, 'req-1', { kind: 'service', priority: 'production', cpus: 8 });
+    leader.commit(0);
+    const [machineInUse] = [...leader.scheduler.state.machines.byName.values()].filter(
       (machine) => machine.assignments.size > 0,
     );
-    assert.ok(place);
-    b.late(late);
-    assert.equal(minCycleInterval(b.scheduler.state), late === 0 ? 0n : seconds(2));
-    const returned: Effect[] = [];
+    assert.ok(machineInUse);
+    leader.lag(lagS);
+    assert.equal(minCycleInterval(leader.scheduler.state), lagS === 0 ? 0n : seconds(2));
+    const released: Effect[] = [];
     for (let s = 1; s < 9; s++) {
-      // All others go on reporting.
-      b.scheduler.handle({ kind: 'leadership-confirmed', confirmedAt: timeAt(s).monotonic }, timeAt(s));
-      for (const machine of b.scheduler.state.machines.byName.values())
-        if (machine !== place) machine.lastHeartbeatAt = timeAt(s).monotonic;
-      returned.push(...b.tick(s).filter((effect) => effect.kind === 'scale-in'));
+      // All others keep sending heartbeats.
+      leader.scheduler.handle({ kind: 'leadership-confirmed', confirmedAt: timeAt(s).monotonic }, timeAt(s));
+      for (const machine of leader.scheduler.state.machines.byName.values())
+        if (machine !== machineInUse) machine.lastHeartbeatAt = timeAt(s).monotonic;
+      released.push(...leader.tick(s).filter((effect) => effect.kind === 'scale-in'));
     }
-    assert.equal(returned.length, late === 0 ? 1 : 0);
+    assert.equal(released.length, lagS === 0 ? 1 : 0);
   }
 });
 
 test('while overloaded, an expired lease does not mark a machine as unreachable', () => {
-  for (const late of [0, 1]) {
-    const b = new Behind(1);
-    b.report(0);
-    b.late(late);
-    for (const s of [1, 2, 3]) b.report(s);
-    b.session = 2;
-    b.report(4);
-    const machine = b.scheduler.state.machines.byName.get('m0');
-    assert.equal(machine?.unreachableSince === null, late === 1);
+  for (const lagS of [0, 1]) {
+    const leader = new OverloadedLeader(1);
+    leader.sendHeartbeats(0);
+    leader.lag(lagS);
+    for (const s of [1, 2, 3]) leader.sendHeartbeats(s);
+    leader.agentEpoch = 2;
+    leader.sendHeartbeats(4);
+    const machine = leader.scheduler.state.machines.byName.get('m0');
+    assert.equal(machine?.unreachableSince === null, lagS === 1);
   }
 });
 
 test('a machine gets one probe at a time, however many are queued', async () => {
-  let asked = 0;
+  let probes = 0;
   const worker = await listen(() => {
-    asked += 1;
+    probes += 1;
     return { status: 409, body: {} };
   });
   const results: string[] = [];
@@ -398,17 +395,17 @@
     (result) => results.push(result.outcome),
   );
   const running = workers.start();
-  const question = { machineName: 'm1', endpoint: worker.address, agentEpoch: 1, commands: [] };
-  for (let n = 0; n < 5; n++) workers.push(question);
+  const probe = { machineName: 'm1', endpoint: worker.address, agentEpoch: 1, commands: [] };
+  for (let n = 0; n < 5; n++) workers.push(probe);
   await waitUntil('an answer', () => results.length > 0);
-  workers.push(question);
+  workers.push(probe);
   await waitUntil('another', () => results.length > 1);
-  assert.equal(asked, 2);
+  assert.equal(probes, 2);
   running.unsubscribe();
   worker.close();
 });
 
-/** A leader of its own, with two workers, while a test looks at what it asks of the state service. */
+/** Runs a leader with two workers while `look` observes its requests to the state store. */
 async function withLeader(look: (state: StateStoreStandIn) => Promise<void>): Promise<void> {
   const state = new StateStoreStandIn({ txnOps: 4, valueBytes: 4096 });
   await state.start();
@@ -425,25 +422,28 @@
   }
 }
 
-const ms = (n: number): Promise<void> => new Promise((done) => setTimeout(done, n));
+const pause = (ms: number): Promise<void> => new Promise((done) => setTimeout(done, ms));
 
 test('an idle leader sends few requests to the state store, and writes nothing', () =>
   withLeader(async (state) => {
-    await ms(1500);
-    const [asked, rev] = [state.requestCount, state.revision];
+    await pause(1500);
+    const [requests, revision] = [state.requestCount, state.revision];
     const began = process.hrtime.bigint();
-    await ms(3000);
-    const took = Number(process.hrtime.bigint() - began) / 1e9;
-    // Two renewals, a compare of the own stamp, and a compare or two for the copy, a second.
-    assert.ok(state.requestCount - asked <= 6 * took, `${state.requestCount - asked} requests in ${took} s`);
-    assert.equal(state.revision, rev);
+    await pause(3000);
+    const elapsedS = Number(process.hrtime.bigint() - began) / 1e9;
+    // A second: two renewals, a compare of the own key, and a compare or two for the replica.
+    assert.ok(
+      state.requestCount - requests <= 6 * elapsedS,
+      `${state.requestCount - requests} requests in ${elapsedS} s`,
+    );
+    assert.equal(state.revision, revision);
   }));
 
 test('the state store lease is renewed by the clock, also while earlier renewals are unanswered', () =>
   withLeader(async (state) => {
     state.renewalsHang = true;
     const before = state.renewalCount;
-    // Within the time after which the first is given up.
-    await ms(1400);
+    // Within the timeout of the first renewal.
+    await pause(1400);
     assert.ok(state.renewalCount - before >= 2, `${state.renewalCount - before} renewals`);
   }));
--- a/test/memory-bounds.test.ts
+++ b/test/memory-bounds.test.ts
@@ -8,7 +8,6 @@
 import { createLogger } from '../src/edge/runtime/logger.js';
 import { ImageCacheObserver } from '../src/edge/state-store/image-cache-observer.js';
 import type { KeyChange, ReplicaEntry } from '../src/edge/state-store/replica-view.js';
-import type { StateStore } from '../src/edge/state-store/state-store.js';
 import { FinishedJobSummary, jobSummaryOf } from '../src/wire/finished-job-summary.js';
 import { jobKey, pageKey } from '../src/wire/keys.js';
 import { encodeJob } from '../src/wire/job-record.js';
@@ -78,7 +77,7 @@
 
 test('of thousands of finished jobs the replica keeps final statuses, not specifications', () => {
   const copy = new Copy();
-  const counts = new TaskCounts(copy as unknown as StateStore);
+  const counts = new TaskCounts(copy);
   const ended = new FinishedJobCompactor(copy, counts);
   const routine = ended.start();
   for (let n = 0; n < 3000; n++) {
@@ -98,7 +97,7 @@
 // Its tasks may still run: a new owner must know what they take of their team's limit and of their machines.
 test('a cancelled job is kept whole while a task of it is assigned, or while the replica is reloading', () => {
   const copy = new Copy();
-  const ended = new FinishedJobCompactor(copy, new TaskCounts(copy as unknown as StateStore));
+  const ended = new FinishedJobCompactor(copy, new TaskCounts(copy));
   const routine = ended.start();
   copy.reloading = true;
   copy.job('req-1', 'cancelled');
@@ -119,7 +118,7 @@
   const pages = new DecodedPageCache();
   let leading = false;
   const images = new ImageCacheObserver(
-    copy as unknown as StateStore,
+    copy,
     createLogger('test'),
     pages,
     () => leading,
--- a/test/standins/state-store.ts
+++ b/test/standins/state-store.ts
@@ -4,61 +4,85 @@
 interface StoredItem {
   value: unknown;
   modRevision: number;
+  /** The lease with which the key disappears; null: none. */
   leaseId: number | null;
 }
 
-/** One of several addresses of the service. Whoever comes by one that is refused gets 503, and its follows wait. */
+interface KeyChange {
+  readonly key: string;
+  /** Undefined: the key was deleted. */
+  readonly value: unknown;
+  readonly modRevision: number;
+}
+
+/** One of several addresses of the service. Requests at one that is refused get 503, and its watches see nothing. */
 export interface StoreEndpoint {
   readonly address: string;
   refused: boolean;
 }
 
-/** A state service in memory: guards, stamps, holds that end, follows. It refuses what the interfaces refuse. */
+/**
+ * What becomes of a transaction: `lost` is committed without a response, `late` only after a while without one, `held`
+ * at once, but answered only after `lateResponseMs`, `slow` only after `slowCommitMs`, and then answered.
+ */
+export type TransactionFault = 'lost' | 'late' | 'held' | 'slow';
+
+const LATE_COMMIT_MS = 400;
+const ITEMS_PER_LIST = 3;
+const CONDITIONS_PER_OPERATION = 4;
+
+interface Limits {
+  readonly txnOps: number;
+  readonly valueBytes: number;
+}
+
+const after = (delayMs: number, reply: () => Reply): Promise<Reply> =>
+  new Promise((done) => setTimeout(() => done(reply()), delayMs).unref());
+
+/** A state store in memory: compare conditions, leases, watches. It refuses what the interfaces refuse. */
 export class StateStoreStandIn {
   address = '';
   down = false;
   revision = 0;
   readonly items = new Map<string, StoredItem>();
-  /** Every transaction that came, for sending copies of it later. */
+  /** Every transaction that arrived, for sending duplicates of it later. */
   readonly transactions: Record<string, unknown>[] = [];
-  /**
-   * What becomes of a transaction: `lost` is carried out without an answer, `late` only after a while, `held` at once,
-   * but answered only after `heldMs`, `slow` only after `slowMs`, and then answered.
-   */
-  transactionFault: (body: Record<string, unknown>) => 'lost' | 'late' | 'held' | 'slow' | null = () => null;
+  transactionFault: (body: Record<string, unknown>) => TransactionFault | null = () => null;
   slowCommitMs = 400;
   lateResponseMs = 1400;
-  /** Follows hear of nothing, as on a connection that hangs. */
+  /** Watches see no changes, as on a connection that hangs. */
   watchesHang = false;
-  /** Requests of all kinds that came. */
+  /** Requests of all kinds that arrived. */
   requestCount = 0;
-  /** Renewals of leases that came, and whether their answers never do. */
+  /** Lease renewals that arrived, and whether their responses never do. */
   renewalCount = 0;
   renewalsHang = false;
-  private readonly leases = new Map<number, { ttl: number; timer: NodeJS.Timeout }>();
-  private readonly changes: { key: string; value: unknown; stamp: number; gone: boolean }[] = [];
+  private readonly leases = new Map<number, { ttlMs: number; timer: NodeJS.Timeout }>();
+  private readonly changes: KeyChange[] = [];
   private readonly watchers = new Set<() => void>();
   private nextLeaseId = 1;
   private readonly closeServers: (() => void)[] = [];
 
-  constructor(private readonly limits: { txnOps: number; valueBytes: number }) {}
+  constructor(private readonly limits: Limits) {}
 
   async start(): Promise<void> {
     this.address = (await this.openEndpoint()).address;
   }
 
-  /** A further address, so that the service can refuse one controller alone. */
+  /** A further address, so that the store can refuse one controller alone. */
   async openEndpoint(): Promise<StoreEndpoint> {
     const endpoint = { address: '', refused: false };
-    const s = await listen((m, u, b) => this.answer(m, u, b as Record<string, unknown>, endpoint));
-    this.closeServers.push(s.close);
-    endpoint.address = s.address;
+    const server = await listen((method, url, body) =>
+      this.answer(method, url, body as Record<string, unknown>, endpoint),
+    );
+    this.closeServers.push(server.close);
+    endpoint.address = server.address;
     return endpoint;
   }
 
   stop(): void {
-    for (const h of this.leases.values()) clearTimeout(h.timer);
-    for (const s of this.closeServers) s();
+    for (const { timer } of this.leases.values()) clearTimeout(timer);
+    for (const close of this.closeServers) close();
   }
 
   private answer(
@@ -68,36 +92,38 @@
     endpoint: StoreEndpoint,
   ): Reply | Promise<Reply> {
     this.requestCount += 1;
-    if (url.pathname === '/follow') return this.watch(url, endpoint);
+    const { pathname } = url;
+    if (pathname === '/follow') return this.watch(url, endpoint);
     if (this.down || endpoint.refused) return { status: 503, body: { error: 'trouble' } };
-    if (url.pathname === '/commit') {
-      this.transactions.push(body);
-      const fate = this.transactionFault(body);
-      if (fate === null) return this.commit(body);
-      if (fate === 'held') {
-        const reply = this.commit(body);
-        return new Promise((done) => setTimeout(() => done(reply), this.lateResponseMs).unref());
-      }
-      if (fate === 'slow')
-        return new Promise((done) => setTimeout(() => done(this.commit(body)), this.slowCommitMs).unref());
-      if (fate === 'lost') this.commit(body);
-      else setTimeout(() => this.commit(body), 400).unref();
-      return { status: 504, body: {} };
-    }
-    if (url.pathname === '/store') return this.listItems(url);
-    if (url.pathname.startsWith('/store/')) return this.readItem(url.pathname.slice('/store/'.length));
-    if (url.pathname === '/holds') return this.grantLease(body['ttlMs'] as number);
-    const touch = /^\/holds\/(\d+)\/touch$/.exec(url.pathname);
-    if (touch !== null) {
+    if (pathname === '/commit') return this.answerTransaction(body);
+    if (pathname === '/store') return this.listItems(url);
+    if (pathname.startsWith('/store/')) return this.readItem(pathname.slice('/store/'.length));
+    if (pathname === '/holds') return this.grantLease(body['ttlMs'] as number);
+    const renewed = /^\/holds\/(\d+)\/touch$/.exec(pathname);
+    if (renewed !== null) {
       this.renewalCount += 1;
-      const reply = this.renewLease(Number(touch[1]));
+      const reply = this.renewLease(Number(renewed[1]));
       return this.renewalsHang ? new Promise(() => undefined) : reply;
     }
-    const drop = /^\/holds\/(\d+)$/.exec(url.pathname);
-    if (drop !== null && method === 'DELETE') return this.expireLease(Number(drop[1]));
+    const revoked = /^\/holds\/(\d+)$/.exec(pathname);
+    if (revoked !== null && method === 'DELETE') return this.expireLease(Number(revoked[1]));
     return { status: 400, body: {} };
   }
 
+  private answerTransaction(body: Record<string, unknown>): Reply | Promise<Reply> {
+    this.transactions.push(body);
+    const fault = this.transactionFault(body);
+    if (fault === null) return this.commit(body);
+    if (fault === 'held') {
+      const reply = this.commit(body);
+      return after(this.lateResponseMs, () => reply);
+    }
+    if (fault === 'slow') return after(this.slowCommitMs, () => this.commit(body));
+    if (fault === 'lost') this.commit(body);
+    else setTimeout(() => this.commit(body), LATE_COMMIT_MS).unref();
+    return { status: 504, body: {} };
+  }
+
   private readItem(key: string): Reply {
     const item = this.items.get(key);
     if (item === undefined) return { status: 404, body: { ledgerRev: this.revision } };
@@ -105,98 +131,106 @@
   }
 
   private listItems(url: URL): Reply {
-    const under = url.searchParams.get('under') ?? '';
+    const prefix = url.searchParams.get('under') ?? '';
     const from = url.searchParams.get('from') ?? '';
-    const keys = [...this.items.keys()].filter((k) => k.startsWith(under) && k > from).sort();
-    const items = keys
-      .slice(0, 3)
-      .map((key) => ({ key, value: this.items.get(key)?.value, stamp: this.items.get(key)?.modRevision }));
-    return { status: 200, body: { items, hasNext: keys.length > 3, ledgerRev: this.revision } };
+    const keys = [...this.items.keys()].filter((key) => key.startsWith(prefix) && key > from).sort();
+    const items = keys.slice(0, ITEMS_PER_LIST).map((key) => {
+      const item = this.items.get(key);
+      return { key, value: item?.value, stamp: item?.modRevision };
+    });
+    const hasNext = keys.length > ITEMS_PER_LIST;
+    return { status: 200, body: { items, hasNext, ledgerRev: this.revision } };
   }
 
+  /** Commits a transaction, also a duplicate of one that a test sends by itself. */
   commit(body: Record<string, unknown>): Reply {
-    const guards = body['guards'] as { key: string; stamp: number }[];
+    const conditions = body['guards'] as { key: string; stamp: number }[];
     const writes = body['writes'] as { write?: string; delete?: string; value?: unknown; permit?: number }[];
-    const tooLarge = writes.some((w) => JSON.stringify(w.value ?? null).length > this.limits.valueBytes);
-    if (writes.length > this.limits.txnOps || guards.length > this.limits.txnOps * 4 || tooLarge)
-      return { status: 400, body: { error: 'over a limit' } };
-    const failed = guards
-      .filter((g) => (this.items.get(g.key)?.modRevision ?? 0) !== g.stamp)
-      .map((g) => g.key);
+    const tooLarge = writes.some(
+      ({ value }) => JSON.stringify(value ?? null).length > this.limits.valueBytes,
+    );
+    const tooMany =
+      writes.length > this.limits.txnOps || conditions.length > this.limits.txnOps * CONDITIONS_PER_OPERATION;
+    if (tooMany || tooLarge) return { status: 400, body: { error: 'over a limit' } };
+    const failed = conditions
+      .filter(({ key, stamp }) => (this.items.get(key)?.modRevision ?? 0) !== stamp)
+      .map(({ key }) => key);
     if (failed.length > 0) return { status: 409, body: { failed, ledgerRev: this.revision } };
-    if (writes.some((w) => w.permit !== undefined && !this.leases.has(w.permit)))
+    if (writes.some(({ permit }) => permit !== undefined && !this.leases.has(permit)))
       return { status: 400, body: { error: 'no such lease' } };
     if (writes.length > 0) {
       this.revision += 1;
-      for (const w of writes)
-        this.changeItem(
-          w.write ?? w.delete ?? '',
-          w.write === undefined ? undefined : w.value,
-          w.permit ?? null,
-        );
+      for (const { write, delete: deleted, value, permit } of writes)
+        this.changeItem(write ?? deleted ?? '', write === undefined ? undefined : value, permit ?? null);
       this.notifyWatchers();
     }
     return { status: 200, body: { ledgerRev: this.revision } };
   }
 
-  private changeItem(key: string, value: unknown, permit: number | null): void {
+  private changeItem(key: string, value: unknown, leaseId: number | null): void {
+    const modRevision = this.revision;
     if (value === undefined) this.items.delete(key);
-    else this.items.set(key, { value, modRevision: this.revision, leaseId: permit });
-    this.changes.push({ key, value, stamp: this.revision, gone: value === undefined });
+    else this.items.set(key, { value, modRevision, leaseId });
+    this.changes.push({ key, value, modRevision });
   }
 
   private notifyWatchers(): void {
-    for (const w of [...this.watchers]) w();
+    for (const notify of [...this.watchers]) notify();
   }
 
-  private grantLease(ttl: number): Reply {
+  private grantLease(ttlMs: number): Reply {
     const id = this.nextLeaseId++;
-    this.leases.set(id, { ttl, timer: setTimeout(() => this.expireLease(id), ttl) });
+    this.leases.set(id, { ttlMs, timer: setTimeout(() => this.expireLease(id), ttlMs) });
     return { status: 200, body: { permit: id } };
   }
 
   private renewLease(id: number): Reply {
-    const h = this.leases.get(id);
-    if (h === undefined) return { status: 404, body: {} };
-    h.timer.refresh();
+    const lease = this.leases.get(id);
+    if (lease === undefined) return { status: 404, body: {} };
+    lease.timer.refresh();
     return { status: 200, body: {} };
   }
 
+  /** Ends a lease, and deletes the keys that were written with it. */
   expireLease(id: number): Reply {
-    const h = this.leases.get(id);
-    if (h === undefined) return { status: 404, body: {} };
-    clearTimeout(h.timer);
+    const lease = this.leases.get(id);
+    if (lease === undefined) return { status: 404, body: {} };
+    clearTimeout(lease.timer);
     this.leases.delete(id);
-    const keys = [...this.items].filter(([, i]) => i.leaseId === id).map(([k]) => k);
+    const keys = [...this.items].filter(([, item]) => item.leaseId === id).map(([key]) => key);
     if (keys.length > 0) this.revision += 1;
-    for (const k of keys) this.changeItem(k, undefined, null);
+    for (const key of keys) this.changeItem(key, undefined, null);
     this.notifyWatchers();
     return { status: 200, body: {} };
   }
 
+  /** Answers at once if there are changes, otherwise with the first one or after the time asked for. */
   private async watch(url: URL, endpoint: StoreEndpoint): Promise<Reply> {
     const from = Number(url.searchParams.get('from'));
-    const holdMs = Number(url.searchParams.get('holdMs') ?? 0);
+    const waitMs = Number(url.searchParams.get('holdMs') ?? 0);
     const hidden = (): boolean => this.down || endpoint.refused || this.watchesHang;
-    const fresh = () => (hidden() ? [] : this.changes.filter((n) => n.stamp > from));
-    if (fresh().length === 0)
-      await new Promise<void>((done) => {
-        const check = (): void => {
-          if (fresh().length === 0) return;
-          finish();
-        };
-        const finish = (): void => {
-          clearTimeout(timer);
-          this.watchers.delete(check);
-          done();
-        };
-        const timer = setTimeout(finish, holdMs);
-        timer.unref();
-        this.watchers.add(check);
-      });
-    const news = fresh().map((n) =>
-      n.gone ? { delete: n.key, stamp: n.stamp } : { write: n.key, value: n.value, stamp: n.stamp },
+    const visible = (): KeyChange[] =>
+      hidden() ? [] : this.changes.filter(({ modRevision }) => modRevision > from);
+    if (visible().length === 0) await this.waitForChange(() => visible().length > 0, waitMs);
+    const news = visible().map(({ key, value, modRevision: stamp }) =>
+      value === undefined ? { delete: key, stamp } : { write: key, value, stamp },
     );
     return { status: 200, body: { ledgerRev: hidden() ? from : this.revision, news } };
   }
+
+  private waitForChange(changed: () => boolean, waitMs: number): Promise<void> {
+    return new Promise<void>((done) => {
+      const finish = (): void => {
+        clearTimeout(timer);
+        this.watchers.delete(check);
+        done();
+      };
+      const check = (): void => {
+        if (changed()) finish();
+      };
+      const timer = setTimeout(finish, waitMs);
+      timer.unref();
+      this.watchers.add(check);
+    });
+  }
 }
--- a/test/standins/worker.ts
+++ b/test/standins/worker.ts
@@ -2,22 +2,26 @@
 import type { Agent } from 'node:http';
 import { call, listen, type Reply } from './http.js';
 
+/** A task as it stands in a heartbeat, in the words of the protocol. */
 interface TaskBody {
-  ticket: string;
-  try: number;
+  readonly ticket: string;
+  readonly try: number;
   standing: 'running' | 'exited';
   cause?: string;
 }
 
+/** Commands of a controller, in the words of the protocol. */
 interface CommandsBody {
-  baton?: number;
-  shift?: number;
-  orders?: { verb: string; ticket: string; try: number }[];
+  readonly baton?: number;
+  readonly shift?: number;
+  readonly orders?: readonly { verb: string; ticket: string; try: number }[];
 }
 
-/** What all workers together saw: a task must never run in two places. */
+/** What all workers together ran: a task must never run on two of them. */
 export class TaskHistory {
+  /** The machine of each running task. */
   readonly running = new Map<string, string>();
+  /** Tasks that started while they ran elsewhere; must stay empty. */
   readonly conflicts: string[] = [];
   /** Tasks that were running when a command stopped them. */
   readonly stopped: string[] = [];
@@ -25,33 +29,34 @@
   /** When each task started last. */
   readonly startedAt = new Map<string, bigint>();
 
-  recordStart(ticket: string, machine: string): void {
+  /** Notes a start, and a conflict if the task runs already. */
+  recordStart(task: string, machine: string): void {
     this.startCount += 1;
-    const other = this.running.get(ticket);
-    if (other !== undefined) this.conflicts.push(`${ticket} runs on ${other} and ${machine}`);
-    this.running.set(ticket, machine);
-    this.startedAt.set(ticket, process.hrtime.bigint());
+    const other = this.running.get(task);
+    if (other !== undefined) this.conflicts.push(`${task} runs on ${other} and ${machine}`);
+    this.running.set(task, machine);
+    this.startedAt.set(task, process.hrtime.bigint());
   }
 }
 
-/** A worker: reports, keeps the highest token, drops what carries a lower one, and runs tasks for a set time. */
+/** A worker: sends heartbeats, refuses commands with a lower fencing token, and runs tasks for a set time. */
 export class WorkerStandIn {
   address = '';
+  /** The highest one that it has seen. */
   fencingToken = 0;
-  /** Set: a lease of that length, as workers have it; all tasks end with it, and the next session begins. */
+  /** Set: a lease of that length; all tasks end with it, and the next agent epoch begins. */
   leaseMs: number | null = null;
-  /** Its reports arrive; answers and commands to it are lost. */
+  /** Its heartbeats arrive; responses and commands to it are lost. */
   inboundLost = false;
-  /** Its reports reach nobody; commands to it arrive. */
+  /** Its heartbeats reach nobody; commands to it arrive. */
   outboundLost = false;
-  /** When the last report that was answered was sent. */
+  /** When the last heartbeat that was answered was sent. */
   lastRenewedAt = process.hrtime.bigint();
   agentEpoch = 1;
-  /** Its answers to commands take so long; the commands are carried out at once. */
+  /** Its responses to commands are delayed for so long; the commands are executed at once. */
   responseDelayMs = 0;
-  /** How often it reports. */
   heartbeatIntervalMs = 60;
-  /** It keeps its connection to a controller, as workers do. */
+  /** Set: it keeps its connection to a controller, as workers do. */
   agent: Agent | false = false;
   private sequence = 0;
   private readonly tasks = new Map<string, TaskBody>();
@@ -64,25 +69,27 @@
     readonly zone: string,
     private readonly controllers: readonly string[],
     private readonly history: TaskHistory,
-    private readonly taskDurationMs: (ticket: string) => number | null,
+    /** How long a task runs; null: until it is stopped. */
+    private readonly taskDurationMs: (task: string) => number | null,
   ) {}
 
+  /** Listens, and sends heartbeats until `stop`. */
   async start(): Promise<void> {
-    const s = await listen((_m, url, body) => this.answer(url, body as CommandsBody));
-    this.address = s.address;
-    this.closeServer = s.close;
+    const server = await listen((_method, url, body) => this.answer(url, body as CommandsBody));
+    this.address = server.address;
+    this.closeServer = server.close;
     void this.sendHeartbeats();
   }
 
   stop(): void {
     this.stopped = true;
-    for (const t of this.timers) clearTimeout(t);
+    for (const timer of this.timers) clearTimeout(timer);
     this.closeServer();
   }
 
-  /** Tasks that have not ended. */
+  /** How many tasks have not ended. */
   get runningTasks(): number {
-    return [...this.tasks.values()].filter((h) => h.standing !== 'exited').length;
+    return [...this.tasks.values()].filter((task) => task.standing !== 'exited').length;
   }
 
   private heartbeatBody(): unknown {
@@ -97,20 +104,22 @@
       tick: this.sequence,
       baton: this.fencingToken,
       recallS: null,
-      tickets: [...this.tasks.values()].map((h) => ({ ...h })),
+      tickets: [...this.tasks.values()].map((task) => ({ ...task })),
     };
   }
 
+  /** Stays with a controller for as long as it answers. */
   private async sendHeartbeats(): Promise<void> {
-    for (let at = 0; !this.stopped;) {
-      const addr = this.controllers[at % this.controllers.length] ?? '';
-      const sent = process.hrtime.bigint();
-      const session = this.agentEpoch;
-      const r = this.outboundLost
+    for (let turn = 0; !this.stopped;) {
+      const controller = this.controllers[turn % this.controllers.length] ?? '';
+      const sentAt = process.hrtime.bigint();
+      const agentEpoch = this.agentEpoch;
+      const response = this.outboundLost
         ? null
-        : await call(addr, 'POST', '/hello', this.heartbeatBody(), this.agent).catch(() => null);
-      if (r?.status !== 200 || this.inboundLost) at += 1;
-      else if (session === this.agentEpoch && this.applyCommands(r.body)) this.lastRenewedAt = sent;
+        : await call(controller, 'POST', '/hello', this.heartbeatBody(), this.agent).catch(() => null);
+      if (response?.status !== 200 || this.inboundLost) turn += 1;
+      else if (agentEpoch === this.agentEpoch && this.applyCommands(response.body))
+        this.lastRenewedAt = sentAt;
       this.expireLease();
       await new Promise<void>((done) => this.timers.add(setTimeout(done, this.heartbeatIntervalMs)));
     }
@@ -119,7 +128,7 @@
   private expireLease(): void {
     if (this.leaseMs === null) return;
     if (process.hrtime.bigint() - this.lastRenewedAt < BigInt(this.leaseMs) * 1_000_000n) return;
-    for (const h of this.tasks.values()) this.endTask(h, 'lease');
+    for (const task of this.tasks.values()) this.endTask(task, 'lease');
     this.tasks.clear();
     this.agentEpoch += 1;
     this.sequence = 0;
@@ -130,41 +139,42 @@
     if (this.inboundLost) return new Promise(() => undefined);
     if (url.pathname === '/status') return { status: 200, body: this.heartbeatBody() };
     if (body.baton === undefined || body.shift === undefined) return { status: 400, body: {} };
-    const ok = body.shift === this.agentEpoch && body.baton >= this.fencingToken;
-    if (ok) this.applyCommands(body);
-    const reply = { status: ok ? 200 : 409, body: this.heartbeatBody() };
+    const accepted = body.shift === this.agentEpoch && body.baton >= this.fencingToken;
+    if (accepted) this.applyCommands(body);
+    const reply = { status: accepted ? 200 : 409, body: this.heartbeatBody() };
     if (this.responseDelayMs === 0) return reply;
     return new Promise((done) => this.timers.add(setTimeout(() => done(reply), this.responseDelayMs)));
   }
 
-  private applyCommands(o: CommandsBody): boolean {
-    if (o.baton === undefined || o.baton < this.fencingToken) return false;
-    this.fencingToken = o.baton;
-    for (const c of o.orders ?? []) {
-      const key = `${c.ticket}#${c.try}`;
-      const held = this.tasks.get(key);
-      if (c.verb === 'run' && held === undefined) this.startTask(c.ticket, c.try, key);
-      if (c.verb === 'halt' && held?.standing === 'running') {
-        this.history.stopped.push(held.ticket);
-        this.endTask(held, 'stopped');
+  /** False: the fencing token is outdated, and nothing is applied. */
+  private applyCommands({ baton, orders }: CommandsBody): boolean {
+    if (baton === undefined || baton < this.fencingToken) return false;
+    this.fencingToken = baton;
+    for (const { verb, ticket, try: attempt } of orders ?? []) {
+      const key = `${ticket}#${attempt}`;
+      const task = this.tasks.get(key);
+      if (verb === 'run' && task === undefined) this.startTask(ticket, attempt, key);
+      if (verb === 'halt' && task?.standing === 'running') {
+        this.history.stopped.push(task.ticket);
+        this.endTask(task, 'stopped');
       }
-      if (c.verb === 'forget' && held?.standing === 'exited') this.tasks.delete(key);
+      if (verb === 'forget' && task?.standing === 'exited') this.tasks.delete(key);
     }
     return true;
   }
 
   private startTask(ticket: string, attempt: number, key: string): void {
-    const held: TaskBody = { ticket, try: attempt, standing: 'running' };
-    this.tasks.set(key, held);
+    const task: TaskBody = { ticket, try: attempt, standing: 'running' };
+    this.tasks.set(key, task);
     this.history.recordStart(ticket, this.name);
-    const ms = this.taskDurationMs(ticket);
-    if (ms !== null) this.timers.add(setTimeout(() => this.endTask(held, 'done'), ms));
+    const durationMs = this.taskDurationMs(ticket);
+    if (durationMs !== null) this.timers.add(setTimeout(() => this.endTask(task, 'done'), durationMs));
   }
 
-  private endTask(held: TaskBody, cause: string): void {
-    if (held.standing === 'exited') return;
-    held.standing = 'exited';
-    held.cause = cause;
-    this.history.running.delete(held.ticket);
+  private endTask(task: TaskBody, cause: string): void {
+    if (task.standing === 'exited') return;
+    task.standing = 'exited';
+    task.cause = cause;
+    this.history.running.delete(task.ticket);
   }
 }
