--- a/src/edge/cloud/cloud-client.ts
+++ b/src/edge/cloud/cloud-client.ts
@@ -15,7 +15,8 @@
 } from '../../wire/cloud-protocol.js';
 import { RateLimiter } from '../runtime/rate-limiter.js';
 import { sleep } from '../runtime/supervised-task.js';
-import { HttpClient, type Outcome } from '../net/http-client.js';
+import { HttpClient } from '../net/http-client.js';
+import type { Outcome } from '../net/http-connection.js';
 import { jittered } from '../runtime/jitter.js';
 import { warnRateLimited, type Logger } from '../runtime/logger.js';
 
--- a/src/edge/http/http-server.ts
+++ b/src/edge/http/http-server.ts
@@ -7,7 +7,7 @@
 import type { Socket } from 'node:net';
 import { Observable, Subscription } from 'rxjs';
 import type { ConnectionLimits } from '../config/connection-limits.js';
-import { parseTarget } from '../net/http-client.js';
+import { parseTarget } from '../net/target.js';
 import { HeartbeatEndpoint, type HeartbeatEndpointDependencies } from './heartbeat-endpoint.js';
 import { HeartbeatQueue } from './heartbeat-queue.js';
 import { readHeartbeats, type HeartbeatReaderOptions } from './heartbeat-reader.js';
--- a/src/edge/http/listener.ts
+++ b/src/edge/http/listener.ts
@@ -1,7 +1,7 @@
 /** @file The listening socket. It owns no connection: those it has accepted are its caller's. */
 import { createServer, type Server, type Socket } from 'node:net';
 import { Observable } from 'rxjs';
-import type { Target } from '../net/http-client.js';
+import type { Target } from '../net/target.js';
 import { millisecondsSince, monotonicNow } from '../runtime/clock.js';
 
 /** The timeout of a worker's connection is 4 s: sooner after reopening, none in the backlog can have timed out. */
--- a/src/edge/net/http-response.ts
+++ b/src/edge/net/http-response.ts
@@ -1,4 +1,9 @@
-/** What came back for one request, whole. */
+/**
+ * @file Reads an HTTP/1.1 response from the bytes of a connection. It must accept no more than one response, and throw
+ * at whatever is none.
+ */
+
+/** A whole response. */
 export interface HttpResponse {
   readonly status: number;
   readonly body: Buffer;
@@ -6,12 +11,14 @@
   readonly keepAlive: boolean;
 }
 
-/** The other side sent something that is no HTTP/1.1 response, or one with a head beyond all measure. */
-export class MalformedResponseError extends Error {}
+/** What was received is no HTTP/1.1 response, or its head is too long. */
+export class MalformedResponseError extends Error {
+  override readonly name = 'MalformedResponseError';
+}
 
 const HEAD_END = Buffer.from('\r\n\r\n');
 const LINE_END = Buffer.from('\r\n');
-const HEAD_LIMIT = 16 * 1024;
+const MAX_HEAD_BYTES = 16 * 1024;
 const STATUS_LINE = /^HTTP\/1\.[01] ([1-5]\d\d)(?: |$)/;
 
 /** How the length of a body is known. */
@@ -49,18 +56,18 @@
   return { status, keepAlive, framing };
 }
 
-/** Takes a chunked body apart as it comes. */
+/** Decodes a chunked body as it comes. */
 class ChunkedBody {
-  private readonly parts: Buffer[] = [];
-  private trailer = false;
+  private readonly chunks: Buffer[] = [];
+  private inTrailer = false;
 
-  /** Consumes what is whole of `raw`; tells whether the body is complete and what is left over. */
-  take(raw: Buffer): { readonly complete: boolean; readonly rest: Buffer } {
+  /** Consumes the whole chunks of `raw`; returns whether the body is complete, and what is left over. */
+  push(raw: Buffer): { readonly complete: boolean; readonly rest: Buffer } {
     let rest = raw;
     for (;;) {
       const lineEnd = rest.indexOf(LINE_END);
       if (lineEnd < 0) return { complete: false, rest };
-      if (this.trailer) {
+      if (this.inTrailer) {
         rest = rest.subarray(lineEnd + LINE_END.length);
         if (lineEnd === 0) return { complete: true, rest };
         continue;
@@ -69,51 +76,51 @@
       if (!Number.isSafeInteger(size) || size < 0) throw new MalformedResponseError('not a chunk size');
       const dataStart = lineEnd + LINE_END.length;
       if (size === 0) {
-        this.trailer = true;
+        this.inTrailer = true;
         rest = rest.subarray(dataStart);
         continue;
       }
       if (rest.length < dataStart + size + LINE_END.length) return { complete: false, rest };
-      this.parts.push(rest.subarray(dataStart, dataStart + size));
+      this.chunks.push(rest.subarray(dataStart, dataStart + size));
       rest = rest.subarray(dataStart + size + LINE_END.length);
     }
   }
 
   get body(): Buffer {
-    return Buffer.concat(this.parts);
+    return Buffer.concat(this.chunks);
   }
 }
 
 /** Reads one response from the bytes of a connection, however they are cut. */
 export class ResponseReader {
-  private pieces: Buffer[] = [];
+  private received: Buffer[] = [];
   private size = 0;
   private head: Head | null = null;
   private chunked = new ChunkedBody();
 
-  /** Takes in what has come; returns the response once it is whole. */
+  /** Adds received bytes; returns the response once it is whole. */
   push(data: Buffer): HttpResponse | null {
-    this.pieces.push(data);
+    this.received.push(data);
     this.size += data.length;
     while (this.head === null) {
-      const raw = this.joined();
+      const raw = this.receivedBytes();
       const end = raw.indexOf(HEAD_END);
       if (end < 0) {
-        if (raw.length > HEAD_LIMIT) throw new MalformedResponseError('the head is too long');
+        if (raw.length > MAX_HEAD_BYTES) throw new MalformedResponseError('the head is too long');
         return null;
       }
       const head = parseHead(raw.toString('latin1', 0, end));
-      this.keep(raw.subarray(end + HEAD_END.length));
+      this.setReceived(raw.subarray(end + HEAD_END.length));
       // 1xx announces the response that follows it.
       if (head.status >= 200) this.head = head;
     }
     return this.body(this.head);
   }
 
-  /** The connection has ended: that is the end of a body without a length, too early for any other. */
+  /** The connection has ended, which completes a body without a length; null: any other is incomplete. */
   close(): HttpResponse | null {
     if (this.head?.framing.kind !== 'until-close') return null;
-    return { status: this.head.status, body: this.joined(), keepAlive: false };
+    return { status: this.head.status, body: this.receivedBytes(), keepAlive: false };
   }
 
   private body(head: Head): HttpResponse | null {
@@ -121,20 +128,20 @@
     if (framing.kind === 'until-close') return null;
     if (framing.kind === 'length') {
       if (this.size < framing.length) return null;
-      return { status, keepAlive, body: this.joined().subarray(0, framing.length) };
+      return { status, keepAlive, body: this.receivedBytes().subarray(0, framing.length) };
     }
-    const { complete, rest } = this.chunked.take(this.joined());
-    this.keep(rest);
+    const { complete, rest } = this.chunked.push(this.receivedBytes());
+    this.setReceived(rest);
     return complete ? { status, keepAlive, body: this.chunked.body } : null;
   }
 
-  private joined(): Buffer {
-    if (this.pieces.length !== 1) this.pieces = [Buffer.concat(this.pieces)];
-    return this.pieces[0] ?? Buffer.alloc(0);
+  private receivedBytes(): Buffer {
+    if (this.received.length !== 1) this.received = [Buffer.concat(this.received)];
+    return this.received[0] ?? Buffer.alloc(0);
   }
 
-  private keep(rest: Buffer): void {
-    this.pieces = [rest];
+  private setReceived(rest: Buffer): void {
+    this.received = [rest];
     this.size = rest.length;
   }
 }
--- a/src/edge/peers/peer-dialer.ts
+++ b/src/edge/peers/peer-dialer.ts
@@ -6,7 +6,7 @@
 import { Subscription, interval } from 'rxjs';
 import { encodeStatus, type ControllerStatus } from '../../wire/controller-status-frame.js';
 import { sleep } from '../runtime/supervised-task.js';
-import { parseTarget } from '../net/http-client.js';
+import { parseTarget } from '../net/target.js';
 import { jittered } from '../runtime/jitter.js';
 
 const STATUS_INTERVAL_MS = 400;
--- a/src/edge/peers/peer-listener.ts
+++ b/src/edge/peers/peer-listener.ts
@@ -6,7 +6,7 @@
 import { Observable, Subscription, fromEvent, takeUntil } from 'rxjs';
 import { FrameReader, type ControllerStatus } from '../../wire/controller-status-frame.js';
 import { errorMessage } from '../runtime/supervised-task.js';
-import { parseTarget } from '../net/http-client.js';
+import { parseTarget } from '../net/target.js';
 import { warnRateLimited, type Logger } from '../runtime/logger.js';
 
 const IDLE_TIMEOUT_MS = 5000;
--- a/src/edge/state-store/state-store-client.ts
+++ b/src/edge/state-store/state-store-client.ts
@@ -87,8 +87,8 @@
   ): Promise<CommitResult> {
     const body = encodeTransaction(conditions, operations);
     const outcome = await this.requests.request('POST', COMMIT_PATH, body, timeoutMs);
-    if (outcome.kind === 'unsent') return { kind: 'refused', reason: outcome.why };
-    if (outcome.kind === 'unknown') return { kind: 'unknown', reason: outcome.why };
+    if (outcome.kind === 'unsent') return { kind: 'refused', reason: outcome.reason };
+    if (outcome.kind === 'unknown') return { kind: 'unknown', reason: outcome.reason };
     switch (outcome.status) {
       case 200:
         return this.committed(outcome.body);
--- a/src/edge/workers/worker-command-sender.ts
+++ b/src/edge/workers/worker-command-sender.ts
@@ -7,7 +7,7 @@
 import type { Heartbeat } from '../../core/model/heartbeat.js';
 import type { WorkerCommand } from '../../core/model/worker-command.js';
 import { WORKER_PATHS, encodeCommands, parseHeartbeat } from '../../wire/worker-protocol.js';
-import type { Outcome } from '../net/http-client.js';
+import type { Outcome } from '../net/http-connection.js';
 import { KeyedTaskQueue } from './keyed-task-queue.js';
 import { WorkerConnectionPool } from './worker-connection-pool.js';
 
--- a/src/edge/workers/worker-connection-pool.ts
+++ b/src/edge/workers/worker-connection-pool.ts
@@ -2,7 +2,8 @@
  * @file The connections to workers: one client per endpoint, with a limit on how many are kept and how many requests
  * are in flight. It owns the clients and closes them; it knows nothing of what is sent.
  */
-import { HttpClient, type Outcome } from '../net/http-client.js';
+import { HttpClient } from '../net/http-client.js';
+import type { Outcome } from '../net/http-connection.js';
 
 /** The client of one worker, which holds at most one connection. */
 interface WorkerClient {
--- a/test/leader-overload.test.ts
+++ b/test/leader-overload.test.ts
@@ -8,7 +8,7 @@
 import type { Effect } from '../src/core/model/effects.js';
 import type { WorkerCommand } from '../src/core/model/worker-command.js';
 import { Listener } from '../src/edge/http/listener.js';
-import { parseTarget } from '../src/edge/net/http-client.js';
+import { parseTarget } from '../src/edge/net/target.js';
 import { isHealthy } from '../src/edge/http/health.js';
 import { HeartbeatQueue } from '../src/edge/http/heartbeat-queue.js';
 import { readHeartbeats } from '../src/edge/http/heartbeat-reader.js';
