--- a/packages/zone-recovery/src/zone-health.ts
+++ b/packages/zone-recovery/src/zone-health.ts
@@ -1,182 +1,189 @@
 /**
- * The state machine of one zone. It judges by what the owner hears, never by silence alone: a zone is suspected only
- * while other zones are heard, and being lost changes where work is placed, not what counts as proof that a task is gone.
+ * @file The state machine of one zone. It judges by the heartbeats that the leader gets, never by their absence alone: a
+ * zone is suspected only while other zones are responsive, and being lost changes where tasks are assigned, not what
+ * counts as proof that a task is gone. It is pure: time comes with each call.
  */
 import type { ZoneObservation } from '../../../src/core/model/zone-policy.js';
 import type { Duration, MonotonicTime } from '../../../src/core/model/time.js';
 
-/** How a zone stands. */
+/** The health of a zone. */
 export type ZonePhase = 'healthy' | 'suspect' | 'lost' | 'held-down' | 'returning';
 
-/** All that is remembered of a zone. */
+/** All that is kept of a zone. */
 export interface ZoneHealth {
   readonly phase: ZonePhase;
-  /** When it came into this phase. */
+  /** When this phase began. */
   readonly since: MonotonicTime;
-  /** How often it was lost of late. */
+  /** How often the zone was lost; losses decay. */
   readonly losses: number;
   /** When the number of losses last changed. */
-  readonly countedAt: MonotonicTime;
+  readonly lossesChangedAt: MonotonicTime;
   /** Held down: until when. */
   readonly holdUntil: MonotonicTime;
-  /** Returning: how many of its machines take ordinary work, and since when. */
+  /** Returning: how many of its machines take ordinary tasks, and since when. */
   readonly admitted: number;
-  readonly steppedAt: MonotonicTime;
+  readonly admittedAt: MonotonicTime;
 }
 
 /** What the judgement of a zone depends on beside the zone itself. */
-export interface Surroundings {
-  /** Most machines of some other zone are heard, so that it is not we who are cut off. */
-  readonly othersHeard: boolean;
-  readonly inContact: boolean;
+export interface FleetConditions {
+  /** Most machines of some other zone are responsive, so that it is not the leader that is cut off. */
+  readonly otherZonesResponsive: boolean;
+  /** The state store has lately confirmed the leader. */
+  readonly leadershipConfirmed: boolean;
   readonly replicasMissing: number;
-  readonly startTakes: Duration;
+  readonly slowestStart: Duration;
 }
 
 /** Spans that follow from the deployment's settings. */
 export interface ZoneTiming {
-  readonly lease: Duration;
-  readonly report: Duration;
+  readonly workerLease: Duration;
+  readonly heartbeatInterval: Duration;
 }
 
-/** What a step leads to; `why` is null where the phase stays. */
-export interface ZoneStep {
+/** What an observation leads to; `reason` is null where the phase stays. */
+export interface ZoneTransition {
   readonly health: ZoneHealth;
-  readonly why: string | null;
+  readonly reason: string | null;
 }
 
 const SECOND: Duration = 1_000_000_000n;
-/** Silent machines, as a share of those known, that make a zone suspect, and that clear it. */
+/** Unresponsive machines, as a share of those known, that make a zone suspect, and below which it is healthy again. */
 const SUSPECT_SHARE = 0.5;
 const CLEAR_SHARE = 0.25;
-/** A zone of fewer machines is not told apart from single machines that fail. */
-const LEAST_MACHINES = 2;
+/** In a zone of fewer machines, a loss cannot be told from single machines that fail. */
+const MIN_MACHINES = 2;
 /** The first step of a return admits this share of the machines; each further step twice as many. */
-const FIRST_SHARE = 0.1;
-/** The longest hold-down: capacity is not shut out for good, and the largest jobs still begin in time. */
-export const LONGEST_HOLD: Duration = 120n * SECOND;
-/** A loss is forgotten after so many leases of health, but not sooner than this. */
+const FIRST_STEP_SHARE = 0.1;
+/** The longest hold-down: capacity is not excluded for good, and the largest jobs still start in time. */
+export const MAX_HOLD_DOWN: Duration = 120n * SECOND;
+/** Each further loss doubles the hold-down; more doublings than this make no difference. */
+const MAX_DOUBLINGS = 16;
+/** A loss decays after so many leases of health, but not sooner than the minimum. */
 const DECAY_LEASES = 12n;
-const LEAST_DECAY: Duration = 120n * SECOND;
+const MIN_DECAY: Duration = 120n * SECOND;
 
 /** A zone of which nothing is known. */
 export const newZone = (now: MonotonicTime): ZoneHealth => ({
   phase: 'healthy',
   since: now,
   losses: 0,
-  countedAt: now,
+  lossesChangedAt: now,
   holdUntil: now,
   admitted: 0,
-  steppedAt: now,
+  admittedAt: now,
 });
 
-const shorter = (a: Duration, b: Duration): Duration => (a < b ? a : b);
-const longer = (a: Duration, b: Duration): Duration => (a > b ? a : b);
+const shorterOf = (a: Duration, b: Duration): Duration => (a < b ? a : b);
+const longerOf = (a: Duration, b: Duration): Duration => (a > b ? a : b);
 
 /** How long a zone is held down after so many losses: not at all after the first, then twice as long each time. */
-export function holdDown(losses: number, timing: ZoneTiming): Duration {
+export function holdDownDuration(losses: number, timing: ZoneTiming): Duration {
   if (losses < 2) return 0n;
-  const doublings = BigInt(Math.min(losses - 2, 16));
-  return shorter(timing.lease * 2n ** doublings, LONGEST_HOLD);
+  const doublings = BigInt(Math.min(losses - 2, MAX_DOUBLINGS));
+  return shorterOf(timing.workerLease * 2n ** doublings, MAX_HOLD_DOWN);
 }
 
-const silentShare = (seen: ZoneObservation): number =>
-  seen.known === 0 ? 1 : 1 - seen.responsive / seen.known;
+const unresponsiveShare = (zone: ZoneObservation): number =>
+  zone.known === 0 ? 1 : 1 - zone.responsive / zone.known;
 
-const moved = (health: ZoneHealth, phase: ZonePhase, now: MonotonicTime, reason: string): ZoneStep => ({
-  health: { ...health, phase, since: now },
-  why: reason,
-});
+const unchanged = (health: ZoneHealth): ZoneTransition => ({ health, reason: null });
+
+const enterPhase = (
+  health: ZoneHealth,
+  phase: ZonePhase,
+  now: MonotonicTime,
+  reason: string,
+): ZoneTransition => ({ health: { ...health, phase, since: now }, reason });
 
-function lose(health: ZoneHealth, now: MonotonicTime, reason: string): ZoneStep {
-  return moved({ ...health, losses: health.losses + 1, countedAt: now, admitted: 0 }, 'lost', now, reason);
+function enterLost(health: ZoneHealth, now: MonotonicTime, reason: string): ZoneTransition {
+  const losses = health.losses + 1;
+  return enterPhase({ ...health, losses, lossesChangedAt: now, admitted: 0 }, 'lost', now, reason);
 }
 
-function comeBack(
+/** What follows once machines of a lost zone are responsive again. */
+function leaveLost(
   health: ZoneHealth,
-  seen: ZoneObservation,
+  zone: ZoneObservation,
   timing: ZoneTiming,
   now: MonotonicTime,
-): ZoneStep {
-  const hold = holdDown(health.losses, timing);
-  if (hold > 0n)
-    return moved(
-      { ...health, holdUntil: now + hold },
-      'held-down',
-      now,
-      `heard again after ${health.losses} losses: waits for ${hold / SECOND} s`,
-    );
-  return beginReturn(health, seen, now, 'heard again');
+): ZoneTransition {
+  const hold = holdDownDuration(health.losses, timing);
+  if (hold === 0n) return enterReturning(health, zone, now, 'responsive again');
+  const reason = `responsive again after ${health.losses} losses: held down for ${hold / SECOND} s`;
+  return enterPhase({ ...health, holdUntil: now + hold }, 'held-down', now, reason);
 }
 
-const firstStep = (seen: ZoneObservation): number => Math.max(1, Math.ceil(seen.responsive * FIRST_SHARE));
-
-function beginReturn(
+function enterReturning(
   health: ZoneHealth,
-  seen: ZoneObservation,
+  zone: ZoneObservation,
   now: MonotonicTime,
   reason: string,
-): ZoneStep {
-  return moved({ ...health, admitted: firstStep(seen), steppedAt: now }, 'returning', now, reason);
+): ZoneTransition {
+  const admitted = Math.max(1, Math.ceil(zone.responsive * FIRST_STEP_SHARE));
+  return enterPhase({ ...health, admitted, admittedAt: now }, 'returning', now, reason);
 }
 
-/** A step of the return goes on once its starts should be done and services are up, or after two leases in any case. */
-function stepOn(
+/** The next step of a return comes once the starts of this one should be done and services run, or after two leases. */
+function continueReturn(
   health: ZoneHealth,
-  seen: ZoneObservation,
-  around: Surroundings,
+  zone: ZoneObservation,
+  conditions: FleetConditions,
   timing: ZoneTiming,
   now: MonotonicTime,
-): ZoneStep {
-  const passed = now - health.steppedAt;
-  const atLeast = longer(shorter(around.startTakes, timing.lease), timing.report * 2n);
-  const served = around.replicasMissing === 0 && passed >= atLeast;
-  if (!served && passed < timing.lease * 2n) return { health, why: null };
-  if (health.admitted >= seen.responsive)
-    return moved(health, 'healthy', now, 'all that came back is admitted');
-  return { health: { ...health, admitted: health.admitted * 2, steppedAt: now }, why: null };
+): ZoneTransition {
+  const elapsed = now - health.admittedAt;
+  const startTime = shorterOf(conditions.slowestStart, timing.workerLease);
+  const minStep = longerOf(startTime, timing.heartbeatInterval * 2n);
+  const servicesRun = conditions.replicasMissing === 0 && elapsed >= minStep;
+  if (!servicesRun && elapsed < timing.workerLease * 2n) return unchanged(health);
+  if (health.admitted >= zone.responsive)
+    return enterPhase(health, 'healthy', now, 'all responsive machines admitted');
+  return unchanged({ ...health, admitted: health.admitted * 2, admittedAt: now });
 }
 
-function decay(health: ZoneHealth, timing: ZoneTiming, now: MonotonicTime): ZoneStep {
-  const after = longer(timing.lease * DECAY_LEASES, LEAST_DECAY);
-  if (health.losses === 0 || now - health.countedAt < after) return { health, why: null };
-  return { health: { ...health, losses: health.losses - 1, countedAt: now }, why: null };
+function decayLosses(health: ZoneHealth, timing: ZoneTiming, now: MonotonicTime): ZoneTransition {
+  const decayTime = longerOf(timing.workerLease * DECAY_LEASES, MIN_DECAY);
+  if (health.losses === 0 || now - health.lossesChangedAt < decayTime) return unchanged(health);
+  return unchanged({ ...health, losses: health.losses - 1, lossesChangedAt: now });
 }
 
-/** What follows for a zone from what is seen now. */
+/** What follows for a zone from an observation. */
 export function nextHealth(
   health: ZoneHealth,
-  seen: ZoneObservation,
-  around: Surroundings,
+  zone: ZoneObservation,
+  conditions: FleetConditions,
   timing: ZoneTiming,
   now: MonotonicTime,
-): ZoneStep {
-  // Whoever has lost sight of everything, or of the state service, concludes nothing.
-  if (!around.inContact) return { health, why: null };
-  const gone = around.othersHeard && seen.known >= LEAST_MACHINES && silentShare(seen) >= SUSPECT_SHARE;
+): ZoneTransition {
+  // A leader without contact to the state store may itself be cut off, and concludes nothing.
+  if (!conditions.leadershipConfirmed) return unchanged(health);
+  const unresponsive =
+    conditions.otherZonesResponsive && zone.known >= MIN_MACHINES && unresponsiveShare(zone) >= SUSPECT_SHARE;
   switch (health.phase) {
     case 'healthy':
-      return gone
-        ? moved(
-            health,
-            'suspect',
-            now,
-            `${seen.known - seen.responsive} of ${seen.known} machines are silent`,
-          )
-        : decay(health, timing, now);
+      if (!unresponsive) return decayLosses(health, timing, now);
+      return enterPhase(
+        health,
+        'suspect',
+        now,
+        `${zone.known - zone.responsive} of ${zone.known} machines unresponsive`,
+      );
     case 'suspect':
-      if (silentShare(seen) < CLEAR_SHARE) return moved(health, 'healthy', now, 'heard again in time');
-      if (gone && now - health.since >= timing.lease) return lose(health, now, 'silent for a lease');
-      return { health, why: null };
+      if (unresponsiveShare(zone) < CLEAR_SHARE)
+        return enterPhase(health, 'healthy', now, 'responsive again within a lease');
+      if (unresponsive && now - health.since >= timing.workerLease)
+        return enterLost(health, now, 'unresponsive for a lease');
+      return unchanged(health);
     case 'lost':
-      return seen.responsive > 0 ? comeBack(health, seen, timing, now) : { health, why: null };
+      return zone.responsive > 0 ? leaveLost(health, zone, timing, now) : unchanged(health);
     case 'held-down':
-      if (gone) return lose(health, now, 'silent again while held down');
+      if (unresponsive) return enterLost(health, now, 'unresponsive while held down');
       return now >= health.holdUntil
-        ? beginReturn(health, seen, now, 'held down long enough')
-        : { health, why: null };
+        ? enterReturning(health, zone, now, 'hold-down over')
+        : unchanged(health);
     case 'returning':
-      if (gone) return lose(health, now, 'silent again while returning');
-      return stepOn(health, seen, around, timing, now);
+      if (unresponsive) return enterLost(health, now, 'unresponsive while returning');
+      return continueReturn(health, zone, conditions, timing, now);
   }
 }
--- a/packages/zone-recovery/test/zone-health.test.ts
+++ b/packages/zone-recovery/test/zone-health.test.ts
@@ -5,21 +5,21 @@
 import { seconds } from '../../../src/core/model/time.js';
 import { decode, encode } from '../../../src/wire/cbor.js';
 import {
-  holdDown,
-  LONGEST_HOLD,
+  holdDownDuration,
+  MAX_HOLD_DOWN,
   newZone,
   nextHealth,
-  readZones,
-  writeZones,
+  decodeZones,
+  encodeZones,
   ZoneRecovery,
-  type Surroundings,
+  type FleetConditions,
   type ZoneHealth,
 } from '../src/index.js';
 import { timeAt } from '../../../test/fixtures/clock.js';
 
 /** Sequences of losses, partial returns, flaps and takeovers. The seed is fixed, so that every run judges the same. */
 const RUNS = { seed: 20300101, numRuns: Number(process.env['ZONE_RUNS'] ?? 300) };
-const TIMING = { lease: seconds(24), report: seconds(4) };
+const TIMING = { workerLease: seconds(24), heartbeatInterval: seconds(4) };
 const MACHINES = 40;
 
 const names = (zone: string, count: number): string[] =>
@@ -33,18 +33,18 @@
   responsiveMachines: names(zone, heard),
 });
 
-const AROUND: Surroundings = {
-  othersHeard: true,
-  inContact: true,
+const CONDITIONS: FleetConditions = {
+  otherZonesResponsive: true,
+  leadershipConfirmed: true,
   replicasMissing: 0,
-  startTakes: seconds(10),
+  slowestStart: seconds(10),
 };
 
 /** A stretch of a zone's life. */
 const second = fc.record({
   heard: fc.constantFrom(0, 0, 0, 1, 10, 19, 25, 39, 40, 40, 40),
-  othersHeard: fc.boolean(),
-  inContact: fc.constantFrom(true, true, true, false),
+  otherZonesResponsive: fc.boolean(),
+  leadershipConfirmed: fc.constantFrom(true, true, true, false),
   replicasMissing: fc.constantFrom(0, 0, 3),
   lasts: fc.integer({ min: 1, max: 60 }),
   takeover: fc.constantFrom(false, false, false, true),
@@ -54,7 +54,7 @@
 interface Lived {
   readonly before: ZoneHealth;
   readonly after: ZoneHealth;
-  readonly around: Surroundings;
+  readonly conditions: FleetConditions;
   readonly heard: number;
   readonly s: number;
 }
@@ -68,15 +68,15 @@
   for (const each of life) {
     for (let n = 0; n < each.lasts; n++) {
       s += 1;
-      const around = { ...AROUND, ...each };
+      const conditions = { ...CONDITIONS, ...each };
       const before = health;
-      health = nextHealth(before, seenIn('a', each.heard), around, TIMING, timeAt(s).monotonic).health;
-      check({ before, after: health, around, heard: each.heard, s });
+      health = nextHealth(before, seenIn('a', each.heard), conditions, TIMING, timeAt(s).monotonic).health;
+      check({ before, after: health, conditions, heard: each.heard, s });
     }
     if (!each.takeover) continue;
-    const kept = writeZones(new Map([['a', health]]), timeAt(s));
+    const kept = encodeZones(new Map([['a', health]]), timeAt(s));
     const by = { monotonic: timeAt(s).monotonic, wall: new Date(timeAt(s).wall.getTime() + each.driftMs) };
-    health = readZones(JSON.parse(JSON.stringify(kept)), by)?.get('a') ?? newZone(timeAt(s).monotonic);
+    health = decodeZones(JSON.parse(JSON.stringify(kept)), by)?.get('a') ?? newZone(timeAt(s).monotonic);
   }
   return health;
 }
@@ -84,9 +84,9 @@
 test('who is cut off concludes nothing, and a zone is suspected only while another is heard', () => {
   fc.assert(
     fc.property(fc.array(second, { maxLength: 20 }), (life) => {
-      live(life, ({ before, after, around }) => {
-        if (!around.inContact) assert.deepEqual(after, before);
-        if (!around.othersHeard)
+      live(life, ({ before, after, conditions }) => {
+        if (!conditions.leadershipConfirmed) assert.deepEqual(after, before);
+        if (!conditions.otherZonesResponsive)
           assert.ok(after.phase === before.phase || !['suspect', 'lost'].includes(after.phase));
       });
     }),
@@ -112,7 +112,7 @@
 // However often it flapped, and whatever leader comes: capacity is not shut out for good.
 test('a zone that stays heard is healthy again within bounded time', () => {
   const steps = Math.ceil(Math.log2(MACHINES)) + 3;
-  const bound = Number(LONGEST_HOLD / seconds(1)) + steps * 2 * 24 + 5;
+  const bound = Number(MAX_HOLD_DOWN / seconds(1)) + steps * 2 * 24 + 5;
   fc.assert(
     fc.property(fc.array(second, { maxLength: 20 }), fc.constantFrom(0, 5), (life, replicasMissing) => {
       let health = live(life, () => undefined);
@@ -120,7 +120,7 @@
         health = nextHealth(
           health,
           seenIn('a', MACHINES),
-          { ...AROUND, replicasMissing },
+          { ...CONDITIONS, replicasMissing },
           TIMING,
           timeAt(2000 + s).monotonic,
         ).health;
@@ -131,14 +131,14 @@
 });
 
 test('hold-downs grow with each loss up to the longest, and decay with health', () => {
-  const spans = [1, 2, 3, 4, 5, 9, 40].map((losses) => Number(holdDown(losses, TIMING) / seconds(1)));
+  const spans = [1, 2, 3, 4, 5, 9, 40].map((losses) => Number(holdDownDuration(losses, TIMING) / seconds(1)));
   assert.deepEqual(spans, [0, 24, 48, 96, 120, 120, 120]);
   let health: ZoneHealth = { ...newZone(timeAt(0).monotonic), losses: 2 };
   for (let s = 0; s < 288; s++)
-    health = nextHealth(health, seenIn('a', 40), AROUND, TIMING, timeAt(s).monotonic).health;
+    health = nextHealth(health, seenIn('a', 40), CONDITIONS, TIMING, timeAt(s).monotonic).health;
   assert.equal(health.losses, 2);
   for (let s = 288; s < 580; s++)
-    health = nextHealth(health, seenIn('a', 40), AROUND, TIMING, timeAt(s).monotonic).health;
+    health = nextHealth(health, seenIn('a', 40), CONDITIONS, TIMING, timeAt(s).monotonic).health;
   assert.equal(health.losses, 0);
 });
 
@@ -152,11 +152,11 @@
         holdUntil: timeAt(holdS).monotonic,
       };
       const by = { monotonic: timeAt(0).monotonic, wall: new Date(timeAt(0).wall.getTime() + driftS * 1000) };
-      const read = readZones(writeZones(new Map([['a', health]]), timeAt(0)), by)?.get('a');
+      const read = decodeZones(encodeZones(new Map([['a', health]]), timeAt(0)), by)?.get('a');
       assert.ok(read !== undefined);
       assert.deepEqual([read.phase, read.losses], ['held-down', 3]);
       const left = read.holdUntil - by.monotonic;
-      assert.ok(left >= 0n && left <= LONGEST_HOLD);
+      assert.ok(left >= 0n && left <= MAX_HOLD_DOWN);
       if (driftS === 0) assert.equal(left, seconds(holdS));
     }),
     RUNS,
@@ -170,7 +170,7 @@
       { ...newZone(0n), phase: 'lost' as const, losses: 99 },
     ]),
   );
-  assert.ok(JSON.stringify(writeZones(zones, timeAt(0))).length < 512);
+  assert.ok(JSON.stringify(encodeZones(zones, timeAt(0))).length < 512);
   for (const bad of [
     null,
     7,
@@ -179,8 +179,8 @@
     { version: 2, zones: [] },
     { version: 1, zones: [{ zone: 'a', phase: 'odd' }] },
   ])
-    assert.equal(readZones(bad, timeAt(0)), null, JSON.stringify(bad));
-  const kept = writeZones(zones, { monotonic: 0n, wall: new Date(Date.UTC(2038, 0, 1)) });
+    assert.equal(decodeZones(bad, timeAt(0)), null, JSON.stringify(bad));
+  const kept = encodeZones(zones, { monotonic: 0n, wall: new Date(Date.UTC(2038, 0, 1)) });
   assert.deepEqual(decode(encode(kept)), kept, 'it comes back as it was written');
   const recovery = new ZoneRecovery(TIMING);
   recovery.restore({ zones: 'cut sho' }, timeAt(0));
--- a/packages/zone-recovery/test/zone-world.ts
+++ b/packages/zone-recovery/test/zone-world.ts
@@ -117,9 +117,7 @@
   /** A new owner reads what is kept and goes on. */
   takeOver(): ClusterScheduler {
     const began = this.now().monotonic;
-    const policy = this.withRecovery
-      ? new ZoneRecovery({ lease: WORLD_FACTS.workerLease, report: WORLD_FACTS.heartbeatInterval })
-      : null;
+    const policy = this.withRecovery ? new ZoneRecovery(WORLD_FACTS) : null;
     this.stamp += 1;
     const term = {
       fencingToken: this.stamp,
--- a/src/edge/config/feature-loader.ts
+++ b/src/edge/config/feature-loader.ts
@@ -19,5 +19,5 @@
 export function zonePolicyFor(features: Features, config: ClusterConfig): (() => ZonePolicy) | null {
   if (!features.has('zone-recovery')) return null;
   const { ZoneRecovery } = loadFeature('zone-recovery') as typeof ZoneRecoveryModule;
-  return () => new ZoneRecovery({ lease: config.workerLease, report: config.heartbeatInterval });
+  return () => new ZoneRecovery(config);
 }
--- a/test/golden-records.test.ts
+++ b/test/golden-records.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { readZones, writeZones, type ZoneHealth } from '../packages/zone-recovery/src/index.js';
+import { decodeZones, encodeZones, type ZoneHealth } from '../packages/zone-recovery/src/index.js';
 import type { JobRecord, JobSpec } from '../src/core/model/job.js';
 import type { PageEntry } from '../src/core/records/record-pages.js';
 import { seconds, type Timestamp } from '../src/core/model/time.js';
@@ -153,10 +153,10 @@
     phase: 'healthy',
     since: at.monotonic,
     losses: 0,
-    countedAt: at.monotonic,
+    lossesChangedAt: at.monotonic,
     holdUntil: at.monotonic,
     admitted: 0,
-    steppedAt: at.monotonic,
+    admittedAt: at.monotonic,
   };
   const zones = new Map<string, ZoneHealth>([
     ['a', healthy],
@@ -166,9 +166,9 @@
     ['e', { ...healthy, phase: 'returning', losses: 2, admitted: 7 }],
     ['f', { ...healthy, losses: 3 }],
   ]);
-  assertBytes(encode(writeZones(zones, at)), golden);
+  assertBytes(encode(encodeZones(zones, at)), golden);
   zones.delete('a');
-  assert.deepEqual(readZones(valueIn(golden), at), zones);
+  assert.deepEqual(decodeZones(valueIn(golden), at), zones);
 });
 
 // The first space before the places stands for no result, the second for no place.
