--- a/packages/zone-recovery/test/zone-simulation.ts
+++ b/packages/zone-recovery/test/zone-simulation.ts
@@ -123,9 +123,7 @@
   /** A new owner reads what is kept and goes on. */
   startTerm(): ClusterScheduler {
     const began = this.now().monotonic;
-    const policy = this.withRecovery
-      ? new ZoneRecovery({ lease: SIMULATED_CONFIG.workerLease, report: SIMULATED_CONFIG.heartbeatInterval })
-      : null;
+    const policy = this.withRecovery ? new ZoneRecovery(SIMULATED_CONFIG) : null;
     this.revision += 1;
     const term = {
       fencingToken: this.revision,
