--- a/src/edge/cloud/cloud-client.ts
+++ b/src/edge/cloud/cloud-client.ts
@@ -124,7 +124,7 @@
 
   private parseMachineNames(body: unknown): string[] | null {
     const parsed = parseScaleOutResponse(body);
-    return parsed.ok ? parsed.value : this.onMalformed('scale-out response without names of machines');
+    return parsed.ok ? parsed.value : this.onMalformed(parsed.reason);
   }
 
   private onMalformed(reason: string): null {
--- a/src/edge/leadership/conflict-resolution.ts
+++ b/src/edge/leadership/conflict-resolution.ts
@@ -6,6 +6,7 @@
 import type { Transaction } from '../../core/persistence/transactions.js';
 import { jobKey, pageKey } from '../../wire/keys.js';
 import { jobSummaryOf } from '../../wire/finished-job-summary.js';
+import type { ReplicaView } from '../state-store/replica-view.js';
 import type { StateStore } from '../state-store/state-store.js';
 
 /** What is known of a transaction that conflicted while this process is still the leader. */
@@ -51,7 +52,7 @@
 }
 
 /** Whether the replica shows all jobs of a transaction as the transaction would leave them. */
-function areJobsRecorded(transaction: Transaction, replica: StateStore['replica']): boolean {
+function areJobsRecorded(transaction: Transaction, replica: ReplicaView['replica']): boolean {
   const statusOf = (id: string): JobStatus | null => {
     const entry = replica.get(jobKey(id));
     return entry === undefined ? null : jobSummaryOf(entry.value).status;
--- a/src/edge/leadership/leader-key.ts
+++ b/src/edge/leadership/leader-key.ts
@@ -3,7 +3,7 @@
  * token. It owns no state; the claim itself is made by the election.
  */
 import { leaderKey } from '../../wire/keys.js';
-import { type LeaderRecord } from '../../wire/leader-record.js';
+import type { LeaderRecord } from '../../wire/leader-record.js';
 import type { CompareCondition, WriteOperation } from '../../wire/state-store-protocol.js';
 import type { ReplicaEntry } from '../state-store/replica-view.js';
 import type { TermContext } from './term-context.js';
--- a/src/edge/leadership/leader-term.ts
+++ b/src/edge/leadership/leader-term.ts
@@ -5,7 +5,7 @@
 import { setMaxListeners } from 'node:events';
 import { Subscription, interval } from 'rxjs';
 import { ClusterScheduler } from '../../core/cluster-scheduler.js';
-import { type Event } from '../../core/events.js';
+import type { Event } from '../../core/events.js';
 import type { Heartbeat } from '../../core/model/heartbeat.js';
 import type { HeartbeatAnswer, WorkerCommand } from '../../core/model/worker-command.js';
 import {
--- a/src/edge/workers/worker-command-sender.ts
+++ b/src/edge/workers/worker-command-sender.ts
@@ -4,6 +4,7 @@
  * the moment of sending.
  */
 import { Subscription } from 'rxjs';
+import type { CommandOutcome } from '../../core/events.js';
 import type { Heartbeat } from '../../core/model/heartbeat.js';
 import type { WorkerCommand } from '../../core/model/worker-command.js';
 import { WORKER_PATHS, encodeCommands, parseHeartbeat } from '../../wire/worker-protocol.js';
@@ -23,7 +24,7 @@
 export interface CommandResult {
   readonly batch: CommandBatch;
   readonly fencingToken: number;
-  readonly outcome: 'executed' | 'refused' | 'unknown';
+  readonly outcome: CommandOutcome;
   /** The heartbeat in the worker's response, if there was one. */
   readonly heartbeat: Heartbeat | null;
 }
