--- a/src/edge/state-store/replica-view.ts
+++ b/src/edge/state-store/replica-view.ts
@@ -1,5 +1,5 @@
 /** @file What readers may see of the replica: its entries, their changes, and whether it is consistent. */
-import type { Subject } from 'rxjs';
+import type { Observable } from 'rxjs';
 import type { FinishedJobSummary } from '../../wire/finished-job-summary.js';
 
 /** A key of the replica. */
@@ -21,7 +21,7 @@
 export interface ReplicaView {
   readonly replica: ReadonlyMap<string, ReplicaEntry>;
   /** Every change, after it has been applied to `replica`. A listener that throws would end the process. */
-  readonly changes: Subject<KeyChange>;
+  readonly changes: Observable<KeyChange>;
   /** The replica is being loaded: its keys are not of one revision, so an absent key proves nothing. */
   readonly reloading: boolean;
   /** Keeps a smaller value in memory for a key. Its mod revision stays, and no change is announced. */
--- a/src/edge/state-store/state-store.ts
+++ b/src/edge/state-store/state-store.ts
@@ -2,7 +2,7 @@
  * @file The state store as a controller uses it: the replica for reads, the client for writes and leases, and reads of
  * the replica that are linearizable.
  */
-import type { Subject, Subscription } from 'rxjs';
+import type { Observable, Subscription } from 'rxjs';
 import type { FinishedJobSummary } from '../../wire/finished-job-summary.js';
 import type { CompareCondition, WriteOperation } from '../../wire/state-store-protocol.js';
 import { monotonicNow } from '../runtime/clock.js';
@@ -51,7 +51,7 @@
     return this.watched.replica;
   }
 
-  get changes(): Subject<KeyChange> {
+  get changes(): Observable<KeyChange> {
     return this.watched.changes;
   }
 
@@ -74,7 +74,7 @@
     this.watched.watchIntervalMs = intervalMs;
   }
 
-  /** A moment of which the replica is known to hold every earlier change: the sending of the last barrier it reached. */
+  /** A moment of which the replica is known to hold every earlier change: the sending of the last barrier it reached; 0n: none yet. */
   get lastSyncedAt(): bigint {
     return this.syncedAt;
   }
--- a/src/wire/page-record.ts
+++ b/src/wire/page-record.ts
@@ -8,6 +8,9 @@
 import type { PageEntry } from '../core/records/record-pages.js';
 import { MalformedRecordError } from './errors.js';
 
+/** How much of a malformed row or name an error shows. */
+const SHOWN_CHARACTERS = 40;
+
 /** Completed tasks as runs `first-last`, or `first` alone. */
 function encodeRuns(tasks: readonly number[]): string {
   const runs: [first: number, last: number][] = [];
@@ -33,6 +36,14 @@
 const escapeName = (name: string): string =>
   encodeURIComponent(name).replace(/[.!'()*~]/g, (c) => `%${c.charCodeAt(0).toString(16).toUpperCase()}`);
 
+function unescapeName(text: string): string {
+  try {
+    return decodeURIComponent(text);
+  } catch (e) {
+    throw new MalformedRecordError('page', `name "${text.slice(0, SHOWN_CHARACTERS)}"`, { cause: e });
+  }
+}
+
 /** The zone names of a page; names that are not among the cluster's zones are appended. */
 class ZoneTable {
   readonly names: string[];
@@ -79,14 +90,12 @@
 
 /** Job id, chunk, highest attempt, completed runs, assignments. */
 const ROW = /^([^/ ]+)\/(\d+) a(\d+) c\d+,\d+ ([\d,-]*) (.*)$/;
-/** How much of a malformed row an error shows. */
-const SHOWN_CHARACTERS = 40;
 
 /** Decodes a page of chunk records; throws {@link MalformedRecordError}. */
 export function decodePage(value: unknown): PageEntry[] {
   if (typeof value !== 'string') throw new MalformedRecordError('page', 'not a text');
   const [head = '', ...rows] = value.split('|');
-  const zones = head === '' ? [] : head.split(',').map(decodeURIComponent);
+  const zones = head === '' ? [] : head.split(',').map(unescapeName);
   return rows.map((row) => decodeRow(row, zones));
 }
 
@@ -110,7 +119,7 @@
   return {
     taskIndex: Number(task),
     attempt: Number(attempt),
-    machineName: decodeURIComponent(machine ?? ''),
+    machineName: unescapeName(machine ?? ''),
     agentEpoch: Number(agentEpoch),
     zone: zones[Number(zone)] ?? '',
   };
--- a/src/wire/stored-value-check.ts
+++ b/src/wire/stored-value-check.ts
@@ -10,6 +10,7 @@
     if (kind === 'job') decodeJob(value);
     if (kind === 'leader') decodeLeader(value);
   } catch {
+    // Of whatever kind: a number that no duration can hold is a RangeError.
     return false;
   }
   return kind !== 'page' || typeof value === 'string';
--- /dev/null
+++ b/test/malformed-records.test.ts
@@ -0,0 +1,42 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import { FrameReader } from '../src/wire/controller-status-frame.js';
+import { MalformedFrameError, MalformedRecordError } from '../src/wire/errors.js';
+import { decodeJob } from '../src/wire/job-record.js';
+import { decodeLeader } from '../src/wire/leader-record.js';
+import { decodePage } from '../src/wire/page-record.js';
+import { isDecodable } from '../src/wire/stored-value-check.js';
+
+const isRecordError =
+  (record: MalformedRecordError['record'], reason: RegExp, hasCause: boolean) =>
+  (e: unknown): boolean => {
+    assert.ok(e instanceof MalformedRecordError);
+    assert.equal(e.record, record);
+    assert.match(e.reason, reason);
+    assert.equal(e.cause !== undefined, hasCause);
+    return true;
+  };
+
+test('a malformed record is a typed error with its kind, its reason and the cause', () => {
+  assert.throws(() => decodeJob({ st: 'open' }), isRecordError('job', /"at"/, true));
+  assert.throws(() => decodeJob(null), isRecordError('job', /object/, true));
+  assert.throws(() => decodeLeader({ label: 7 }), isRecordError('leader', /label/, true));
+  assert.throws(() => decodePage(7), isRecordError('page', /not a text/, false));
+  assert.throws(() => decodePage('east|req-1'), isRecordError('page', /row "req-1"/, false));
+  assert.throws(() => decodePage('%E0%A4%A|'), isRecordError('page', /name "%E0%A4%A"/, true));
+});
+
+test('values that cannot be decoded are known by their key', () => {
+  assert.equal(isDecodable('main/job/req-1', {}), false);
+  assert.equal(isDecodable('main/part/all', { label: 'a' }), false);
+  assert.equal(isDecodable('main/part/all', { label: 'a', incarnation: 'b' }), true);
+  assert.equal(isDecodable('main/page/all/1', 7), false);
+  assert.equal(isDecodable('main/page/all/1', 'not a page, which only its reader finds'), true);
+  assert.equal(isDecodable('main/zones/all', 7), true);
+});
+
+test('bytes that are no frame are a typed error', () => {
+  const isFrameError = (e: unknown): boolean =>
+    e instanceof MalformedFrameError && e.reason === 'not a frame';
+  assert.throws(() => new FrameReader().push(Buffer.from('GET / HTTP/1.1\r\n')), isFrameError);
+});
