--- a/src/edge/leadership/leadership-lease.ts
+++ b/src/edge/leadership/leadership-lease.ts
@@ -41,7 +41,7 @@
         inFlight += 1;
         void stateStore.renewLease(this.term.leaseId).then((result) => {
           inFlight -= 1;
-          if (result === 'ended' && !signal.aborted) this.term.end({ kind: 'lease-expired' });
+          if (result === 'expired' && !signal.aborted) this.term.end({ kind: 'lease-expired' });
         });
       }
       await sleep(this.term.renewIntervalMs, signal);
--- a/src/edge/state-store/state-store-client.ts
+++ b/src/edge/state-store/state-store-client.ts
@@ -47,7 +47,7 @@
   | { readonly kind: 'unread' };
 
 /** What came of renewing a lease. */
-export type LeaseRenewal = 'ok' | 'ended' | 'unknown';
+export type LeaseRenewal = 'renewed' | 'expired' | 'unknown';
 
 /** What came of waiting for changes. */
 export type WatchResult =
@@ -145,8 +145,8 @@
     const path = leaseRenewalPath(leaseId);
     const outcome = await this.requests.request('POST', path, undefined, REQUEST_TIMEOUT_MS);
     if (outcome.kind !== 'answer') return 'unknown';
-    if (outcome.status === 200) return 'ok';
-    return outcome.status === 404 ? 'ended' : 'unknown';
+    if (outcome.status === 200) return 'renewed';
+    return outcome.status === 404 ? 'expired' : 'unknown';
   }
 
   /** Ends a lease, and with it the keys put with it. If the request is lost, the lease expires by itself. */
--- a/test/golden-requests.test.ts
+++ b/test/golden-requests.test.ts
@@ -535,7 +535,7 @@
   assert.deepEqual(result, { kind: 'committed', revision: 432 });
   await stateStore.commit([], []);
   assert.equal(await stateStore.grantLease(5000), 7);
-  assert.equal(await stateStore.renewLease(7), 'ok');
+  assert.equal(await stateStore.renewLease(7), 'renewed');
   await stateStore.revokeLease(7);
   const routines = stateStore.start();
   assert.equal(await stateStore.waitForRevision(433, 3000), true);
@@ -569,7 +569,7 @@
   const stateStore = new StateStore(service.address, silent);
   assert.deepEqual(await stateStore.commit([], []), { kind: 'conflict', failedKeys: ['a/b'], revision: 431 });
   assert.equal((await stateStore.read('main/part/all', 1000)).kind, 'absent');
-  assert.equal(await stateStore.renewLease(7), 'ended');
+  assert.equal(await stateStore.renewLease(7), 'expired');
   service.close();
 });
 
