--- a/src/wire/job-record.ts
+++ b/src/wire/job-record.ts
@@ -83,29 +83,29 @@
   return record;
 }
 
-function jobRecordOf({ st, at, s }: StoredJob): JobRecord {
+function jobRecordOf({ st: status, at, s: stored }: StoredJob): JobRecord {
   const spec: JobSpec = {
-    id: s.id,
-    class: s.class,
-    team: s.team,
-    kind: s.kind,
-    priority: s.priority,
-    taskCount: s.tasks,
-    cpus: s.cpus,
-    gpus: s.gpus,
-    memory: s.memory,
-    machineTypes: s.types,
-    zone: s.zone,
-    singleZone: s.oneZone,
-    spreadAcrossZones: s.spread,
-    allowSpot: s.spot,
-    image: s.image,
-    imageGb: s.imageGb,
-    estimatedDuration: seconds(s.estimate),
-    checkpointInterval: seconds(s.checkpoint),
-    checkpointDuration: seconds(s.save),
-    deadline: s.due === null ? null : seconds(s.due),
-    dependencies: s.dependencies ?? [],
+    id: stored.id,
+    class: stored.class,
+    team: stored.team,
+    kind: stored.kind,
+    priority: stored.priority,
+    taskCount: stored.tasks,
+    cpus: stored.cpus,
+    gpus: stored.gpus,
+    memory: stored.memory,
+    machineTypes: stored.types,
+    zone: stored.zone,
+    singleZone: stored.oneZone,
+    spreadAcrossZones: stored.spread,
+    allowSpot: stored.spot,
+    image: stored.image,
+    imageGb: stored.imageGb,
+    estimatedDuration: seconds(stored.estimate),
+    checkpointInterval: seconds(stored.checkpoint),
+    checkpointDuration: seconds(stored.save),
+    deadline: stored.due === null ? null : seconds(stored.due),
+    dependencies: stored.dependencies ?? [],
   };
-  return { spec, submittedAt: new Date(at), status: st };
+  return { spec, submittedAt: new Date(at), status };
 }
--- a/src/wire/worker-protocol.ts
+++ b/src/wire/worker-protocol.ts
@@ -9,8 +9,8 @@
 import { parseBody, type ParseResult } from './parse-result.js';
 import { MAX_AMOUNT, amount, count, orNull } from './schema-parts.js';
 
-/** Paths of a worker's own HTTP interface. */
-export const WORKER_PATHS = { commands: '/commands', status: '/status' } as const;
+/** Paths of a worker's own HTTP interface that the controller calls. */
+export const WORKER_PATHS = { commands: '/commands' } as const;
 
 const taskName = z.string().regex(/^.{1,200}\/[0-9]{1,9}$/);
 
