--- a/src/core/commands/forgets.ts
+++ b/src/core/commands/forgets.ts
@@ -7,7 +7,7 @@
 import type { Machine } from '../model/machine.js';
 import type { PendingForget } from '../model/worker-command.js';
 import type { ClusterState } from '../state/cluster-state.js';
-import { attemptMayStillStart } from '../state/command-state.js';
+import { type CommandState, attemptMayStillStart } from '../state/command-state.js';
 
 /** The exited tasks that the machine's worker may forget now. */
 export function forgetsFor(state: ClusterState, machine: Machine): PendingForget[] {
@@ -29,8 +29,8 @@
 }
 
 /** Drops the forgets that a heartbeat shows to be carried out. */
-export function dropCompletedForgets(state: ClusterState, heartbeat: Heartbeat): void {
-  const pending = state.commands.pendingForgets.get(heartbeat.machineName);
+export function dropCompletedForgets(commands: CommandState, heartbeat: Heartbeat): void {
+  const pending = commands.pendingForgets.get(heartbeat.machineName);
   if (pending === undefined) return;
   const exited = new Set(
     heartbeat.tasks
@@ -42,6 +42,6 @@
 }
 
 /** Drops all forgets for a machine: its worker knows none of the attempts any more. */
-export function dropForgets(state: ClusterState, machineName: string): void {
-  state.commands.pendingForgets.delete(machineName);
+export function dropForgets(commands: CommandState, machineName: string): void {
+  commands.pendingForgets.delete(machineName);
 }
--- a/src/core/reconciliation/agent-epochs.ts
+++ b/src/core/reconciliation/agent-epochs.ts
@@ -35,7 +35,7 @@
   machine.lastAcknowledgedAt = laterOf(machine.lastAcknowledgedAt, now);
   machine.lastExpiredEpoch = Math.max(machine.lastExpiredEpoch, agentEpoch - 1);
   dropUnresolvedStarts(state.commands, machine.name);
-  dropForgets(state, machine.name);
+  dropForgets(state.commands, machine.name);
   for (const assignment of [...machine.assignments.values()])
     if (assignment.agentEpoch < agentEpoch) endAssignment(state, assignment, false, 'newer agent epoch', now);
   state.scheduling.cycleNeeded = true;
--- a/src/core/reconciliation/heartbeat-intake.ts
+++ b/src/core/reconciliation/heartbeat-intake.ts
@@ -19,7 +19,7 @@
 export function onWorkerHeartbeat(state: ClusterState, heartbeat: Heartbeat, now: Timestamp): void {
   applyHeartbeat(state, heartbeat, now);
   recordJoin(state, heartbeat.machineName, now);
-  dropCompletedForgets(state, heartbeat);
+  dropCompletedForgets(state.commands, heartbeat);
 }
 
 /**
--- a/src/core/reconciliation/machine-removal.ts
+++ b/src/core/reconciliation/machine-removal.ts
@@ -14,7 +14,7 @@
   state.machines.byName.delete(name);
   state.machines.booting.delete(name);
   dropStarts(state.commands, name);
-  dropForgets(state, name);
+  dropForgets(state.commands, name);
 }
 
 /**
