--- a/src/core/capacity/expected-slots.ts
+++ b/src/core/capacity/expected-slots.ts
@@ -1,10 +1,8 @@
 /** @file The capacity that will be there for pending tasks: on usable machines, and on machines that are on their way. */
 import { isUsable, resourcesOf } from '../machines/free-resources.js';
 import type { Job } from '../model/job.js';
-import type { MachineType } from '../model/machine.js';
 import type { Timestamp } from '../model/time.js';
-import type { Resources } from '../model/resources.js';
-import { fits } from '../model/resources.js';
+import { type Resources, copyResources, fits } from '../model/resources.js';
 import { isZoneAllowed } from '../scheduling/placement-constraints.js';
 import { isZoneUnavailable } from '../scheduling/zone-availability.js';
 import type { ClusterState } from '../state/cluster-state.js';
@@ -16,20 +14,13 @@
   readonly free: Resources;
 }
 
-/** An empty machine of a type. */
-export const resourcesOfType = (type: MachineType): Resources => ({
-  cpus: type.cpus,
-  gpus: type.gpus,
-  memory: type.memory,
-});
-
 /** Slots of all usable machines, then of those that are booting, then of those requested. */
 export function expectedSlots(state: ClusterState, now: Timestamp): Slot[] {
   const slots: Slot[] = [];
   for (const machine of state.machines.byName.values()) {
     if (!isUsable(state, machine, now.monotonic) || isZoneUnavailable(state, machine.zone)) continue;
     const { type, zone, spot } = machine;
-    slots.push({ type, zone, spot, free: { ...resourcesOf(state, machine).projected } });
+    slots.push({ type, zone, spot, free: copyResources(resourcesOf(state, machine).projected) });
   }
   for (const kind of state.machines.booting.values()) addEmptySlots(state, slots, kind, 1);
   for (const { request } of state.scaling.pending.values())
@@ -41,7 +32,7 @@
   const type = state.machines.types.get(kind.type);
   if (type === undefined) return;
   for (let n = 0; n < count; n++)
-    slots.push({ type: kind.type, zone: kind.zone, spot: kind.spot, free: resourcesOfType(type) });
+    slots.push({ type: kind.type, zone: kind.zone, spot: kind.spot, free: copyResources(type) });
 }
 
 /**
--- a/src/core/capacity/machine-choice.ts
+++ b/src/core/capacity/machine-choice.ts
@@ -3,11 +3,11 @@
 import type { MachineType } from '../model/machine.js';
 import type { ScaleOutRequest } from '../model/scale-out.js';
 import type { Timestamp } from '../model/time.js';
-import { fits } from '../model/resources.js';
+import { copyResources, fits } from '../model/resources.js';
 import { isZoneAllowed } from '../scheduling/placement-constraints.js';
 import { isZoneUnavailable } from '../scheduling/zone-availability.js';
 import type { ClusterState } from '../state/cluster-state.js';
-import { type Slot, resourcesOfType } from './expected-slots.js';
+import type { Slot } from './expected-slots.js';
 import { type MachineKind, machineKindKey } from './machine-kind.js';
 import { wasRecentlyRefused } from './scale-out-requests.js';
 
@@ -42,7 +42,7 @@
     const entry = this.counts.get(key);
     if (entry === undefined) this.counts.set(key, { kind: best.kind, count: 1 });
     else entry.count += 1;
-    return { ...best.kind, free: resourcesOfType(best.type) };
+    return { ...best.kind, free: copyResources(best.type) };
   }
 
   /** The requests, each as large as the cloud takes. */
@@ -61,7 +61,7 @@
   ): MachineOption[] {
     const options: MachineOption[] = [];
     for (const type of types) {
-      if (!fits(job.spec, resourcesOfType(type))) continue;
+      if (!fits(job.spec, type)) continue;
       for (const zone of type.zones) {
         if (!isZoneAllowed(job, zone, assignedByZone) || isZoneUnavailable(this.state, zone)) continue;
         for (const spot of job.spec.allowSpot ? [true, false] : [false]) {
--- a/src/core/capacity/scale-out-planning.ts
+++ b/src/core/capacity/scale-out-planning.ts
@@ -5,6 +5,7 @@
 import { assignmentsByZone } from '../assignments/assignments.js';
 import type { Job } from '../model/job.js';
 import type { MachineType } from '../model/machine.js';
+import { subtractResources } from '../model/resources.js';
 import type { ScaleOutRequest } from '../model/scale-out.js';
 import { type Timestamp, toSeconds } from '../model/time.js';
 import type { ClusterState } from '../state/cluster-state.js';
@@ -72,9 +73,7 @@
         slot = this.addMachine(job, types, assignedByZone);
         if (slot === undefined) return;
       }
-      slot.free.cpus -= job.spec.cpus;
-      slot.free.gpus -= job.spec.gpus;
-      slot.free.memory -= job.spec.memory;
+      subtractResources(slot.free, job.spec);
       assignedByZone.set(slot.zone, (assignedByZone.get(slot.zone) ?? 0) + 1);
     }
   }
--- a/src/core/capacity/task-turnover.ts
+++ b/src/core/capacity/task-turnover.ts
@@ -5,6 +5,7 @@
 import { estimatedSeconds, startDeadline } from '../jobs/deadline-slack.js';
 import { isUsable } from '../machines/free-resources.js';
 import type { Job } from '../model/job.js';
+import { RESOURCE_EPSILON } from '../model/resources.js';
 import { type Timestamp, toSeconds } from '../model/time.js';
 import type { ClusterState } from '../state/cluster-state.js';
 import type { MachineKind } from './machine-kind.js';
@@ -12,9 +13,6 @@
 /** Share of the time left that an array task may wait for capacity to be left: fetches and late ends need the rest. */
 const MAX_WAIT_SHARE = 0.3;
 
-/** Amounts that differ by less than this count as equal: fractions of CPUs do not add up exactly. */
-const RESOURCE_EPSILON = 1e-6;
-
 /** Capacity that a running array task leaves when it finishes. */
 export interface Turnover extends MachineKind {
   readonly remainingS: number;
--- a/src/core/reconciliation/failure-detector.ts
+++ b/src/core/reconciliation/failure-detector.ts
@@ -4,7 +4,7 @@
  * machine.
  */
 import { requestProbe } from '../commands/probes.js';
-import { failoverSettlingTime, isSuspected, suspicionTimeout } from '../machines/suspicion.js';
+import { failoverSettlingTime, isSuspected, suspicionTimeout } from '../machines/responsiveness.js';
 import type { Machine } from '../model/machine.js';
 import { type Timestamp, seconds } from '../model/time.js';
 import type { ClusterState } from '../state/cluster-state.js';
--- a/src/core/scheduling/displaced-replicas.ts
+++ b/src/core/scheduling/displaced-replicas.ts
@@ -24,7 +24,7 @@
   if (policy === null) return [];
   const tasksByJob = new Map<Job, Set<number>>();
   for (const machine of state.machines.byName.values()) {
-    if (!policy.isEvacuating(zoneOf(machine)) || isResponsive(state, machine, now)) continue;
+    if (!policy.isEvacuating(zoneOf(machine)) || isResponsive(state.config, machine, now)) continue;
     for (const assignment of machine.assignments.values()) addReplica(state, tasksByJob, assignment);
   }
   return [...tasksByJob].map(([job, tasks]) => ({ job, tasks }));
