--- a/src/core/machines/free-resources.ts
+++ b/src/core/machines/free-resources.ts
@@ -7,7 +7,7 @@
 import type { MonotonicTime } from '../model/time.js';
 import { leaseExpiry } from '../reconciliation/worker-leases.js';
 import type { ClusterState } from '../state/cluster-state.js';
-import { heartbeatTimeout } from './responsiveness.js';
+import { isSuspected } from './suspicion.js';
 
 /** Whether a task may be assigned to the machine now. */
 export function isUsable(state: ClusterState, machine: Machine, now: MonotonicTime): boolean {
@@ -16,7 +16,7 @@
     isInService(machine) &&
     // Unless a heartbeat is acknowledged before then, the worker begins a new agent epoch, and what it holds is gone.
     now < leaseExpiry(state, machine) &&
-    now - machine.lastHeartbeatAt <= heartbeatTimeout(state.config) &&
+    !isSuspected(state.config, machine, now) &&
     state.machines.types.has(machine.type)
   );
 }
--- a/src/core/machines/suspicion.ts
+++ b/src/core/machines/suspicion.ts
@@ -1,4 +1,4 @@
-/** @file When a machine is suspected: heartbeats that should have come have not. */
+/** @file When a machine is responsive, and when it is suspected: heartbeats that should have come have not. */
 import type { ClusterConfig } from '../model/cluster-config.js';
 import type { Machine } from '../model/machine.js';
 import { type Duration, type MonotonicTime, seconds } from '../model/time.js';
@@ -14,6 +14,10 @@
 export const isSuspected = (config: ClusterConfig, machine: Machine, now: MonotonicTime): boolean =>
   now - machine.lastHeartbeatAt > suspicionTimeout(config);
 
+/** Whether the machine has sent a heartbeat in this term, and is not suspected. */
+export const isResponsive = (config: ClusterConfig, machine: Machine, now: MonotonicTime): boolean =>
+  machine.agentEpoch > 0 && machine.lastHeartbeatAt > 0n && !isSuspected(config, machine, now);
+
 /** From the beginning of a term workers need so long to find the new leader: until then missing heartbeats prove nothing. */
 export const failoverSettlingTime = (config: ClusterConfig): Duration =>
   suspicionTimeout(config) + config.heartbeatInterval * 2n;
--- a/src/core/scheduling/displaced-replicas.ts
+++ b/src/core/scheduling/displaced-replicas.ts
@@ -3,7 +3,7 @@
  * priority: the replicas themselves start elsewhere once it is proven that they are gone.
  */
 import { assignmentsByZone } from '../assignments/assignments.js';
-import { isResponsive, zoneOf } from '../machines/responsiveness.js';
+import { isResponsive } from '../machines/suspicion.js';
 import type { Assignment } from '../model/assignment.js';
 import type { Job } from '../model/job.js';
 import { fits, subtractResources } from '../model/resources.js';
@@ -11,6 +11,7 @@
 import type { ClusterState } from '../state/cluster-state.js';
 import type { Candidate } from './candidates.js';
 import { isMachineAllowed, isZoneAllowed } from './placement-constraints.js';
+import { zoneOf } from './zone-availability.js';
 
 /** Replicas of a service whose machines are in a zone that may be lost, and that may have to start elsewhere. */
 export interface DisplacedReplicas {
@@ -24,7 +25,7 @@
   if (policy === null) return [];
   const tasksByJob = new Map<Job, Set<number>>();
   for (const machine of state.machines.byName.values()) {
-    if (!policy.isEvacuating(zoneOf(machine)) || isResponsive(state, machine, now)) continue;
+    if (!policy.isEvacuating(zoneOf(machine)) || isResponsive(state.config, machine, now.monotonic)) continue;
     for (const assignment of machine.assignments.values()) addReplica(state, tasksByJob, assignment);
   }
   return [...tasksByJob].map(([job, tasks]) => ({ job, tasks }));
--- a/src/core/scheduling/zone-observation.ts
+++ b/src/core/scheduling/zone-observation.ts
@@ -1,5 +1,5 @@
 /** @file Shows the zone policy the fleet, and carries out what it then wants logged and stored. */
-import { heartbeatTimeout, isResponsive, zoneOf } from '../machines/responsiveness.js';
+import { failoverSettlingTime, isResponsive } from '../machines/suspicion.js';
 import type { Job } from '../model/job.js';
 import type { Machine } from '../model/machine.js';
 import { type Duration, type Timestamp, seconds } from '../model/time.js';
@@ -7,13 +7,11 @@
 import type { ClusterState } from '../state/cluster-state.js';
 import { mayStartTasks } from '../state/leadership-timing.js';
 import { emitLog } from '../state/log-effects.js';
+import { zoneOf } from './zone-availability.js';
 
 /** How long a start takes beside the image fetch. */
 const START_OVERHEAD = seconds(2);
 
-/** Heartbeats in which workers find a new leader. */
-const SETTLING_HEARTBEATS = 2n;
-
 /** Has the policy observe the fleet. Each change is logged once; what the next leader must know is stored. */
 export function observeZones(state: ClusterState, now: Timestamp): void {
   const policy = state.zonePolicy;
@@ -31,16 +29,12 @@
     zones: observeEachZone(state, now),
     leadershipConfirmed:
       mayStartTasks(state.term.confirmedAt, now.monotonic) &&
-      now.monotonic - state.term.startedAt > settlingTime(state),
+      now.monotonic - state.term.startedAt > failoverSettlingTime(state.config),
     replicasMissing: countMissingReplicas(state),
     slowestStart: slowestStart(state),
   };
 }
 
-/** From the beginning of a term, workers need this long to find the new leader. */
-const settlingTime = (state: ClusterState): Duration =>
-  heartbeatTimeout(state.config) + state.config.heartbeatInterval * SETTLING_HEARTBEATS;
-
 interface ZoneTally {
   known: number;
   gpus: number;
@@ -54,7 +48,7 @@
     const tally = tallies.get(zoneOf(machine));
     if (tally === undefined || !isKnown(machine)) continue;
     tally.known += 1;
-    if (!isResponsive(state, machine, now)) continue;
+    if (!isResponsive(state.config, machine, now.monotonic)) continue;
     tally.responsiveMachines.push(machine.name);
     tally.gpus += state.machines.types.get(machine.type)?.gpus ?? 0;
   }
