--- a/src/core/jobs/dependencies.ts
+++ b/src/core/jobs/dependencies.ts
@@ -42,12 +42,8 @@
 }
 
 function makeReady(state: ClusterState, job: Job, since: Date): void {
-  const { id } = job.spec;
-  job.readySince = since;
+  markJobReady(state.jobs, job, since);
   job.pendingReason = NOT_CONSIDERED_YET;
-  state.jobs.active.add(id);
-  state.jobs.fairSharesStale = true;
-  if (job.unassignedTasks.size > 0) state.jobs.pending.add(id);
   state.scheduling.cycleNeeded = true;
 }
 
