--- a/src/core/commands/forgets.ts
+++ b/src/core/commands/forgets.ts
@@ -1,13 +1,39 @@
 /**
  * @file When workers may forget exited tasks: once their results are committed, and no start command for them can still
- * arrive. New requests come from the handling of exits; this file carries them out and drops them.
+ * arrive. It owns the pending forgets: they are queued by the handling of exits, carried out and dropped here.
  */
-import { attemptKey } from '../model/assignment.js';
+import { attemptKey, taskKey } from '../model/assignment.js';
 import type { Heartbeat } from '../model/heartbeat.js';
 import type { Machine } from '../model/machine.js';
+import type { MonotonicTime } from '../model/time.js';
 import type { PendingForget } from '../model/worker-command.js';
+import { chunkIndexOf } from '../records/chunks.js';
 import type { ClusterState } from '../state/cluster-state.js';
 import { attemptMayStillStart } from '../state/command-state.js';
+import { getOrCreateMap } from '../state/maps.js';
+
+/** Queues a forget command for an exited task, to be sent once what its chunk now holds is committed. */
+export function requestForget(
+  state: ClusterState,
+  machineName: string,
+  jobId: string,
+  taskIndex: number,
+  attempt: number,
+  now: MonotonicTime,
+): void {
+  const chunk = state.jobs.byId.get(jobId)?.chunks.get(chunkIndexOf(taskIndex));
+  const key = taskKey(jobId, taskIndex);
+  const forgets = getOrCreateMap(state.commands.pendingForgets, machineName);
+  if (forgets.get(key)?.attempt === attempt) return;
+  forgets.set(key, {
+    jobId,
+    taskIndex,
+    attempt,
+    chunkIndex: chunk?.index ?? null,
+    recordVersion: chunk?.version ?? 0,
+    requestedAt: now,
+  });
+}
 
 /** The exited tasks that the machine's worker may forget now. */
 export function forgetsFor(state: ClusterState, machine: Machine): PendingForget[] {
--- a/src/core/model/job.ts
+++ b/src/core/model/job.ts
@@ -1,6 +1,6 @@
 /** @file Jobs: as submitted, as recorded in the state store, and as the leader knows them. */
-import type { PendingReason } from './pending-reasons.js';
 import type { Duration, MonotonicTime } from './time.js';
+import { NOT_CONSIDERED_YET, type PendingReason } from './pending-reasons.js';
 import type { TaskChunk } from './records.js';
 
 /** How the tasks of a job belong together. */
@@ -107,7 +107,7 @@
   unassignedTasks: new Set(),
   firstSeenAt: now,
   replicaLostAt: null,
-  pendingReason: 'new',
+  pendingReason: NOT_CONSIDERED_YET,
   withinFairShare: false,
   readySince: record.submittedAt,
   priority: record.spec.priority,
--- a/src/core/reconciliation/task-exits.ts
+++ b/src/core/reconciliation/task-exits.ts
@@ -3,7 +3,7 @@
  * job and the machine. Failures are counted here and nowhere else.
  */
 import { endAssignment, stopAssignment } from '../assignments/assignments.js';
-import { requestForget } from '../assignments/pending-forgets.js';
+import { requestForget } from '../commands/forgets.js';
 import { taskKey } from '../model/assignment.js';
 import type { Heartbeat, ReportedTask } from '../model/heartbeat.js';
 import type { Job } from '../model/job.js';
