--- a/src/core/commands/forgets.ts
+++ b/src/core/commands/forgets.ts
@@ -9,7 +9,7 @@
 import type { PendingForget } from '../model/worker-command.js';
 import { chunkIndexOf } from '../records/chunks.js';
 import type { ClusterState } from '../state/cluster-state.js';
-import { attemptMayStillStart } from '../state/command-state.js';
+import { type CommandState, attemptMayStillStart } from '../state/command-state.js';
 import { getOrCreateMap } from '../state/maps.js';
 
 /** Queues a forget command for an exited task, to be sent once what its chunk now holds is committed. */
@@ -55,8 +55,8 @@
 }
 
 /** Drops the forgets that a heartbeat shows to be carried out. */
-export function dropCompletedForgets(state: ClusterState, heartbeat: Heartbeat): void {
-  const pending = state.commands.pendingForgets.get(heartbeat.machineName);
+export function dropCompletedForgets(commands: CommandState, heartbeat: Heartbeat): void {
+  const pending = commands.pendingForgets.get(heartbeat.machineName);
   if (pending === undefined) return;
   const exited = new Set(
     heartbeat.tasks
@@ -68,6 +68,6 @@
 }
 
 /** Drops all forgets for a machine: its worker knows none of the attempts any more. */
-export function dropForgets(state: ClusterState, machineName: string): void {
-  state.commands.pendingForgets.delete(machineName);
+export function dropForgets(commands: CommandState, machineName: string): void {
+  commands.pendingForgets.delete(machineName);
 }
