--- a/src/core/jobs/dependencies.ts
+++ b/src/core/jobs/dependencies.ts
@@ -3,9 +3,9 @@
 import { NOT_CONSIDERED_YET, WAITING_FOR_DEPENDENCIES } from '../model/pending-reasons.js';
 import type { Timestamp } from '../model/time.js';
 import { releaseFinishedChunks } from '../records/record-pages.js';
-import { markJobFinished } from '../state/job-table.js';
 import type { ClusterState } from '../state/cluster-state.js';
 import type { GraphChange } from '../state/dependency-graph.js';
+import { markJobFinished, markJobReady } from '../state/job-table.js';
 import { emitLog } from '../state/log-effects.js';
 import { inheritUrgency, ownDeadline, withdrawUrgency } from './urgency.js';
 
@@ -42,12 +42,8 @@
 }
 
 function makeReady(state: ClusterState, job: Job, since: Date): void {
-  const { id } = job.spec;
-  job.readySince = since;
+  markJobReady(state.jobs, job, since);
   job.pendingReason = NOT_CONSIDERED_YET;
-  state.jobs.active.add(id);
-  state.jobs.fairSharesStale = true;
-  if (job.unassignedTasks.size > 0) state.jobs.pending.add(id);
   state.scheduling.cycleNeeded = true;
 }
 
--- a/src/core/machines/free-resources.ts
+++ b/src/core/machines/free-resources.ts
@@ -33,7 +33,7 @@
   machine.unreachableSince === null;
 
 /** A machine's capacity: what is free, and what will be free once the tasks being stopped have ended. */
-export interface MachineResources {
+interface MachineResources {
   readonly free: Readonly<Resources>;
   readonly projected: Readonly<Resources>;
 }
--- a/src/core/scheduling/reservation.ts
+++ b/src/core/scheduling/reservation.ts
@@ -1,6 +1,6 @@
 /**
  * @file Capacity kept for a blocked job within a cycle. It is taken from the projected capacity of candidates, so that
- * work of lower priority does not get it while the tasks that make room are still ending.
+ * work of lower priority does not get it while the victims are still ending.
  */
 import type { Assignment } from '../model/assignment.js';
 import type { Job } from '../model/job.js';
--- a/src/core/scheduling/scoring.ts
+++ b/src/core/scheduling/scoring.ts
@@ -58,7 +58,7 @@
 }
 
 /** Seconds that running a task of the job on the candidate costs: Ω of eq. (3) and Algorithm 2. */
-export function placementCost(spec: JobSpec, candidate: Candidate, settings: OperatorSettings): number {
+function placementCost(spec: JobSpec, candidate: Candidate, settings: OperatorSettings): number {
   return (
     settings.alpha * processingDelay(spec, candidate, settings) +
     (1 - settings.alpha) * imageFetchDelay(spec, candidate, settings) +
@@ -69,7 +69,7 @@
 const share = (part: number, whole: number): number => (whole > 0 ? part / whole : 1);
 
 /** The smaller of the free CPU and free memory shares, eq. (17) with shares instead of raw amounts. */
-export function freeShare(candidate: Candidate): number {
+function freeShare(candidate: Candidate): number {
   return Math.min(
     share(candidate.free.cpus, candidate.type.cpus),
     share(candidate.free.memory, candidate.type.memory),
--- a/src/core/state/job-table.ts
+++ b/src/core/state/job-table.ts
@@ -40,6 +40,15 @@
   fairSharesStale: true,
 });
 
+/** A job may be scheduled from now on: its dependencies are done since then. */
+export function markJobReady(jobs: JobTable, job: Job, since: Date): void {
+  const { id } = job.spec;
+  job.readySince = since;
+  jobs.active.add(id);
+  if (job.unassignedTasks.size > 0) jobs.pending.add(id);
+  jobs.fairSharesStale = true;
+}
+
 /**
  * A job is no longer to be scheduled: it leaves all queues. `status` is as recorded; nothing that the job still has
  * assigned is touched.
