--- a/src/core/jobs/dependencies.ts
+++ b/src/core/jobs/dependencies.ts
@@ -3,9 +3,9 @@
 import { NOT_CONSIDERED_YET, WAITING_FOR_DEPENDENCIES } from '../model/pending-reasons.js';
 import type { Timestamp } from '../model/time.js';
 import { releaseFinishedChunks } from '../records/record-pages.js';
-import { markJobFinished, markJobReady } from '../state/job-table.js';
 import type { ClusterState } from '../state/cluster-state.js';
 import type { GraphChange } from '../state/dependency-graph.js';
+import { markJobFinished, markJobReady } from '../state/job-table.js';
 import { emitLog } from '../state/log-effects.js';
 import { inheritUrgency, ownDeadline, withdrawUrgency } from './urgency.js';
 
