--- a/test/standins/cluster.ts
+++ b/test/standins/cluster.ts
@@ -7,11 +7,9 @@
 import type { Features } from '../../src/edge/config/features.js';
 import { startService } from '../../src/edge/service.js';
 import type { PlatformSettings } from '../../src/edge/config/platform-settings.js';
-import { call, listen } from './http.js';
+import { call, listen, type Reply } from './http.js';
 import { WorkerStandIn, type TaskHistory } from './worker.js';
 
-/** What the tests of a whole service on loopback share: settings, a cloud, two workers, jobs. */
-
 let lastPort = 8000;
 /**
  * An address for a controller that starts later, which nobody else can have by then. A port that was free when asked
@@ -112,101 +110,124 @@
   limitMs?: number,
 ): Promise<true> => waitFor(what, async () => ((await condition()) ? true : null), limitMs);
 
-export interface LoopbackCluster {
-  readonly cloudAddress: string;
-  readonly workers: WorkerStandIn[];
-  /** Every rental and return that came, for sending copies of it later. */
-  readonly scaleRequests: { readonly path: string; readonly body: Record<string, unknown> }[];
-  /** Rentals that were carried out, by name. */
-  readonly scaleOuts: ReadonlyMap<string, readonly string[]>;
-  /** What becomes of a rental: carried out without an answer, or only after a while. */
-  scaleOutFault: 'lost' | 'late' | null;
-  /** Carries a rental or return out, as the cloud does; a repeated rental rents nothing. */
-  applyScaleRequest(path: string, body: Record<string, unknown>): Promise<{ status: number; body: unknown }>;
-  stop(): void;
+interface ScaleRequest {
+  readonly path: string;
+  readonly body: Record<string, unknown>;
 }
 
-/** A cloud with two machines and, on demand, `spare` more; their workers report to the given controllers. */
-export async function startCluster(
-  controllers: readonly string[],
-  watch: TaskHistory,
-  runMs: (ticket: string) => number | null,
-  spare = 0,
-): Promise<LoopbackCluster> {
-  const workers: WorkerStandIn[] = [];
-  const hired = new Map<string, string[]>();
-  const add = async (zone: string): Promise<string> => {
-    made += 1;
-    const worker = new WorkerStandIn(`n-00000${made - 1}`, zone, controllers, watch, runMs);
-    await worker.start();
-    workers.push(worker);
-    return worker.name;
-  };
-  let made = 0;
-  const calls: LoopbackCluster['scaleRequests'] = [];
-  const carryOut: LoopbackCluster['applyScaleRequest'] = async (path, body) => {
+/** What becomes of a scale-out: `lost` is executed without a response, `late` only after a while without one. */
+export type ScaleOutFault = 'lost' | 'late';
+
+const LATE_SCALE_OUT_MS = 600;
+const FIRST_MACHINES = 2;
+
+/** A cloud with two machines and, on demand, more; their workers send heartbeats to the given controllers. */
+export class LoopbackCluster {
+  cloudAddress = '';
+  readonly workers: WorkerStandIn[] = [];
+  /** Every scale-out and scale-in that arrived, for sending duplicates of it later. */
+  readonly scaleRequests: ScaleRequest[] = [];
+  /** The machines of each executed scale-out, by the name of the request. */
+  readonly scaleOuts = new Map<string, readonly string[]>();
+  scaleOutFault: ScaleOutFault | null = null;
+  private machineCount = 0;
+  private closeCloud: () => void = () => undefined;
+
+  constructor(
+    private readonly controllers: readonly string[],
+    private readonly history: TaskHistory,
+    private readonly taskDurationMs: (task: string) => number | null,
+    /** How many machines the cloud has beyond the first two. */
+    private readonly spareMachines: number,
+  ) {}
+
+  async start(): Promise<void> {
+    const cloud = await listen((method, url, body) => this.answer(method, url, body));
+    this.cloudAddress = cloud.address;
+    this.closeCloud = cloud.close;
+    for (const zone of ['east', 'west']) await this.addMachine(zone);
+  }
+
+  stop(): void {
+    for (const worker of this.workers) worker.stop();
+    this.closeCloud();
+  }
+
+  /** Executes a scale-out or scale-in, as the cloud does; a repeated scale-out adds nothing. */
+  async applyScaleRequest(path: string, body: Record<string, unknown>): Promise<Reply> {
     if (path === '/machines/return') {
-      for (const name of body['rigs'] as string[]) {
-        const at = workers.findIndex((worker) => worker.name === name);
-        if (at >= 0) workers.splice(at, 1)[0]?.stop();
-      }
+      for (const name of body['rigs'] as string[]) this.removeMachine(name);
       return { status: 200, body: {} };
     }
-    const known = hired.get(body['hire'] as string);
+    const request = body['hire'] as string;
+    const known = this.scaleOuts.get(request);
     if (known !== undefined) return { status: 200, body: { rigs: known } };
     const names: string[] = [];
-    while (names.length < (body['number'] as number) && made < 2 + spare)
-      names.push(await add(body['hall'] as string));
+    const limit = FIRST_MACHINES + this.spareMachines;
+    while (names.length < (body['number'] as number) && this.machineCount < limit)
+      names.push(await this.addMachine(body['hall'] as string));
     if (names.length === 0) return { status: 503, body: { error: 'no capacity' } };
-    hired.set(body['hire'] as string, names);
+    this.scaleOuts.set(request, names);
     return { status: 200, body: { rigs: names } };
-  };
-  const cloud = await listen(async (m, url, sent) => {
-    if (url.pathname === '/flavors') return { status: 200, body: MACHINE_TYPES };
-    if (url.pathname === '/machines' && url.searchParams.has('page'))
-      return {
-        status: 200,
-        body: {
-          rigs: workers.map((worker) => ({
-            ref: worker.name,
-            endpoint: worker.address,
-            build: 'big',
-            hall: worker.zone,
-            loaners: false,
-            standing: 'running',
-            ageS: 10,
-          })),
-          hasNext: false,
-        },
-      };
-    if (m !== 'POST') return { status: 400, body: {} };
+  }
+
+  private async answer(method: string, { pathname, searchParams }: URL, sent: unknown): Promise<Reply> {
+    if (pathname === '/flavors') return { status: 200, body: MACHINE_TYPES };
+    if (pathname === '/machines' && searchParams.has('page'))
+      return { status: 200, body: { rigs: this.workers.map(inventoryEntry), hasNext: false } };
+    if (method !== 'POST') return { status: 400, body: {} };
     const body = sent as Record<string, unknown>;
-    calls.push({ path: url.pathname, body });
-    if (url.pathname !== '/machines' || site.scaleOutFault === null) return carryOut(url.pathname, body);
-    if (site.scaleOutFault === 'lost') await carryOut(url.pathname, body);
-    else setTimeout(() => void carryOut(url.pathname, body), 600).unref();
+    this.scaleRequests.push({ path: pathname, body });
+    if (pathname !== '/machines' || this.scaleOutFault === null)
+      return this.applyScaleRequest(pathname, body);
+    if (this.scaleOutFault === 'lost') await this.applyScaleRequest(pathname, body);
+    else setTimeout(() => void this.applyScaleRequest(pathname, body), LATE_SCALE_OUT_MS).unref();
     return { status: 504, body: {} };
-  });
-  for (const zone of ['east', 'west']) await add(zone);
-  const site: LoopbackCluster = {
-    cloudAddress: cloud.address,
-    workers,
-    scaleRequests: calls,
-    scaleOuts: hired,
-    scaleOutFault: null,
-    applyScaleRequest: carryOut,
-    stop: () => {
-      for (const worker of workers) worker.stop();
-      cloud.close();
-    },
-  };
-  return site;
+  }
+
+  private async addMachine(zone: string): Promise<string> {
+    const name = `n-00000${this.machineCount}`;
+    this.machineCount += 1;
+    const worker = new WorkerStandIn(name, zone, this.controllers, this.history, this.taskDurationMs);
+    await worker.start();
+    this.workers.push(worker);
+    return name;
+  }
+
+  private removeMachine(name: string): void {
+    const index = this.workers.findIndex((worker) => worker.name === name);
+    if (index >= 0) this.workers.splice(index, 1)[0]?.stop();
+  }
+}
+
+const inventoryEntry = (worker: WorkerStandIn): unknown => ({
+  ref: worker.name,
+  endpoint: worker.address,
+  build: 'big',
+  hall: worker.zone,
+  loaners: false,
+  standing: 'running',
+  ageS: 10,
+});
+
+/** Starts a cluster with `spareMachines` beyond the first two. */
+export async function startCluster(
+  controllers: readonly string[],
+  history: TaskHistory,
+  taskDurationMs: (task: string) => number | null,
+  spareMachines = 0,
+): Promise<LoopbackCluster> {
+  const cluster = new LoopbackCluster(controllers, history, taskDurationMs, spareMachines);
+  await cluster.start();
+  return cluster;
 }
 
-const silent = pino({ level: 'silent' });
+const silentLogger = pino({ level: 'silent' });
 
-export const startController = (p: PlatformSettings, features: Features = new Set()): Subscription =>
-  startService(p, DEFAULT_SETTINGS, features, silent, (why) => assert.fail(why));
+/** Starts a controller in this process; its end is that of the subscription. */
+export const startController = (settings: PlatformSettings, features: Features = new Set()): Subscription =>
+  startService(settings, DEFAULT_SETTINGS, features, silentLogger, (reason) => assert.fail(reason));
 
+/** Waits until a controller takes requests. */
 export const waitUntilHealthy = (api: string): Promise<true> =>
   waitUntil('healthy', async () => (await call(api, 'GET', '/healthz').catch(() => null))?.status === 200);
