--- a/src/core/model/transaction.ts
+++ b/src/core/model/transaction.ts
@@ -2,8 +2,7 @@
  * @file Transactions: the leader's writes to the state store. Changes are batched by page and committed one transaction
  * at a time.
  */
-import type { PageEntry } from './records.js';
-import type { TaskChunk } from '../model/records.js';
+import type { PageEntry, TaskChunk } from './records.js';
 
 /** A page as it is to be written. */
 export interface PageWrite {
--- a/src/edge/leadership/term-end-reason.ts
+++ b/src/edge/leadership/term-end-reason.ts
@@ -1,4 +1,5 @@
 /** @file Why a leader's term ends, as a type, and how it is logged. */
+import type { LogFields } from '../runtime/logger.js';
 
 /** Why a leader's term ended. */
 export type TermEndReason =
@@ -18,6 +19,6 @@
   | { readonly kind: 'stepped-down'; readonly cause: string };
 
 /** The reason as fields of a log line: `reason` is the kind, everything else keeps its name. */
-export function termEndLogFields({ kind, ...details }: TermEndReason): Record<string, unknown> {
+export function termEndLogFields({ kind, ...details }: TermEndReason): LogFields {
   return { reason: kind, ...details };
 }
