--- /dev/null
+++ b/test/golden-bytes.ts
@@ -0,0 +1,38 @@
+import assert from 'node:assert/strict';
+import { decode } from '../src/wire/cbor.js';
+import type { Recorded } from './standins/recorder.js';
+
+/**
+ * Literal external forms. Each is given twice, as JSON text for the reader and as the bytes on the wire, and both are
+ * plain strings, so that a renamed identifier cannot change what is expected.
+ */
+export interface Golden {
+  readonly text: string;
+  readonly base64: string;
+}
+
+const shown = (value: unknown): string => JSON.stringify(value);
+
+/** The value that the golden bytes hold. */
+export function valueIn(golden: Golden): unknown {
+  const value = decode(Buffer.from(golden.base64, 'base64'));
+  assert.equal(shown(value), golden.text, 'the text beside the bytes says what they hold');
+  return value;
+}
+
+/** Checks bytes that were written against the golden ones. */
+export function assertBytes(written: Buffer, golden: Golden): void {
+  assert.equal(shown(decode(written)), golden.text);
+  assert.equal(written.toString('base64'), golden.base64);
+}
+
+/** Checks a request as it was sent: its first line, that the head tells of CBOR, and the body; null: there is none. */
+export function assertRequest(sent: Recorded | undefined, line: string, golden: Golden | null): void {
+  assert.ok(sent !== undefined, `no request for ${line}`);
+  const length =
+    golden === null ? '' : `\r\nContent-Type: application/cbor\r\nContent-Length: ${sent.body.length}`;
+  const empty = golden === null && !line.startsWith('GET ') ? '\r\nContent-Length: 0' : '';
+  assert.equal(sent.head, `${line} HTTP/1.1\r\nHost: ADDRESS\r\nConnection: keep-alive${length}${empty}`);
+  if (golden === null) assert.equal(sent.body.length, 0);
+  else assertBytes(sent.body, golden);
+}
--- /dev/null
+++ b/test/golden-records.test.ts
@@ -0,0 +1,274 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import { readZones, writeZones, type ZoneHealth } from '../packages/zone-recovery/src/index.js';
+import type { JobRecord, Spec } from '../src/core/model.js';
+import type { PageEntry } from '../src/core/record-pages.js';
+import { seconds, type Now } from '../src/core/time.js';
+import { encode } from '../src/wire/cbor.js';
+import { FRAME_LIMIT, FrameReader, statusFrame, type Status } from '../src/wire/frames.js';
+import {
+  countsIn,
+  featuresIn,
+  jobKey,
+  pageKey,
+  parseKey,
+  partKey,
+  readJob,
+  readPage,
+  readPart,
+  versionKey,
+  writeJob,
+  writePage,
+  zonesKey,
+  type PartRecord,
+  type VersionRecord,
+} from '../src/wire/records.js';
+import { assertBytes, valueIn, type Golden } from './golden-bytes.js';
+
+// What is stored and what controllers send one another, in literal bytes, with every optional field present and absent.
+// An upgraded controller reads what earlier versions stored, and the other way round while versions run side by side.
+
+const WHOLE_JOB: Golden = {
+  text: '{"st":"open","at":"2030-01-01T12:00:00.250Z","s":{"id":"req-000412","class":"train","team":"vision","kind":"gang","priority":"high","tasks":16,"cpus":8,"gpus":1,"memory":64.5,"types":["g8","g9"],"zone":"a","oneZone":true,"spread":true,"spot":true,"image":"img-07","imageGb":6.2,"estimate":240,"checkpoint":30,"save":4,"due":900,"dependencies":["req-7","req-8"]}}',
+  base64:
+    'o2JzdGRvcGVuYmF0eBgyMDMwLTAxLTAxVDEyOjAwOjAwLjI1MFphc7ViaWRqcmVxLTAwMDQxMmVjbGFzc2V0cmFpbmR0ZWFtZn' +
+    'Zpc2lvbmRraW5kZGdhbmdocHJpb3JpdHlkaGlnaGV0YXNrcxBkY3B1cwhkZ3B1cwFmbWVtb3J5+0BQIAAAAAAAZXR5cGVzgmJn' +
+    'OGJnOWR6b25lYWFnb25lWm9uZfVmc3ByZWFk9WRzcG909WVpbWFnZWZpbWctMDdnaW1hZ2VHYvtAGMzMzMzMzWhlc3RpbWF0ZR' +
+    'jwamNoZWNrcG9pbnQYHmRzYXZlBGNkdWUZA4RsZGVwZW5kZW5jaWVzgmVyZXEtN2VyZXEtOA==',
+};
+const BARE_JOB: Golden = {
+  text: '{"st":"done","at":"2030-01-01T12:00:00.250Z","s":{"id":"req-1","class":"web","team":"shop","kind":"service","priority":"production","tasks":3,"cpus":0.5,"gpus":0,"memory":2,"types":null,"zone":null,"oneZone":false,"spread":false,"spot":false,"image":"img-1","imageGb":0,"estimate":0,"checkpoint":0,"save":0,"due":null}}',
+  base64:
+    'o2JzdGRkb25lYmF0eBgyMDMwLTAxLTAxVDEyOjAwOjAwLjI1MFphc7RiaWRlcmVxLTFlY2xhc3Njd2ViZHRlYW1kc2hvcGRraW' +
+    '5kZ3NlcnZpY2VocHJpb3JpdHlqcHJvZHVjdGlvbmV0YXNrcwNkY3B1c/s/4AAAAAAAAGRncHVzAGZtZW1vcnkCZXR5cGVz9mR6' +
+    'b25l9mdvbmVab25l9GZzcHJlYWT0ZHNwb3T0ZWltYWdlZWltZy0xZ2ltYWdlR2IAaGVzdGltYXRlAGpjaGVja3BvaW50AGRzYX' +
+    'ZlAGNkdWX2',
+};
+const ARRAY_JOB: Golden = {
+  text: '{"st":"cancelled","at":"2030-01-01T12:00:00.250Z","s":{"id":"req-1","class":"web","team":"shop","kind":"array","priority":"low","tasks":3,"cpus":0.5,"gpus":0,"memory":2,"types":null,"zone":null,"oneZone":false,"spread":false,"spot":false,"image":"img-1","imageGb":0,"estimate":0.25,"checkpoint":0,"save":0,"due":0}}',
+  base64:
+    'o2JzdGljYW5jZWxsZWRiYXR4GDIwMzAtMDEtMDFUMTI6MDA6MDAuMjUwWmFztGJpZGVyZXEtMWVjbGFzc2N3ZWJkdGVhbWRzaG' +
+    '9wZGtpbmRlYXJyYXlocHJpb3JpdHljbG93ZXRhc2tzA2RjcHVz+z/gAAAAAAAAZGdwdXMAZm1lbW9yeQJldHlwZXP2ZHpvbmX2' +
+    'Z29uZVpvbmX0ZnNwcmVhZPRkc3BvdPRlaW1hZ2VlaW1nLTFnaW1hZ2VHYgBoZXN0aW1hdGX7P9AAAAAAAABqY2hlY2twb2ludA' +
+    'Bkc2F2ZQBjZHVlAA==',
+};
+
+const submitted = new Date(Date.UTC(2030, 0, 1, 12, 0, 0, 250));
+const bare: Spec = {
+  id: 'req-1',
+  class: 'web',
+  team: 'shop',
+  kind: 'service',
+  priority: 'production',
+  tasks: 3,
+  cpus: 0.5,
+  gpus: 0,
+  memory: 2,
+  types: null,
+  zone: null,
+  oneZone: false,
+  spread: false,
+  spot: false,
+  image: 'img-1',
+  imageGb: 0,
+  estimate: 0n,
+  checkpoint: 0n,
+  save: 0n,
+  due: null,
+  dependencies: [],
+};
+const whole: Spec = {
+  id: 'req-000412',
+  class: 'train',
+  team: 'vision',
+  kind: 'gang',
+  priority: 'high',
+  tasks: 16,
+  cpus: 8,
+  gpus: 1,
+  memory: 64.5,
+  types: ['g8', 'g9'],
+  zone: 'a',
+  oneZone: true,
+  spread: true,
+  spot: true,
+  image: 'img-07',
+  imageGb: 6.2,
+  estimate: seconds(240),
+  checkpoint: seconds(30),
+  save: seconds(4),
+  due: seconds(900),
+  dependencies: ['req-7', 'req-8'],
+};
+const array: Spec = { ...bare, kind: 'array', priority: 'low', estimate: seconds(0.25), due: 0n };
+
+test('the record of a job, with all optional fields and with none', () => {
+  const records: readonly [Golden, JobRecord][] = [
+    [WHOLE_JOB, { spec: whole, submitted, standing: 'open' }],
+    [BARE_JOB, { spec: bare, submitted, standing: 'done' }],
+    [ARRAY_JOB, { spec: array, submitted, standing: 'cancelled' }],
+  ];
+  for (const [golden, record] of records) {
+    assertBytes(encode(writeJob(record)), golden);
+    assert.deepEqual(readJob(valueIn(golden)), record);
+  }
+});
+
+// A cancellation reads the record and writes it again: nothing may be lost or moved on the way.
+test('a record that is read and written again keeps its bytes', () => {
+  for (const golden of [WHOLE_JOB, BARE_JOB, ARRAY_JOB])
+    assertBytes(encode(writeJob(readJob(valueIn(golden)))), golden);
+});
+
+test('the record of a part’s owner', () => {
+  const golden: Golden = {
+    text: '{"label":"hearth-1","incarnation":"hearth-1-1893499200250-77"}',
+    base64: 'omVsYWJlbGhoZWFydGgtMWtpbmNhcm5hdGlvbngZaGVhcnRoLTEtMTg5MzQ5OTIwMDI1MC03Nw==',
+  };
+  const owner: PartRecord = { label: 'hearth-1', incarnation: 'hearth-1-1893499200250-77' };
+  assertBytes(encode(owner), golden);
+  assert.deepEqual(readPart(valueIn(golden)), owner);
+});
+
+test('the record of what a version can do', () => {
+  const golden: Golden = {
+    text: '{"features":["dependencies"]}',
+    base64: 'oWhmZWF0dXJlc4FsZGVwZW5kZW5jaWVz',
+  };
+  const version: VersionRecord = { features: ['dependencies'] };
+  assertBytes(encode(version), golden);
+  assert.deepEqual(featuresIn(valueIn(golden)), ['dependencies']);
+});
+
+test('the record of zones, in every phase', () => {
+  const golden: Golden = {
+    text: '{"version":1,"zones":[{"zone":"b","phase":"suspect","losses":0,"holdUntil":1893499200,"admitted":0},{"zone":"c","phase":"lost","losses":1,"holdUntil":1893499200,"admitted":0},{"zone":"d","phase":"held-down","losses":2,"holdUntil":1893499230,"admitted":0},{"zone":"e","phase":"returning","losses":2,"holdUntil":1893499200,"admitted":7},{"zone":"f","phase":"healthy","losses":3,"holdUntil":1893499200,"admitted":0}]}',
+    base64:
+      'omd2ZXJzaW9uAWV6b25lc4WlZHpvbmVhYmVwaGFzZWdzdXNwZWN0Zmxvc3NlcwBpaG9sZFVudGlsGnDcgUBoYWRtaXR0ZWQApW' +
+      'R6b25lYWNlcGhhc2VkbG9zdGZsb3NzZXMBaWhvbGRVbnRpbBpw3IFAaGFkbWl0dGVkAKVkem9uZWFkZXBoYXNlaWhlbGQtZG93' +
+      'bmZsb3NzZXMCaWhvbGRVbnRpbBpw3IFeaGFkbWl0dGVkAKVkem9uZWFlZXBoYXNlaXJldHVybmluZ2Zsb3NzZXMCaWhvbGRVbn' +
+      'RpbBpw3IFAaGFkbWl0dGVkB6Vkem9uZWFmZXBoYXNlZ2hlYWx0aHlmbG9zc2VzA2lob2xkVW50aWwacNyBQGhhZG1pdHRlZAA=',
+  };
+  const at: Now = { steady: seconds(1000), wall: new Date(Date.UTC(2030, 0, 1, 12)) };
+  const healthy: ZoneHealth = {
+    phase: 'healthy',
+    since: at.steady,
+    losses: 0,
+    countedAt: at.steady,
+    holdUntil: at.steady,
+    admitted: 0,
+    steppedAt: at.steady,
+  };
+  const zones = new Map<string, ZoneHealth>([
+    ['a', healthy],
+    ['b', { ...healthy, phase: 'suspect' }],
+    ['c', { ...healthy, phase: 'lost', losses: 1 }],
+    ['d', { ...healthy, phase: 'held-down', losses: 2, holdUntil: at.steady + seconds(30) }],
+    ['e', { ...healthy, phase: 'returning', losses: 2, admitted: 7 }],
+    ['f', { ...healthy, losses: 3 }],
+  ]);
+  assertBytes(encode(writeZones(zones, at)), golden);
+  zones.delete('a');
+  assert.deepEqual(readZones(valueIn(golden), at), zones);
+});
+
+// The first space before the places stands for no result, the second for no place.
+const PAGE =
+  'east,we%2Est|req-1/0 a1 c0,0  |req-2/12 a70000 c3,0 480-482 |req-3/0 a2 c0,1  5.2.n-000231.12.1|req-4/0 a3 c4,2 0-2,7 4.3.n-000231.2.0,5.2.a%2Eb%2Cc%7Cd.1.0';
+
+test('a page of chunks, with and without results and places', () => {
+  const entries: PageEntry[] = [
+    { job: 'req-1', index: 0, record: { attempt: 1, done: [], intents: [] } },
+    { job: 'req-2', index: 12, record: { attempt: 70_000, done: [480, 481, 482], intents: [] } },
+    {
+      job: 'req-3',
+      index: 0,
+      record: {
+        attempt: 2,
+        done: [],
+        intents: [{ task: 5, attempt: 2, machine: 'n-000231', session: 12, zone: 'we.st' }],
+      },
+    },
+    {
+      job: 'req-4',
+      index: 0,
+      record: {
+        attempt: 3,
+        done: [0, 1, 2, 7],
+        intents: [
+          { task: 4, attempt: 3, machine: 'n-000231', session: 2, zone: 'east' },
+          { task: 5, attempt: 2, machine: 'a.b,c|d', session: 1, zone: 'east' },
+        ],
+      },
+    },
+  ];
+  const zones = ['east', 'we.st'];
+  assert.equal(writePage(entries, zones), PAGE);
+  assert.equal(writePage(entries, zones), PAGE, 'rows that were kept from the first time');
+  assert.deepEqual(readPage(PAGE), entries);
+  assert.deepEqual(countsIn(PAGE), [
+    { job: 'req-1', done: 0, placed: 0 },
+    { job: 'req-2', done: 3, placed: 0 },
+    { job: 'req-3', done: 0, placed: 1 },
+    { job: 'req-4', done: 4, placed: 2 },
+  ]);
+  assert.equal(writePage([], []), '');
+  assert.deepEqual(readPage(''), []);
+});
+
+test('the keys of records, written and taken apart', () => {
+  assert.equal(jobKey('req-1'), 'main/job/req-1');
+  assert.equal(partKey('all'), 'main/part/all');
+  assert.equal(pageKey('all', 3), 'main/page/all/3');
+  assert.equal(zonesKey('all'), 'main/zones/all');
+  assert.equal(versionKey('hearth-1'), 'main/version/hearth-1');
+  assert.deepEqual(parseKey('main/job/req-1'), { kind: 'job', id: 'req-1' });
+  assert.deepEqual(parseKey('main/part/all'), { kind: 'part', part: 'all' });
+  assert.deepEqual(parseKey('main/page/all/3'), { kind: 'page', part: 'all', id: 3 });
+  assert.deepEqual(parseKey('main/version/hearth-1'), { kind: 'version', label: 'hearth-1' });
+  assert.deepEqual(parseKey('main/zones/all'), { kind: 'other' });
+});
+
+// Magic `PR`, version, kind, length; then flags, contact, token and label.
+const FRAMES: readonly (readonly [string, string, Status])[] = [
+  [
+    'an owner',
+    '5052 01 01 0016 01 000001a4 000000000000004d 08 6865617274682d31',
+    { label: 'hearth-1', owner: true, contactMs: 420, token: 77n },
+  ],
+  [
+    'no owner, and no contact yet',
+    '5052 01 01 0016 00 ffffffff 0000000000000000 08 6865617274682d32',
+    { label: 'hearth-2', owner: false, contactMs: null, token: 0n },
+  ],
+  [
+    'the longest contact, the highest token, and a label beyond ASCII',
+    '5052 01 01 0010 00 fffffffe ffffffffffffffff 02 c3a9',
+    { label: 'é', owner: false, contactMs: 0xfffffffe, token: 0xffff_ffff_ffff_ffffn },
+  ],
+  [
+    'no label',
+    '5052 01 01 000e 01 00000000 0000000000000001 00',
+    { label: '', owner: true, contactMs: 0, token: 1n },
+  ],
+];
+
+test('frames between controllers', () => {
+  for (const [what, hex, status] of FRAMES) {
+    const bytes = hex.replaceAll(' ', '');
+    assert.equal(statusFrame(status).toString('hex'), bytes, what);
+    assert.deepEqual(new FrameReader().push(Buffer.from(bytes, 'hex')), [status], what);
+  }
+  assert.equal(FRAME_LIMIT, 512);
+});
+
+test('in a frame a contact is rounded, and a label is cut at 255 bytes', () => {
+  const long: Status = { label: 'x'.repeat(300), owner: false, contactMs: 1.5, token: 2n };
+  const bytes = `50520101010d00000000020000000000000002ff${'78'.repeat(255)}`;
+  assert.equal(statusFrame(long).toString('hex'), bytes);
+  assert.deepEqual(new FrameReader().push(Buffer.from(bytes, 'hex')), [
+    { ...long, label: 'x'.repeat(255), contactMs: 2 },
+  ]);
+  assert.equal(statusFrame({ ...long, contactMs: 1e12 }).toString('hex', 7, 11), 'fffffffe');
+  assert.equal(statusFrame({ ...long, contactMs: -1 }).toString('hex', 7, 11), '00000000');
+});
--- /dev/null
+++ b/test/golden-requests.test.ts
@@ -0,0 +1,572 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import pino from 'pino';
+import type { Order } from '../src/core/cluster-state.js';
+import type { Listed, MachineType, Report, Spec } from '../src/core/model.js';
+import { seconds } from '../src/core/time.js';
+import { Cloud } from '../src/edge/cloud.js';
+import { Store } from '../src/edge/store.js';
+import { Workers, type DirectResult } from '../src/edge/workers.js';
+import { encode } from '../src/wire/cbor.js';
+import {
+  jobAnswer,
+  listQuery,
+  orders,
+  parseList,
+  parseReport,
+  parseSubmission,
+  parseTypes,
+  redirect,
+  rentBody,
+  returnBody,
+  type Parsed,
+} from '../src/wire/dialect.js';
+import { assertBytes, assertRequest, valueIn, type Golden } from './golden-bytes.js';
+import { call } from './standins/http.js';
+import { record } from './standins/recorder.js';
+import {
+  job,
+  makeSite,
+  ownAddress,
+  platform,
+  startController,
+  until,
+  untilHealthy,
+} from './standins/site.js';
+import { StateStandIn } from './standins/state.js';
+import { Watch } from './standins/worker.js';
+
+// The requests and answers of every interface, in literal bytes: names in the code may change, these may not. What
+// comes in has its amounts as floats, as the interfaces write them (4.0).
+
+const silent = pino({ level: 'silent' });
+
+function valueOf<T>(parsed: Parsed<T>): T {
+  assert.ok(parsed.ok, parsed.ok ? '' : parsed.why);
+  return parsed.value;
+}
+
+// ---- Users
+
+const WHOLE: Golden = {
+  text: '{"ref":"req-000412","docket":"train","desk":"vision","shape":"ensemble","precedence":"high","tickets":16,"vcpus":8,"gpus":1,"memGb":64,"bundle":"img-07","pullGb":6.2,"builds":["g8"],"hall":"a","oneZone":true,"spread":false,"loaners":true,"expectedS":240,"snapshotEveryS":30,"snapshotS":4,"dueS":900,"awaits":["req-7","req-8"]}',
+  base64:
+    'tWNyZWZqcmVxLTAwMDQxMmZkb2NrZXRldHJhaW5kZGVza2Z2aXNpb25lc2hhcGVoZW5zZW1ibGVqcHJlY2VkZW5jZWRoaWdoZ3Rp' +
+    'Y2tldHMQZXZjcHVz+0AgAAAAAAAAZGdwdXP7P/AAAAAAAABlbWVtR2L7QFAAAAAAAABmYnVuZGxlZmltZy0wN2ZwdWxsR2L7QBjM' +
+    'zMzMzM1mYnVpbGRzgWJnOGRoYWxsYWFnb25lWm9uZfVmc3ByZWFk9Gdsb2FuZXJz9WlleHBlY3RlZFP7QG4AAAAAAABuc25hcHNo' +
+    'b3RFdmVyeVP7QD4AAAAAAABpc25hcHNob3RT+0AQAAAAAAAAZGR1ZVP7QIwgAAAAAABmYXdhaXRzgmVyZXEtN2VyZXEtOA==',
+};
+const NULLS: Golden = {
+  text: '{"ref":"req-1","docket":"web","desk":"shop","shape":"service","precedence":"prod","tickets":3,"vcpus":0.5,"gpus":0,"memGb":2,"bundle":"img-1","pullGb":0,"builds":null,"hall":null,"oneZone":false,"spread":true,"loaners":false,"expectedS":0,"snapshotEveryS":0,"snapshotS":0,"dueS":null,"awaits":null}',
+  base64:
+    'tWNyZWZlcmVxLTFmZG9ja2V0Y3dlYmRkZXNrZHNob3Blc2hhcGVnc2VydmljZWpwcmVjZWRlbmNlZHByb2RndGlja2V0cwNldmNw' +
+    'dXP7P+AAAAAAAABkZ3B1c/sAAAAAAAAAAGVtZW1HYvtAAAAAAAAAAGZidW5kbGVlaW1nLTFmcHVsbEdi+wAAAAAAAAAAZmJ1aWxk' +
+    'c/ZkaGFsbPZnb25lWm9uZfRmc3ByZWFk9Wdsb2FuZXJz9GlleHBlY3RlZFP7AAAAAAAAAABuc25hcHNob3RFdmVyeVP7AAAAAAAA' +
+    'AABpc25hcHNob3RT+wAAAAAAAAAAZGR1ZVP2ZmF3YWl0c/Y=',
+};
+const OMITTED: Golden = {
+  text: '{"ref":"req-1","docket":"web","desk":"shop","shape":"service","precedence":"prod","tickets":3,"vcpus":0.5,"gpus":0,"memGb":2,"bundle":"img-1","pullGb":0,"oneZone":false,"spread":true,"loaners":false,"expectedS":0,"snapshotEveryS":0,"snapshotS":0}',
+  base64:
+    'sWNyZWZlcmVxLTFmZG9ja2V0Y3dlYmRkZXNrZHNob3Blc2hhcGVnc2VydmljZWpwcmVjZWRlbmNlZHByb2RndGlja2V0cwNldmNw' +
+    'dXP7P+AAAAAAAABkZ3B1c/sAAAAAAAAAAGVtZW1HYvtAAAAAAAAAAGZidW5kbGVlaW1nLTFmcHVsbEdi+wAAAAAAAAAAZ29uZVpv' +
+    'bmX0ZnNwcmVhZPVnbG9hbmVyc/RpZXhwZWN0ZWRT+wAAAAAAAAAAbnNuYXBzaG90RXZlcnlT+wAAAAAAAAAAaXNuYXBzaG90U/sA' +
+    'AAAAAAAAAA==',
+};
+const LATER_FIELDS: Golden = {
+  text: '{"ref":"req-1","docket":"web","desk":"shop","shape":"service","precedence":"prod","tickets":3,"vcpus":0.5,"gpus":0,"memGb":2,"bundle":"img-1","pullGb":0,"builds":null,"oneZone":false,"spread":true,"loaners":false,"expectedS":0,"snapshotEveryS":0,"snapshotS":0,"kind":"gang","tasks":9}',
+  base64:
+    'tGNyZWZlcmVxLTFmZG9ja2V0Y3dlYmRkZXNrZHNob3Blc2hhcGVnc2VydmljZWpwcmVjZWRlbmNlZHByb2RndGlja2V0cwNldmNw' +
+    'dXP7P+AAAAAAAABkZ3B1c/sAAAAAAAAAAGVtZW1HYvtAAAAAAAAAAGZidW5kbGVlaW1nLTFmcHVsbEdi+wAAAAAAAAAAZmJ1aWxk' +
+    'c/Znb25lWm9uZfRmc3ByZWFk9Wdsb2FuZXJz9GlleHBlY3RlZFP7AAAAAAAAAABuc25hcHNob3RFdmVyeVP7AAAAAAAAAABpc25h' +
+    'cHNob3RT+wAAAAAAAAAAZGtpbmRkZ2FuZ2V0YXNrcwk=',
+};
+
+const whole: Spec = {
+  id: 'req-000412',
+  class: 'train',
+  team: 'vision',
+  kind: 'gang',
+  priority: 'high',
+  tasks: 16,
+  cpus: 8,
+  gpus: 1,
+  memory: 64,
+  types: ['g8'],
+  zone: 'a',
+  oneZone: true,
+  spread: false,
+  spot: true,
+  image: 'img-07',
+  imageGb: 6.2,
+  estimate: seconds(240),
+  checkpoint: seconds(30),
+  save: seconds(4),
+  due: seconds(900),
+  dependencies: ['req-7', 'req-8'],
+};
+const bare: Spec = {
+  id: 'req-1',
+  class: 'web',
+  team: 'shop',
+  kind: 'service',
+  priority: 'production',
+  tasks: 3,
+  cpus: 0.5,
+  gpus: 0,
+  memory: 2,
+  types: null,
+  zone: null,
+  oneZone: false,
+  spread: true,
+  spot: false,
+  image: 'img-1',
+  imageGb: 0,
+  estimate: 0n,
+  checkpoint: 0n,
+  save: 0n,
+  due: null,
+  dependencies: [],
+};
+
+test('a submission is read with its optional fields given, null, omitted, and beside unknown ones', () => {
+  assert.deepEqual(valueOf(parseSubmission(valueIn(WHOLE))), whole);
+  for (const golden of [NULLS, OMITTED, LATER_FIELDS])
+    assert.deepEqual(valueOf(parseSubmission(valueIn(golden))), bare);
+});
+
+// The words are stored in records under other words: both sides of the table are part of an external form.
+test('every shape and precedence has its word', () => {
+  const read = (shape: string, precedence: string): Spec =>
+    valueOf(
+      parseSubmission(
+        JSON.parse(
+          NULLS.text
+            .replace('"service"', JSON.stringify(shape))
+            .replace('"prod"', JSON.stringify(precedence)),
+        ),
+      ),
+    );
+  assert.equal(read('batch', 'prod').kind, 'array');
+  assert.equal(read('ensemble', 'prod').kind, 'gang');
+  assert.equal(read('service', 'prod').kind, 'service');
+  assert.equal(read('batch', 'prod').priority, 'production');
+  assert.equal(read('batch', 'high').priority, 'high');
+  assert.equal(read('batch', 'normal').priority, 'normal');
+  assert.equal(read('batch', 'idle').priority, 'low');
+});
+
+// The reason goes to the user as text of the answer 400, with the interface's own names.
+test('what is wrong with a submission is told in the words of the interface', () => {
+  const why = (change: (text: string) => string): string => {
+    const parsed = parseSubmission(JSON.parse(change(WHOLE.text)));
+    return parsed.ok ? 'accepted' : parsed.why;
+  };
+  assert.equal(
+    why((text) => text.replace('"tickets":16', '"tickets":0')),
+    'tickets: Too small: expected number to be >=1',
+  );
+  assert.equal(
+    why((text) => text.replace('"desk":"vision",', '')),
+    'desk: Invalid input: expected string, received undefined',
+  );
+  assert.equal(
+    why((text) => text.replace('["g8"]', '["g8",7]')),
+    'builds.1: Invalid input: expected string, received number',
+  );
+  assert.equal(
+    why((text) => text.replace('req-7', 'req-000412')),
+    'awaits: a job cannot wait for itself',
+  );
+});
+
+test('a job is told of in the bytes of the interface, in each state, with and without counts', () => {
+  const counts = { done: 3, running: 13 };
+  assertBytes(encode(jobAnswer('req-1', 'pending')), {
+    text: '{"ref":"req-1","standing":"pending"}',
+    base64: 'omNyZWZlcmVxLTFoc3RhbmRpbmdncGVuZGluZw==',
+  });
+  assertBytes(encode(jobAnswer('req-1', 'running')), {
+    text: '{"ref":"req-1","standing":"running"}',
+    base64: 'omNyZWZlcmVxLTFoc3RhbmRpbmdncnVubmluZw==',
+  });
+  assertBytes(encode(jobAnswer('req-1', 'done')), {
+    text: '{"ref":"req-1","standing":"done"}',
+    base64: 'omNyZWZlcmVxLTFoc3RhbmRpbmdkZG9uZQ==',
+  });
+  assertBytes(encode(jobAnswer('req-1', 'cancelled')), {
+    text: '{"ref":"req-1","standing":"cancelled"}',
+    base64: 'omNyZWZlcmVxLTFoc3RhbmRpbmdpY2FuY2VsbGVk',
+  });
+  assertBytes(encode(jobAnswer('req-1', 'pending', { done: 0, running: 0 })), {
+    text: '{"ref":"req-1","standing":"pending","done":0,"running":0}',
+    base64: 'pGNyZWZlcmVxLTFoc3RhbmRpbmdncGVuZGluZ2Rkb25lAGdydW5uaW5nAA==',
+  });
+  assertBytes(encode(jobAnswer('req-1', 'running', counts)), {
+    text: '{"ref":"req-1","standing":"running","done":3,"running":13}',
+    base64: 'pGNyZWZlcmVxLTFoc3RhbmRpbmdncnVubmluZ2Rkb25lA2dydW5uaW5nDQ==',
+  });
+  assertBytes(encode(jobAnswer('req-1', 'done', { done: 16, running: 0 })), {
+    text: '{"ref":"req-1","standing":"done","done":16,"running":0}',
+    base64: 'pGNyZWZlcmVxLTFoc3RhbmRpbmdkZG9uZWRkb25lEGdydW5uaW5nAA==',
+  });
+  assertBytes(encode(jobAnswer('req-1', 'cancelled', counts)), {
+    text: '{"ref":"req-1","standing":"cancelled","done":3,"running":13}',
+    base64: 'pGNyZWZlcmVxLTFoc3RhbmRpbmdpY2FuY2VsbGVkZGRvbmUDZ3J1bm5pbmcN',
+  });
+});
+
+// ---- Workers
+
+const HELLO: Golden = {
+  text: '{"rig":"n-000231","endpoint":"10.1.0.232:9000","build":"g8","hall":"a","loaners":true,"shift":1,"tick":88,"baton":41,"recallS":62.5,"tickets":[{"ticket":"req-000412/0","try":2,"standing":"pulling"},{"ticket":"req-000412/1","try":2,"standing":"gathering","cause":null,"saved":null},{"ticket":"req-000412/2","try":2,"standing":"running"},{"ticket":"req-000412/3","try":2,"standing":"saving"},{"ticket":"req-000398/0","try":1,"standing":"exited","cause":"done"},{"ticket":"req-000399/10","try":1,"standing":"exited","cause":"stopped","saved":true},{"ticket":"req-000399/11","try":1,"standing":"exited","cause":"no_such","saved":false}]}',
+  base64:
+    'qmNyaWdobi0wMDAyMzFoZW5kcG9pbnRvMTAuMS4wLjIzMjo5MDAwZWJ1aWxkYmc4ZGhhbGxhYWdsb2FuZXJz9WVzaGlmdAFkdGlj' +
+    'axhYZWJhdG9uGClncmVjYWxsU/tAT0AAAAAAAGd0aWNrZXRzh6NmdGlja2V0bHJlcS0wMDA0MTIvMGN0cnkCaHN0YW5kaW5nZ3B1' +
+    'bGxpbmelZnRpY2tldGxyZXEtMDAwNDEyLzFjdHJ5AmhzdGFuZGluZ2lnYXRoZXJpbmdlY2F1c2X2ZXNhdmVk9qNmdGlja2V0bHJl' +
+    'cS0wMDA0MTIvMmN0cnkCaHN0YW5kaW5nZ3J1bm5pbmejZnRpY2tldGxyZXEtMDAwNDEyLzNjdHJ5AmhzdGFuZGluZ2ZzYXZpbmek' +
+    'ZnRpY2tldGxyZXEtMDAwMzk4LzBjdHJ5AWhzdGFuZGluZ2ZleGl0ZWRlY2F1c2VkZG9uZaVmdGlja2V0bXJlcS0wMDAzOTkvMTBj' +
+    'dHJ5AWhzdGFuZGluZ2ZleGl0ZWRlY2F1c2Vnc3RvcHBlZGVzYXZlZPWlZnRpY2tldG1yZXEtMDAwMzk5LzExY3RyeQFoc3RhbmRp' +
+    'bmdmZXhpdGVkZWNhdXNlZ25vX3N1Y2hlc2F2ZWT0',
+};
+const QUIET: Golden = {
+  text: '{"rig":"n-000231","endpoint":"10.1.0.232:9000","build":"g8","hall":"a","loaners":false,"shift":2,"tick":0,"baton":0,"tickets":[]}',
+  base64:
+    'qWNyaWdobi0wMDAyMzFoZW5kcG9pbnRvMTAuMS4wLjIzMjo5MDAwZWJ1aWxkYmc4ZGhhbGxhYWdsb2FuZXJz9GVzaGlmdAJkdGlj' +
+    'awBlYmF0b24AZ3RpY2tldHOA',
+};
+
+const report: Report = {
+  machine: 'n-000231',
+  endpoint: '10.1.0.232:9000',
+  type: 'g8',
+  zone: 'a',
+  spot: true,
+  session: 1,
+  seq: 88,
+  token: 41,
+  notice: seconds(62.5),
+  tasks: [
+    { job: 'req-000412', task: 0, attempt: 2, state: 'fetching', why: null, saved: false },
+    { job: 'req-000412', task: 1, attempt: 2, state: 'waiting', why: null, saved: false },
+    { job: 'req-000412', task: 2, attempt: 2, state: 'running', why: null, saved: false },
+    { job: 'req-000412', task: 3, attempt: 2, state: 'saving', why: null, saved: false },
+    { job: 'req-000398', task: 0, attempt: 1, state: 'exited', why: 'done', saved: false },
+    { job: 'req-000399', task: 10, attempt: 1, state: 'exited', why: 'stopped', saved: true },
+    { job: 'req-000399', task: 11, attempt: 1, state: 'exited', why: 'no_such', saved: false },
+  ],
+};
+const quiet: Report = { ...report, spot: false, session: 2, seq: 0, token: 0, notice: null, tasks: [] };
+
+/** The same report with its number as a big integer, which only the schema takes. */
+const bySchema = (body: unknown): unknown => {
+  const { tick, ...rest } = body as Record<string, unknown>;
+  return { ...rest, ['tick']: BigInt(tick as number) };
+};
+
+test('a report is read the same by the short way and by the schema', () => {
+  for (const [golden, expected] of [
+    [HELLO, report],
+    [QUIET, quiet],
+  ] as const) {
+    assert.deepEqual(valueOf(parseReport(valueIn(golden))), expected);
+    assert.deepEqual(valueOf(parseReport(bySchema(valueIn(golden)))), expected);
+  }
+});
+
+const ORDERS: readonly Order[] = [
+  { op: 'start', job: 'req-000412', task: 4, attempt: 2 },
+  { op: 'stop', job: 'req-000377', task: 1, attempt: 1, grace: 10 },
+  { op: 'stop', job: 'req-000377', task: 2, attempt: 1 },
+  { op: 'forget', job: 'req-000398', task: 0, attempt: 1 },
+];
+const IN_ANSWER: Golden = {
+  text: '{"baton":41,"orders":[{"verb":"run","ticket":"req-000412/4","try":2},{"verb":"halt","ticket":"req-000377/1","try":1,"windDownS":10},{"verb":"halt","ticket":"req-000377/2","try":1,"windDownS":0},{"verb":"forget","ticket":"req-000398/0","try":1}]}',
+  base64:
+    'omViYXRvbhgpZm9yZGVyc4SjZHZlcmJjcnVuZnRpY2tldGxyZXEtMDAwNDEyLzRjdHJ5AqRkdmVyYmRoYWx0ZnRpY2tldGxyZX' +
+    'EtMDAwMzc3LzFjdHJ5AWl3aW5kRG93blMKpGR2ZXJiZGhhbHRmdGlja2V0bHJlcS0wMDAzNzcvMmN0cnkBaXdpbmREb3duUwCj' +
+    'ZHZlcmJmZm9yZ2V0ZnRpY2tldGxyZXEtMDAwMzk4LzBjdHJ5AQ==',
+};
+const IN_COMMAND: Golden = {
+  text: '{"baton":41,"shift":1,"orders":[{"verb":"run","ticket":"req-000412/4","try":2},{"verb":"halt","ticket":"req-000377/1","try":1,"windDownS":10},{"verb":"halt","ticket":"req-000377/2","try":1,"windDownS":0},{"verb":"forget","ticket":"req-000398/0","try":1}]}',
+  base64:
+    'o2ViYXRvbhgpZXNoaWZ0AWZvcmRlcnOEo2R2ZXJiY3J1bmZ0aWNrZXRscmVxLTAwMDQxMi80Y3RyeQKkZHZlcmJkaGFsdGZ0aW' +
+    'NrZXRscmVxLTAwMDM3Ny8xY3RyeQFpd2luZERvd25TCqRkdmVyYmRoYWx0ZnRpY2tldGxyZXEtMDAwMzc3LzJjdHJ5AWl3aW5k' +
+    'RG93blMAo2R2ZXJiZmZvcmdldGZ0aWNrZXRscmVxLTAwMDM5OC8wY3RyeQE=',
+};
+
+test('answers to reports are written in the bytes of the interface', () => {
+  assertBytes(encode(orders(41, ORDERS)), IN_ANSWER);
+  assertBytes(encode(orders(41, [])), {
+    text: '{"baton":41,"orders":[]}',
+    base64: 'omViYXRvbhgpZm9yZGVyc4A=',
+  });
+  assertBytes(encode(redirect('hearth-2')), {
+    text: '{"foreman":"hearth-2"}',
+    base64: 'oWdmb3JlbWFuaGhlYXJ0aC0y',
+  });
+  assertBytes(encode(redirect(null)), { text: '{}', base64: 'oA==' });
+  // Tokens above 32 bits must stay integers.
+  const long = encode(orders(0x1_0000_0001, []));
+  assert.equal(long.toString('base64'), 'omViYXRvbhsAAAABAAAAAWZvcmRlcnOA');
+});
+
+test('commands go straight to a worker in the bytes of the interface, and its report comes back', async () => {
+  const worker = await record(() => ({ status: 200, body: JSON.parse(HELLO.text) as unknown }));
+  const results: DirectResult[] = [];
+  const workers = new Workers(
+    4,
+    () => 41,
+    () => true,
+    (result) => results.push(result),
+  );
+  const routines = workers.start();
+  workers.push({ machine: 'n-000231', endpoint: worker.address, session: 1, orders: ORDERS });
+  const { outcome, report: told } = await until('answered', () => Promise.resolve(results[0] ?? null));
+  routines.unsubscribe();
+  worker.close();
+  assert.equal(outcome, 'executed');
+  assert.deepEqual(told, report);
+  assertRequest(worker.requests[0], 'POST /commands', IN_COMMAND);
+});
+
+// ---- Cloud
+
+const FLAVORS: Golden = {
+  text: '{"builds":[{"label":"g8","vcpus":96,"gpus":8,"memGb":768,"localGb":200,"fetchGbPerS":1.5,"rate":12,"spotPrice":4.5,"bootS":45,"halls":["a","b"]}]}',
+  base64:
+    'oWZidWlsZHOBqmVsYWJlbGJnOGV2Y3B1c/tAWAAAAAAAAGRncHVz+0AgAAAAAAAAZW1lbUdi+0CIAAAAAAAAZ2xvY2FsR2L7QGkA' +
+    'AAAAAABrZmV0Y2hHYlBlclP7P/gAAAAAAABkcmF0ZftAKAAAAAAAAGlzcG90UHJpY2X7QBIAAAAAAABlYm9vdFP7QEaAAAAAAABl' +
+    'aGFsbHOCYWFhYg==',
+};
+const MACHINES: Golden = {
+  text: '{"rigs":[{"ref":"n-000231","endpoint":"10.1.0.232:9000","build":"g8","hall":"a","loaners":true,"standing":"running","ageS":61.5},{"ref":"n-000232","endpoint":"10.1.0.233:9000","build":"g8","hall":"b","loaners":false,"standing":"booting","ageS":0},{"ref":"n-000233","endpoint":"10.1.0.234:9000","build":"g8","hall":"b","loaners":false,"standing":"failed","ageS":7}],"hasNext":true}',
+  base64:
+    'omRyaWdzg6djcmVmaG4tMDAwMjMxaGVuZHBvaW50bzEwLjEuMC4yMzI6OTAwMGVidWlsZGJnOGRoYWxsYWFnbG9hbmVyc/Voc3Rh' +
+    'bmRpbmdncnVubmluZ2RhZ2VT+0BOwAAAAAAAp2NyZWZobi0wMDAyMzJoZW5kcG9pbnRvMTAuMS4wLjIzMzo5MDAwZWJ1aWxkYmc4' +
+    'ZGhhbGxhYmdsb2FuZXJz9GhzdGFuZGluZ2dib290aW5nZGFnZVP7AAAAAAAAAACnY3JlZmhuLTAwMDIzM2hlbmRwb2ludG8xMC4x' +
+    'LjAuMjM0OjkwMDBlYnVpbGRiZzhkaGFsbGFiZ2xvYW5lcnP0aHN0YW5kaW5nZmZhaWxlZGRhZ2VT+0AcAAAAAAAAZ2hhc05leHT1',
+};
+const RENTAL: Golden = {
+  text: '{"hire":"r-17","build":"g8","hall":"a","loaners":true,"number":12}',
+  base64: 'pWRoaXJlZHItMTdlYnVpbGRiZzhkaGFsbGFhZ2xvYW5lcnP1Zm51bWJlcgw=',
+};
+const RETURN: Golden = {
+  text: '{"rigs":["n-000231","n-000232"]}',
+  base64: 'oWRyaWdzgmhuLTAwMDIzMWhuLTAwMDIzMg==',
+};
+
+const types: MachineType[] = [
+  {
+    name: 'g8',
+    cpus: 96,
+    gpus: 8,
+    memory: 768,
+    cacheGb: 200,
+    fetchGbPerS: 1.5,
+    price: 12,
+    spotPrice: 4.5,
+    boot: seconds(45),
+    zones: ['a', 'b'],
+  },
+];
+const listed: Listed[] = [
+  {
+    name: 'n-000231',
+    endpoint: '10.1.0.232:9000',
+    type: 'g8',
+    zone: 'a',
+    spot: true,
+    state: 'running',
+    age: seconds(61.5),
+  },
+  {
+    name: 'n-000232',
+    endpoint: '10.1.0.233:9000',
+    type: 'g8',
+    zone: 'b',
+    spot: false,
+    state: 'booting',
+    age: 0n,
+  },
+  {
+    name: 'n-000233',
+    endpoint: '10.1.0.234:9000',
+    type: 'g8',
+    zone: 'b',
+    spot: false,
+    state: 'failed',
+    age: seconds(7),
+  },
+];
+
+test('the cloud is asked and its answers are read in the bytes of the interface', async () => {
+  const order = { type: 'g8', zone: 'a', spot: true, count: 12 };
+  assert.deepEqual(valueOf(parseTypes(valueIn(FLAVORS))), types);
+  assert.deepEqual(valueOf(parseList(valueIn(MACHINES))), { machines: listed, more: true });
+  assertBytes(encode(rentBody('r-17', order)), RENTAL);
+  assertBytes(encode(returnBody(['n-000231', 'n-000232'])), RETURN);
+  assert.equal(listQuery(null, 500), '/machines?page=500');
+  assert.equal(listQuery('n-000231', 500), '/machines?from=n-000231&page=500');
+
+  const cloud = await record((line) => {
+    if (line === 'GET /flavors') return { status: 200, body: valueIn(FLAVORS) };
+    if (line === 'GET /machines?page=500') return { status: 200, body: valueIn(MACHINES) };
+    if (line.startsWith('GET '))
+      return { status: 200, body: JSON.parse('{"rigs":[],"hasNext":false}') as unknown };
+    return { status: 200, body: JSON.parse('{"rigs":["n-000240"]}') as unknown };
+  });
+  const client = new Cloud(cloud.address, 20, silent);
+  const { signal } = new AbortController();
+  assert.deepEqual(await client.types(signal), types);
+  assert.deepEqual(await client.list(signal), listed);
+  assert.deepEqual(await client.rent('r-17', order, signal), ['n-000240']);
+  assert.equal(await client.remove(['n-000231', 'n-000232'], () => true, signal), true);
+  cloud.close();
+  const [first, second, third, fourth, fifth] = cloud.requests;
+  assertRequest(first, 'GET /flavors', null);
+  assertRequest(second, 'GET /machines?page=500', null);
+  assertRequest(third, 'GET /machines?from=n-000233&page=500', null);
+  assertRequest(fourth, 'POST /machines', RENTAL);
+  assertRequest(fifth, 'POST /machines/return', RETURN);
+});
+
+// ---- State service
+
+const COMMIT: Golden = {
+  text: '{"guards":[{"key":"main/part/all","stamp":412},{"key":"main/job/req-1","stamp":0}],"writes":[{"write":"main/part/all","value":{"a":1},"permit":7},{"write":"main/page/all/0","value":"x"},{"delete":"main/c"}]}',
+  base64:
+    'omZndWFyZHOComNrZXltbWFpbi9wYXJ0L2FsbGVzdGFtcBkBnKJja2V5bm1haW4vam9iL3JlcS0xZXN0YW1wAGZ3cml0ZXODo2' +
+    'V3cml0ZW1tYWluL3BhcnQvYWxsZXZhbHVloWFhAWZwZXJtaXQHomV3cml0ZW9tYWluL3BhZ2UvYWxsLzBldmFsdWVheKFmZGVs' +
+    'ZXRlZm1haW4vYw==',
+};
+const STORE_ANSWERS: Record<string, string> = {
+  'GET /store/main/part/all':
+    '{"key":"main/part/all","value":{"label":"hearth-1","incarnation":"i-1"},"stamp":412,"permit":7}',
+  'POST /commit': '{"ledgerRev":432}',
+  'POST /holds': '{"permit":7}',
+  'POST /holds/7/touch': '{}',
+  'DELETE /holds/7': '{}',
+  'GET /store?under=main/&page=500':
+    '{"items":[{"key":"main/x","value":"1","stamp":9}],"hasNext":true,"ledgerRev":431}',
+  'GET /store?under=main/&page=500&from=main/x':
+    '{"items":[{"key":"main/y","value":"2","stamp":10}],"hasNext":false,"ledgerRev":432}',
+  'GET /follow?under=main/&from=431&holdMs=20000':
+    '{"ledgerRev":433,"news":[{"write":"main/x","value":"3","stamp":433},{"delete":"main/y","stamp":432}]}',
+};
+
+test('the state service is asked in the bytes of the interface, and its answers are read', async () => {
+  const service = await record((line) => {
+    const text = STORE_ANSWERS[line];
+    return text === undefined ? null : { status: 200, body: JSON.parse(text) as unknown };
+  });
+  const store = new Store(service.address, silent);
+  const owner = await store.read('main/part/all', 1000);
+  assert.deepEqual(
+    encode(owner.kind === 'found' ? owner.value : null),
+    encode(JSON.parse('{"label":"hearth-1","incarnation":"i-1"}')),
+  );
+  const guards = [
+    { key: 'main/part/all', stamp: 412 },
+    { key: 'main/job/req-1', stamp: 0 },
+  ];
+  const result = await store.commit(guards, [
+    { write: 'main/part/all', value: { a: 1 }, permit: 7 },
+    { write: 'main/page/all/0', value: 'x' },
+    { delete: 'main/c' },
+  ]);
+  assert.deepEqual(result, { kind: 'ok', rev: 432 });
+  await store.commit([], []);
+  assert.equal(await store.grantLease(5000), 7);
+  assert.equal(await store.renewLease(7), 'ok');
+  await store.revokeLease(7);
+  const routines = store.start();
+  assert.equal(await store.reached(433, 3000), true);
+  await until('the next follow', () => Promise.resolve(service.requests.length >= 10 ? true : null));
+  routines.unsubscribe();
+  service.close();
+  assert.deepEqual([...store.copy], [['main/x', { value: '3', stamp: 433 }]]);
+
+  const sent = service.requests;
+  assertRequest(sent[0], 'GET /store/main/part/all', null);
+  assertRequest(sent[1], 'POST /commit', COMMIT);
+  assertRequest(sent[2], 'POST /commit', {
+    text: '{"guards":[],"writes":[]}',
+    base64: 'omZndWFyZHOAZndyaXRlc4A=',
+  });
+  assertRequest(sent[3], 'POST /holds', { text: '{"ttlMs":5000}', base64: 'oWV0dGxNcxkTiA==' });
+  assertRequest(sent[4], 'POST /holds/7/touch', null);
+  assertRequest(sent[5], 'DELETE /holds/7', null);
+  assertRequest(sent[6], 'GET /store?under=main/&page=500', null);
+  assertRequest(sent[7], 'GET /store?under=main/&page=500&from=main/x', null);
+  assertRequest(sent[8], 'GET /follow?under=main/&from=431&holdMs=20000', null);
+  assertRequest(sent[9], 'GET /follow?under=main/&from=433&holdMs=20000', null);
+});
+
+test('what fails in the state service is read from its answers', async () => {
+  const service = await record((line) =>
+    line === 'POST /commit'
+      ? { status: 409, body: JSON.parse('{"failed":["a/b"],"ledgerRev":431}') as unknown }
+      : { status: 404, body: JSON.parse('{"ledgerRev":431}') as unknown },
+  );
+  const store = new Store(service.address, silent);
+  assert.deepEqual(await store.commit([], []), { kind: 'conflict', failed: ['a/b'], rev: 431 });
+  assert.equal((await store.read('main/part/all', 1000)).kind, 'absent');
+  assert.equal(await store.renewLease(7), 'ended');
+  service.close();
+});
+
+/** A transaction as text, without what differs from run to run. */
+const transactionText = (body: unknown): string =>
+  JSON.stringify(body)
+    .replace(/"stamp":[1-9]\d*/g, '"stamp":N')
+    .replace(/"permit":\d+/g, '"permit":N')
+    .replace(/"incarnation":"one-\d+-\d+"/g, '"incarnation":"one-X"')
+    .replace(/"at":"\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d\.\d{3}Z"/g, '"at":"T"')
+    .replace(/n-00000\d\.1\.[01]"/g, 'MACHINE"');
+
+const recordText = (standing: string): string =>
+  `{"st":"${standing}","at":"T","s":{"id":"req-5","class":"work","team":"red","kind":"array","priority":"normal","tasks":1,"cpus":1,"gpus":1,"memory":4,"types":null,"zone":null,"oneZone":false,"spread":false,"spot":false,"image":"img","imageGb":1,"estimate":1,"checkpoint":0,"save":0,"due":null}}`;
+
+/** What must be among the transactions; an end may share its transaction with a page. */
+const TRANSACTIONS = [
+  '{"guards":[],"writes":[]}',
+  '{"guards":[{"key":"main/version/one","stamp":0}],"writes":[{"write":"main/version/one","value":{"features":["dependencies"]}}]}',
+  '{"guards":[{"key":"main/part/all","stamp":0}],"writes":[{"write":"main/part/all","value":{"label":"one","incarnation":"one-X"},"permit":N}]}',
+  '{"guards":[{"key":"main/part/all","stamp":N}],"writes":[]}',
+  `{"guards":[{"key":"main/job/req-5","stamp":0}],"writes":[{"write":"main/job/req-5","value":${recordText('open')}}]}`,
+  '{"guards":[{"key":"main/part/all","stamp":N},{"key":"main/job/req-5","stamp":N},{"key":"main/page/all/0","stamp":0}],"writes":[{"write":"main/page/all/0","value":"east,west|req-5/0 a1 c0,1  0.1.MACHINE"}]}',
+  `{"write":"main/job/req-5","value":${recordText('done')}}`,
+];
+
+// Transactions are put together in several places: a whole controller shows them as they are sent.
+test('a controller writes its version, its claim, a job, a place and an end in the known transactions', async () => {
+  const state = new StateStandIn({ txnOps: 4, valueBytes: 4096 });
+  await state.start();
+  const users = ownAddress();
+  const site = await makeSite([users], new Watch(), () => 100);
+  const controller = startController(platform('one', users, site.cloud, state));
+  const missing = (): string[] => {
+    const sent = state.commits.map(transactionText);
+    return TRANSACTIONS.filter((each) => !sent.some((text) => text.includes(each)));
+  };
+  try {
+    await untilHealthy(users);
+    const accepted = await call(users, 'POST', '/work', job('req-5'));
+    assert.equal(accepted.status, 201);
+    assert.equal(accepted.body['ref'], 'req-5');
+    assert.equal(accepted.body['standing'], 'pending');
+    assert.equal(accepted.body['done'], 0);
+    assert.equal(accepted.body['running'], 0);
+    // What is still missing then is told below.
+    await until('all', () => Promise.resolve(missing().length === 0 ? true : null)).catch(() => undefined);
+    assert.deepEqual(missing(), [], state.commits.map(transactionText).join('\n'));
+    const told = await call(users, 'GET', '/work/req-5');
+    assert.equal(told.status, 200);
+    assert.equal(told.body['standing'], 'done');
+    assert.equal(told.body['done'], 1);
+  } finally {
+    controller.unsubscribe();
+    site.stop();
+    state.stop();
+  }
+});
--- /dev/null
+++ b/test/golden-settings.test.ts
@@ -0,0 +1,337 @@
+import assert from 'node:assert/strict';
+import { spawn } from 'node:child_process';
+import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
+import { tmpdir } from 'node:os';
+import { join } from 'node:path';
+import { after, test } from 'node:test';
+import type { Facts, OperatorSettings } from '../src/core/model.js';
+import { seconds } from '../src/core/time.js';
+import { parseFeatures, readFeatures } from '../src/edge/features.js';
+import {
+  DEFAULT_SETTINGS,
+  SETTING_RANGES,
+  parseOperatorSettings,
+  readOperatorSettings,
+} from '../src/edge/operator-settings.js';
+import { SettingsError, factsOf, readPlatform } from '../src/edge/settings.js';
+
+// The settings that platform and operators write, and what they are told of their mistakes. The files are text here, so
+// that a renamed identifier cannot change what is read.
+
+const folder = mkdtempSync(join(tmpdir(), 'golden-'));
+after(() => rmSync(folder, { recursive: true }));
+
+function fileWith(name: string, text: string): string {
+  const path = join(folder, name);
+  writeFileSync(path, text);
+  return path;
+}
+
+const PLATFORM = `{
+  "label": "hearth-0",
+  "area": "midtown",
+  "api_addr": "10.0.0.1:8080",
+  "internal_addr": "10.0.0.1:8081",
+  "known": [{"label": "hearth-1", "area": "augusta", "endpoint": "10.0.0.2:8081"}],
+  "external": {"cloud": "10.2.0.2:8443", "state": "10.2.0.1:2379"},
+  "facts": {
+    "nodes": 3,
+    "zones": ["augusta", "midtown"],
+    "teams": [{"name": "desk-ops", "cpus": 1.5, "cpus_max": 8.0, "gpus": 2.0, "gpus_max": 4.0}],
+    "objectives": [
+      {"kind": "wait", "class": "live-validator", "within_s": 1.5, "share": 0.85},
+      {"kind": "cost"}
+    ],
+    "workers": {"report_s": 3.0, "lease_s": 24.0, "gang_wait_s": 30.0, "gang_peer_s": 8.0, "cancel_s": 49.0},
+    "state": {
+      "rps": 100.0, "write_rps": 18.0, "value_kb": 4.0, "txn_ops": 8,
+      "next": {"write_rps": 9.5, "value_kb": 2.5, "txn_ops": 6}
+    },
+    "cloud": {"rps": 5.0, "list_lag_s": 4.0},
+    "limits": {"core_share": 0.34, "memory_mb": 242.0, "max_sockets": 2000},
+    "skew_ms": 5.0
+  }
+}`;
+
+const facts: Facts = {
+  zones: ['augusta', 'midtown'],
+  teams: [{ name: 'desk-ops', cpus: 1.5, gpus: 2, cpusMax: 8, gpusMax: 4 }],
+  objectives: [
+    { kind: 'wait', class: 'live-validator', within: seconds(1.5), share: 0.85 },
+    { kind: 'cost', class: '', within: null, share: 1 },
+  ],
+  report: seconds(3),
+  lease: seconds(24),
+  gangWait: seconds(30),
+  gangPeer: seconds(8),
+  cancel: seconds(49),
+  txnOps: 6,
+  valueBytes: 2560,
+  listLag: seconds(4),
+};
+
+test('the platform’s settings are read whole', () => {
+  const platform = readPlatform(fileWith('whole.json', PLATFORM));
+  assert.deepEqual(factsOf(platform), facts);
+  assert.equal(platform.label, 'hearth-0');
+  assert.equal(platform.area, 'midtown');
+  assert.equal(platform.api_addr, '10.0.0.1:8080');
+  assert.equal(platform.internal_addr, '10.0.0.1:8081');
+  assert.equal(platform.known.length, 1);
+  assert.equal(platform.known[0]?.label, 'hearth-1');
+  assert.equal(platform.known[0].area, 'augusta');
+  assert.equal(platform.known[0].endpoint, '10.0.0.2:8081');
+  assert.equal(platform.external.cloud, '10.2.0.2:8443');
+  assert.equal(platform.external.state, '10.2.0.1:2379');
+  assert.equal(platform.facts.state.rps, 100);
+  assert.equal(platform.facts.state.write_rps, 18);
+  assert.equal(platform.facts.state.next?.write_rps, 9.5);
+  assert.equal(platform.facts.cloud.rps, 5);
+  assert.equal(platform.facts.limits?.core_share, 0.34);
+  assert.equal(platform.facts.limits.memory_mb, 242);
+  assert.equal(platform.facts.limits.max_sockets, 2000);
+  assert.equal(platform.facts.skew_ms, 5);
+});
+
+/** The settings with lines left out. */
+const without = (...parts: readonly RegExp[]): string =>
+  parts.reduce((text, part) => text.replace(part, ''), PLATFORM);
+const OBJECTIVES = /"objectives": \[[^\]]*\],/;
+const NEXT = /,\s*"next": \{[^}]*\}/;
+const LIMITS = /"limits": \{[^}]*\},/;
+const SKEW = /,\s*"skew_ms": 5\.0/;
+
+test('what may be left out of the platform’s settings has its value', () => {
+  const platform = readPlatform(fileWith('bare.json', without(OBJECTIVES, NEXT, LIMITS, SKEW)));
+  assert.deepEqual(factsOf(platform), { ...facts, objectives: [], txnOps: 8, valueBytes: 4096 });
+  assert.equal(platform.facts.state.next, undefined);
+  assert.equal(platform.facts.limits, undefined);
+  assert.equal(platform.facts.skew_ms, 0);
+});
+
+/** What a mistake is told as, with the file's name shortened. */
+function mistakeIn(read: () => unknown): string {
+  try {
+    read();
+  } catch (e) {
+    assert.ok(e instanceof SettingsError);
+    return e.message.replace(folder, 'DIR');
+  }
+  return 'no mistake';
+}
+
+const platformMistake = (from: string, to: string): string => {
+  assert.ok(PLATFORM.includes(from), from);
+  return mistakeIn(() => readPlatform(fileWith('p.json', PLATFORM.replace(from, to))));
+};
+
+test('a mistake in the platform’s settings is told with its place', () => {
+  assert.equal(
+    mistakeIn(() => readPlatform(join(folder, 'none.json'))),
+    'cannot read settings DIR/none.json: ENOENT',
+  );
+  // What follows the colon is the engine's own text.
+  assert.match(platformMistake('{', '{,'), /^settings DIR\/p\.json are not JSON: ./);
+  assert.equal(
+    platformMistake('"label": "hearth-0",', ''),
+    'settings DIR/p.json: label: Invalid input: expected string, received undefined',
+  );
+  assert.equal(
+    platformMistake('"hearth-0"', '""'),
+    'settings DIR/p.json: label: Too small: expected string to have >=1 characters',
+  );
+  assert.equal(
+    platformMistake('"10.0.0.1:8080"', '"10.0.0.1"'),
+    'settings DIR/p.json: api_addr: must be HOST:PORT',
+  );
+  assert.equal(
+    platformMistake('"hearth-1"', '7'),
+    'settings DIR/p.json: known.0.label: Invalid input: expected string, received number',
+  );
+  assert.equal(
+    platformMistake('"cpus": 1.5', '"cpus": -1'),
+    'settings DIR/p.json: facts.teams.0.cpus: Too small: expected number to be >=0',
+  );
+  assert.equal(
+    platformMistake('"report_s": 3.0', '"report_s": "3"'),
+    'settings DIR/p.json: facts.workers.report_s: Invalid input: expected number, received string',
+  );
+  assert.equal(
+    platformMistake('"report_s": 3.0', '"report_s": 0'),
+    'settings DIR/p.json: facts.workers.report_s: Too small: expected number to be >0',
+  );
+  assert.equal(
+    platformMistake('"txn_ops": 8', '"txn_ops": 1.5'),
+    'settings DIR/p.json: facts.state.txn_ops: Invalid input: expected int, received number',
+  );
+  assert.equal(
+    platformMistake('"memory_mb": 242.0', '"memory_mb": 1'),
+    'settings DIR/p.json: facts.limits.memory_mb: at least 96 is needed',
+  );
+  assert.equal(
+    platformMistake('"max_sockets": 2000', '"max_sockets": 1'),
+    'settings DIR/p.json: facts.limits.max_sockets: at least 64 are needed',
+  );
+  assert.equal(
+    platformMistake('"value_kb": 4.0', '"value_kb": 1'),
+    'settings DIR/p.json: facts.state: values must hold 1792 bytes, now and by `next`',
+  );
+  assert.equal(
+    mistakeIn(() => readPlatform(fileWith('p.json', '[]'))),
+    'settings DIR/p.json: : Invalid input: expected object, received array',
+  );
+});
+
+test('limits of later that cannot be read are passed over', () => {
+  assert.equal(platformMistake('"write_rps": 9.5', '"write_rps": "soon"'), 'no mistake');
+  assert.equal(platformMistake('"next": {', '"later": {'), 'no mistake');
+});
+
+// ---- Operators
+
+const OPERATORS = `; every setting there is
+(placement (alpha 0.3) (lambda 1) (beta-cs 2) (beta-rc 3) (phi 0.2) (bandwidth 1.5))
+(fleet (idle-s 20.5) (reserve 0.5))
+(machines (fault-jobs 4))
+`;
+const operators: OperatorSettings = {
+  alpha: 0.3,
+  lambda: 1,
+  betaCs: 2,
+  betaRc: 3,
+  phi: 0.2,
+  bandwidth: 1.5,
+  idle: seconds(20.5),
+  reserve: 0.5,
+  faultJobs: 4,
+};
+
+test('the operators’ settings are read whole, and have known values without a file', () => {
+  assert.deepEqual(readOperatorSettings(fileWith('whole.sexp', OPERATORS)), operators);
+  const defaults: OperatorSettings = {
+    alpha: 0.25,
+    lambda: 0.5,
+    betaCs: 0.01,
+    betaRc: 0.02,
+    phi: 0.1,
+    bandwidth: null,
+    idle: seconds(15),
+    reserve: 0.35,
+    faultJobs: 2,
+  };
+  assert.deepEqual(DEFAULT_SETTINGS, defaults);
+  assert.deepEqual(readOperatorSettings(undefined), defaults);
+  assert.deepEqual(parseOperatorSettings('', 'f'), defaults);
+});
+
+const RANGES = [
+  'placement alpha 0.25 0.75',
+  'placement lambda 0 60',
+  'placement beta-cs 0 60',
+  'placement beta-rc 0 60',
+  'placement phi 0.01 1',
+  'placement bandwidth 0.001 1000',
+  'fleet idle-s 5 86400',
+  'fleet reserve 0 5',
+  'machines fault-jobs 1 100',
+];
+
+test('the operators’ settings have known names and ranges', () => {
+  const ranges = Object.entries(SETTING_RANGES).flatMap(([group, all]) =>
+    Object.entries(all).map(([name, { low, high }]) => `${group} ${name} ${low} ${high}`),
+  );
+  assert.deepEqual(ranges, RANGES);
+});
+
+test('a mistake in the operators’ settings is told with its line', () => {
+  const told = (text: string): string => mistakeIn(() => parseOperatorSettings(text, 'f'));
+  assert.equal(told('(placement\n (alpha 0.8))'), 'f:2: alpha must be from 0.25 to 0.75');
+  assert.equal(told('(fleet\n\n (idle-s 4))'), 'f:3: idle-s must be from 5 to 86400');
+  assert.equal(told('(placement (beta 1))'), 'f:1: unknown setting "beta" in placement');
+  assert.equal(
+    told('\n(place (alpha 0.5))'),
+    'f:2: unknown group "place" (known: placement, fleet, machines)',
+  );
+  assert.equal(told('(fleet (idle-s soon))'), 'f:1: idle-s takes one number');
+  assert.equal(told('(fleet (idle-s 5 6))'), 'f:1: idle-s takes one number');
+  assert.equal(told('(fleet (idle-s))'), 'f:1: expected a name or a number');
+  assert.equal(told('(fleet idle-s)'), 'f:1: expected a list');
+  assert.equal(told('fleet'), 'f:1: expected a list');
+  assert.match(told('(fleet'), /^f: ./);
+  assert.equal(
+    mistakeIn(() => readOperatorSettings(join(folder, 'none.sexp'))),
+    'cannot read DIR/none.sexp: ENOENT',
+  );
+});
+
+test('a mistake in the features is told with its line', () => {
+  const told = (text: string): string => mistakeIn(() => parseFeatures(text, 'f'));
+  assert.equal(told('(features zone-recovery)'), 'no mistake');
+  assert.equal(told('(features\n warp)'), 'f:2: unknown feature "warp" (known: zone-recovery)');
+  assert.equal(told('(fleet)'), 'f:1: unknown group "fleet" (known: features)');
+  assert.equal(told('(features (warp))'), 'f:1: expected a name or a number');
+  assert.equal(
+    mistakeIn(() => readFeatures(join(folder, 'none.sexp'))),
+    'cannot read DIR/none.sexp: ENOENT',
+  );
+});
+
+// ---- Command line
+
+interface Ended {
+  readonly code: number | null;
+  readonly out: string;
+  readonly told: string;
+}
+
+const run = (...words: readonly string[]): Promise<Ended> =>
+  new Promise((resolve, reject) => {
+    const child = spawn(process.execPath, ['--import', 'tsx', 'src/main.ts', ...words]);
+    let out = '';
+    let told = '';
+    child.stdout.on('data', (data: Buffer) => (out += data.toString()));
+    child.stderr.on('data', (data: Buffer) => (told += data.toString()));
+    child.once('error', reject);
+    child.once('close', (code) => resolve({ code, out, told: told.replaceAll(folder, 'DIR') }));
+  });
+
+const HELP = `Usage: pumiceroad [options]
+
+One controller of a cluster scheduler. Runs until it is killed.
+
+Options:
+  -V, --version      output the version number
+  --config <file>    the settings file that the platform hands over (JSON)
+  --settings <file>  operators' settings (S-expressions); see docs/settings.md
+  --features <file>  features that are switched on (S-expressions); see
+                     docs/operations
+  --check            read and check the settings, then end
+  -h, --help         display help for command
+`;
+
+// Each start takes about a second: few, and all at once.
+test('the command line: exit codes and what is told', async () => {
+  const platform = fileWith('cli.json', PLATFORM);
+  const settings = fileWith('cli.sexp', OPERATORS);
+  const features = fileWith('features.sexp', '(features zone-recovery)');
+  const wrong = fileWith('wrong.sexp', '(fleet\n (reserve 9))');
+  const [bare, checked, mistaken, help] = await Promise.all([
+    run(),
+    run('--config', platform, '--settings', settings, '--features', features, '--check'),
+    run('--config', platform, '--settings', wrong, '--check'),
+    run('--help'),
+  ]);
+  assert.deepEqual(bare, {
+    code: 2,
+    out: '',
+    told: "error: required option '--config <file>' not specified\n",
+  });
+  assert.deepEqual(checked, { code: 0, out: 'settings are valid\n', told: '' });
+  assert.deepEqual(mistaken, {
+    code: 2,
+    out: '',
+    told: 'pumiceroad: DIR/wrong.sexp:2: reserve must be from 0 to 5\n',
+  });
+  assert.equal(help.code, 0);
+  assert.equal(help.out, HELP);
+});
