--- a/deploy/precompile.mjs
+++ b/deploy/precompile.mjs
@@ -1,40 +1,43 @@
-// The last step of the build: starts the program once against stand-ins (rehearsal.mjs), lets it lead and place a few
-// jobs, and keeps what the engine has compiled by then (target/program.cache). src/launch.ts starts the program from it.
+/**
+ * @file The last step of the build: runs the bundle once against the stand-ins until it leads and has scheduled a few
+ * jobs, and writes what the engine has compiled by then to target/program.cache, from which src/launch.ts starts.
+ *
+ * Why jobs are run: a cache of the start alone left a new leader to compile heartbeats, scheduling cycles, records and
+ * commits in its first seconds; with them the start itself went from 0.18 to 0.14 s of processor time as well.
+ */
 import { createServer } from 'node:net';
 import { createRequire } from 'node:module';
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
-import { Worker, ask, cloud, stateService } from './rehearsal.mjs';
+import { setTimeout as sleep } from 'node:timers/promises';
+import { WorkerStandIn, sendRequest, startCloud, startStateStore } from './stand-ins.mjs';
 
-const REHEARSAL_MS = 2500;
+/** How long the controller runs the jobs before its compiled code is kept. */
+const WARM_UP_MS = 2500;
+const HEALTH_POLLS = 100;
+const HEALTH_POLL_MS = 20;
 
 const target = join(import.meta.dirname ?? new URL('.', import.meta.url).pathname, '..', 'target');
-const folder = mkdtempSync(join(tmpdir(), 'precompile-'));
-const settings = join(folder, 'settings.json');
-const pause = (ms) => new Promise((resolve) => setTimeout(resolve, ms));
 
-const freePort = () =>
-  new Promise((resolve) => {
+function findFreePort() {
+  return new Promise((resolve) => {
     const server = createServer();
     server.listen(0, '127.0.0.1', () => {
       const { port } = server.address();
       server.close(() => resolve(port));
     });
   });
+}
 
-const api = `127.0.0.1:${await freePort()}`;
-const worker = new Worker();
-await worker.start(api);
-writeFileSync(
-  settings,
-  JSON.stringify({
+function platformSettings(apiAddress, internalAddress, cloudAddress, stateStoreAddress) {
+  return {
     label: 'precompile',
     area: 'a',
-    api_addr: api,
-    internal_addr: `127.0.0.1:${await freePort()}`,
+    api_addr: apiAddress,
+    internal_addr: internalAddress,
     known: [],
-    external: { cloud: await cloud(worker), state: await stateService() },
+    external: { cloud: cloudAddress, state: stateStoreAddress },
     facts: {
       zones: ['a'],
       teams: [{ name: 'team', cpus: 0, cpus_max: 0, gpus: 0, gpus_max: 0 }],
@@ -44,47 +47,84 @@
       cloud: { rps: 5, list_lag_s: 4 },
       skew_ms: 5,
     },
-  }),
-);
+  };
+}
 
-const job = (number, shape, precedence, tickets) => ({
-  ref: `req-${number}`,
-  docket: shape,
-  desk: 'team',
-  shape,
-  precedence,
-  tickets,
-  vcpus: 1,
-  gpus: 1,
-  memGb: 1,
-  bundle: 'image',
-  pullGb: 1,
-  builds: null,
-  hall: null,
-  oneZone: shape === 'ensemble',
-  spread: false,
-  loaners: true,
-  expectedS: 1,
-  snapshotEveryS: 1,
-  snapshotS: 0,
-  dueS: null,
-});
+/** A submission in the protocol's terms. */
+function submission(number, shape, precedence, tickets) {
+  return {
+    ref: `req-${number}`,
+    docket: shape,
+    desk: 'team',
+    shape,
+    precedence,
+    tickets,
+    vcpus: 1,
+    gpus: 1,
+    memGb: 1,
+    bundle: 'image',
+    pullGb: 1,
+    builds: null,
+    hall: null,
+    oneZone: shape === 'ensemble',
+    spread: false,
+    loaners: true,
+    expectedS: 1,
+    snapshotEveryS: 1,
+    snapshotS: 0,
+    dueS: null,
+  };
+}
 
-process.env.LOG_LEVEL = 'error';
-process.argv = [process.argv[0], join(target, 'main.js'), '--config', settings];
-const { compiled } = createRequire(import.meta.url)(join(target, 'main.js'));
-for (let n = 0; n < 100 && (await ask(api, 'GET', '/healthz'))?.status !== 200; n++) await pause(20);
-const jobs = [
-  job(1, 'batch', 'idle', 6),
-  job(2, 'ensemble', 'normal', 2),
-  job(3, 'service', 'prod', 4),
-  job(4, 'ensemble', 'high', 3),
+/** One job of each kind, so that all of scheduling is compiled. */
+const SUBMISSIONS = [
+  submission(1, 'batch', 'idle', 6),
+  submission(2, 'ensemble', 'normal', 2),
+  submission(3, 'service', 'prod', 4),
+  submission(4, 'ensemble', 'high', 3),
 ];
-for (const each of jobs) await ask(api, 'POST', '/work', each);
-for (const each of jobs) await ask(api, 'GET', `/work/${each.ref}`);
-await pause(REHEARSAL_MS / 2);
-await ask(api, 'POST', '/work/req-3/withdraw');
-await pause(REHEARSAL_MS / 2);
-writeFileSync(join(target, 'program.cache'), compiled());
-rmSync(folder, { recursive: true });
+
+async function waitUntilHealthy(apiAddress) {
+  for (let polls = 0; polls < HEALTH_POLLS; polls++) {
+    const response = await sendRequest(apiAddress, 'GET', '/healthz');
+    if (response?.status === 200) return;
+    await sleep(HEALTH_POLL_MS);
+  }
+}
+
+async function runJobs(apiAddress) {
+  for (const job of SUBMISSIONS) await sendRequest(apiAddress, 'POST', '/work', job);
+  for (const job of SUBMISSIONS) await sendRequest(apiAddress, 'GET', `/work/${job.ref}`);
+  await sleep(WARM_UP_MS / 2);
+  await sendRequest(apiAddress, 'POST', '/work/req-3/withdraw');
+  await sleep(WARM_UP_MS / 2);
+}
+
+/** Starts the built program in this process, as its own command line would. */
+function startProgram(settingsPath) {
+  const entryPoint = join(target, 'main.js');
+  process.env.LOG_LEVEL = 'error';
+  process.argv = [process.argv[0], entryPoint, '--config', settingsPath];
+  return createRequire(import.meta.url)(entryPoint);
+}
+
+const directory = mkdtempSync(join(tmpdir(), 'precompile-'));
+const settingsPath = join(directory, 'settings.json');
+const apiAddress = `127.0.0.1:${await findFreePort()}`;
+const internalAddress = `127.0.0.1:${await findFreePort()}`;
+const worker = new WorkerStandIn();
+await worker.start(apiAddress);
+const settings = platformSettings(
+  apiAddress,
+  internalAddress,
+  await startCloud(worker),
+  await startStateStore(),
+);
+writeFileSync(settingsPath, JSON.stringify(settings));
+
+const { createCodeCache } = startProgram(settingsPath);
+await waitUntilHealthy(apiAddress);
+await runJobs(apiAddress);
+writeFileSync(join(target, 'program.cache'), createCodeCache());
+rmSync(directory, { recursive: true });
 process.exit(0);
--- a/src/edge/config/connection-limits.ts
+++ b/src/edge/config/connection-limits.ts
@@ -1,55 +1,60 @@
 /**
- * How the sockets that the settings allow are shared out. Without this, workers and users that crowd in would take the
- * last ones, and the controller could reach neither the state service nor a worker.
+ * @file How the sockets that the settings allow are divided. Without this, workers and users that connect in a burst
+ * would take the last ones, and the controller could reach neither the state store nor a worker.
  */
+
+/** The limits on connections of each kind. */
 export interface ConnectionLimits {
-  /** Connections straight to workers, at once. */
+  /** Connections to workers for direct commands, at once. */
   readonly workerCommands: number;
-  /** Connections that come in, of all kinds. */
+  /** Inbound connections of all kinds, at once. */
   readonly inbound: number;
-  /** With so many in, users get no more: workers that come back still find room. */
+  /** Above so many inbound connections no more users are admitted, so that workers that reconnect still find a socket. */
   readonly userLimit: number;
-  /** From so many on, users' connections are closed after each answer, so that all take turns. */
+  /** Above so many, users' connections are rotated: each is closed after its response, so that all get a turn. */
   readonly rotateUsersAbove: number;
-  /** From so many on, workers' connections are closed after each answer too. */
+  /** Above so many, workers' connections are rotated too. */
   readonly rotateWorkersAbove: number;
 }
 
-/** The state service's, the cloud's and the other controllers' connections, the listeners, and the engine's own. */
-const OWN = 32;
-const DIRECT_SHARE = 0.08;
-const LEAST_DIRECT = 8;
-const SPARE_SHARE = 0.04;
-const LEAST_SPARE = 4;
+/** The limits of a controller whose settings name none. */
+const UNLIMITED: ConnectionLimits = {
+  workerCommands: 256,
+  inbound: Infinity,
+  userLimit: Infinity,
+  rotateUsersAbove: Infinity,
+  rotateWorkersAbove: Infinity,
+};
+
+/** For the connections to state store, cloud and other controllers, the listeners, and the engine itself. */
+const RESERVED_SOCKETS = 32;
+const WORKER_COMMANDS_SHARE = 0.08;
+const MIN_WORKER_COMMANDS = 8;
+/** Inbound connections that only workers may use. */
+const WORKERS_ONLY_SHARE = 0.04;
+const MIN_WORKERS_ONLY = 4;
 /**
- * Users ask every few seconds and keep their connection. Once no more were let in, those who have one would be answered
- * for good and the others never, though any one question takes little time.
+ * Users send a request every few seconds and keep their connection. Were new ones merely refused, those that have a
+ * connection would be served for good and the others never, though a single request takes little time. Seen in a
+ * storm: 1,760 of 1,760 connections on the one controller that was left.
  */
-const TURNS_SHARE = 0.75;
-/** Fewer cannot carry a controller at all. */
+const ROTATE_USERS_SHARE = 0.75;
+/** With fewer sockets a controller cannot run at all. */
 export const MIN_SOCKETS = 64;
 
-/** Shares out the sockets that the settings allow. */
-export function connectionLimitsFor(max: number | null): ConnectionLimits {
-  if (max === null)
-    return {
-      workerCommands: 256,
-      inbound: Infinity,
-      userLimit: Infinity,
-      rotateUsersAbove: Infinity,
-      rotateWorkersAbove: Infinity,
-    };
-  const direct = Math.max(LEAST_DIRECT, Math.floor(max * DIRECT_SHARE));
-  const inbound = max - OWN - direct;
-  const spare = Math.max(LEAST_SPARE, Math.floor(max * SPARE_SHARE));
-  const usersBelow = inbound - spare;
-  const turnsAbove = Math.floor(usersBelow * TURNS_SHARE);
-  // Half of what is kept free of users is left for workers that come while others take turns.
+/** Divides the sockets that the settings allow; null: they set no limit. */
+export function connectionLimitsFor(maxSockets: number | null): ConnectionLimits {
+  if (maxSockets === null) return UNLIMITED;
+  const workerCommands = Math.max(MIN_WORKER_COMMANDS, Math.floor(maxSockets * WORKER_COMMANDS_SHARE));
+  const inbound = maxSockets - RESERVED_SOCKETS - workerCommands;
+  const workersOnly = Math.max(MIN_WORKERS_ONLY, Math.floor(maxSockets * WORKERS_ONLY_SHARE));
+  const userLimit = inbound - workersOnly;
   return {
-    workerCommands: direct,
+    workerCommands,
     inbound,
-    userLimit: usersBelow,
-    rotateUsersAbove: turnsAbove,
-    rotateWorkersAbove: usersBelow + Math.floor(spare / 2),
+    userLimit,
+    rotateUsersAbove: Math.floor(userLimit * ROTATE_USERS_SHARE),
+    // The other half stays free for workers that connect while connections are being rotated.
+    rotateWorkersAbove: userLimit + Math.floor(workersOnly / 2),
   };
 }
--- a/src/edge/config/features.ts
+++ b/src/edge/config/features.ts
@@ -1,11 +1,15 @@
-import { readFileSync } from 'node:fs';
-import { SettingsError } from './platform-settings.js';
+/**
+ * @file Which features are switched on, by name. The code of a feature is loaded by feature-loader.ts, so that
+ * reading the names loads none of it.
+ */
+import type { Node } from 'sexpr-plus';
+import { readSettingsFile } from './settings-file.js';
 import { atomOf, failAt, listOf, readForms } from './sexpr.js';
 
 /** What may be switched on beyond what every controller does. */
 export type Feature = 'zone-recovery';
 
-const KNOWN: readonly Feature[] = ['zone-recovery'];
+const KNOWN_FEATURES: readonly Feature[] = ['zone-recovery'];
 
 /** The features that are switched on. */
 export type Features = ReadonlySet<Feature>;
@@ -17,25 +21,20 @@
     const [head, ...entries] = listOf(form, name);
     const group = atomOf(head, form, name);
     if (group !== 'features') failAt(form, name, `unknown group "${group}" (known: features)`);
-    for (const entry of entries) {
-      const wanted = atomOf(entry, form, name);
-      const feature = KNOWN.find((each) => each === wanted);
-      if (feature === undefined)
-        failAt(entry, name, `unknown feature "${wanted}" (known: ${KNOWN.join(', ')})`);
-      else features.add(feature);
-    }
+    for (const entry of entries) features.add(parseFeature(entry, form, name));
   }
   return features;
 }
 
+function parseFeature(entry: Node, form: Node, name: string): Feature {
+  const wanted = atomOf(entry, form, name);
+  return (
+    KNOWN_FEATURES.find((feature) => feature === wanted) ??
+    failAt(entry, name, `unknown feature "${wanted}" (known: ${KNOWN_FEATURES.join(', ')})`)
+  );
+}
+
 /** Reads features from a file; none without one. */
 export function readFeatures(path: string | undefined): Features {
-  if (path === undefined) return new Set();
-  let text: string;
-  try {
-    text = readFileSync(path, 'utf8');
-  } catch (e) {
-    throw new SettingsError(`cannot read ${path}: ${(e as NodeJS.ErrnoException).code ?? String(e)}`);
-  }
-  return parseFeatures(text, path);
+  return path === undefined ? new Set() : parseFeatures(readSettingsFile(path), path);
 }
--- a/src/edge/config/operator-settings.ts
+++ b/src/edge/config/operator-settings.ts
@@ -1,17 +1,21 @@
-import { readFileSync } from 'node:fs';
+/**
+ * @file The operators' own settings: S-expressions such as `(placement (alpha 0.25) (lambda 0.5))`, each with a checked
+ * range. docs/settings.md says what each is for.
+ */
+import type { Node } from 'sexpr-plus';
 import type { OperatorSettings } from '../../core/model/operator-settings.js';
-import { seconds, toSeconds } from '../../core/model/time.js';
-import { SettingsError } from './platform-settings.js';
+import { seconds } from '../../core/model/time.js';
+import { readSettingsFile } from './settings-file.js';
 import { atomOf, failAt, listOf, readForms } from './sexpr.js';
 
-/** The operators' own settings: S-expressions such as `(placement (alpha 0.25) (lambda 0.5))`, with checked ranges. */
-interface Range {
+type Mutable<T> = { -readonly [K in keyof T]: T[K] };
+
+/** One setting: the range of its values, both ends included, and how a value is applied. */
+interface SettingRange {
   readonly low: number;
   readonly high: number;
-  readonly set: (k: Mutable<OperatorSettings>, v: number) => void;
-  readonly get: (settings: OperatorSettings) => number | null;
+  readonly apply: (settings: Mutable<OperatorSettings>, value: number) => void;
 }
-type Mutable<T> = { -readonly [K in keyof T]: T[K] };
 
 /** The operators' settings where the file names none. */
 export const DEFAULT_SETTINGS: OperatorSettings = {
@@ -26,41 +30,25 @@
   quarantineThreshold: 2,
 };
 
-/** All settings by group, with their ranges. */
-export const SETTING_RANGES: Record<string, Record<string, Range>> = {
+/** All settings by group, under the names that the file uses. */
+export const SETTING_RANGES: Readonly<Record<string, Readonly<Record<string, SettingRange>>>> = {
   placement: {
-    alpha: { low: 0.25, high: 0.75, set: (k, v) => (k.alpha = v), get: (settings) => settings.alpha },
-    lambda: { low: 0, high: 60, set: (k, v) => (k.lambda = v), get: (settings) => settings.lambda },
-    'beta-cs': { low: 0, high: 60, set: (k, v) => (k.betaCs = v), get: (settings) => settings.betaCs },
-    'beta-rc': { low: 0, high: 60, set: (k, v) => (k.betaRc = v), get: (settings) => settings.betaRc },
-    phi: { low: 0.01, high: 1, set: (k, v) => (k.phi = v), get: (settings) => settings.phi },
-    bandwidth: {
-      low: 0.001,
-      high: 1000,
-      set: (k, v) => (k.bandwidth = v),
-      get: (settings) => settings.bandwidth,
-    },
+    alpha: { low: 0.25, high: 0.75, apply: (settings, value) => (settings.alpha = value) },
+    lambda: { low: 0, high: 60, apply: (settings, value) => (settings.lambda = value) },
+    'beta-cs': { low: 0, high: 60, apply: (settings, value) => (settings.betaCs = value) },
+    'beta-rc': { low: 0, high: 60, apply: (settings, value) => (settings.betaRc = value) },
+    phi: { low: 0.01, high: 1, apply: (settings, value) => (settings.phi = value) },
+    bandwidth: { low: 0.001, high: 1000, apply: (settings, value) => (settings.bandwidth = value) },
   },
   fleet: {
-    'idle-s': {
-      low: 5,
-      high: 86_400,
-      set: (k, v) => (k.idleTimeout = seconds(v)),
-      get: (settings) => toSeconds(settings.idleTimeout),
-    },
-    reserve: {
-      low: 0,
-      high: 5,
-      set: (k, v) => (k.reserveShare = v),
-      get: (settings) => settings.reserveShare,
-    },
+    'idle-s': { low: 5, high: 86_400, apply: (settings, value) => (settings.idleTimeout = seconds(value)) },
+    reserve: { low: 0, high: 5, apply: (settings, value) => (settings.reserveShare = value) },
   },
   machines: {
     'fault-jobs': {
       low: 1,
       high: 100,
-      set: (k, v) => (k.quarantineThreshold = Math.round(v)),
-      get: (settings) => settings.quarantineThreshold,
+      apply: (settings, value) => (settings.quarantineThreshold = Math.round(value)),
     },
   },
 };
@@ -71,31 +59,32 @@
   for (const form of readForms(text, name)) {
     const [head, ...entries] = listOf(form, name);
     const group = atomOf(head, form, name);
-    const known =
+    const ranges =
       SETTING_RANGES[group] ??
       failAt(form, name, `unknown group "${group}" (known: ${Object.keys(SETTING_RANGES).join(', ')})`);
-    for (const entry of entries) {
-      const parts = listOf(entry, name);
-      const key = atomOf(parts[0], entry, name);
-      const range = known[key] ?? failAt(entry, name, `unknown setting "${key}" in ${group}`);
-      const value = Number(atomOf(parts[1], entry, name));
-      if (parts.length !== 2 || !Number.isFinite(value)) failAt(entry, name, `${key} takes one number`);
-      if (value < range.low || value > range.high)
-        failAt(entry, name, `${key} must be from ${range.low} to ${range.high}`);
-      range.set(settings, value);
-    }
+    for (const entry of entries) applySetting(settings, entry, group, ranges, name);
   }
   return settings;
 }
 
+function applySetting(
+  settings: Mutable<OperatorSettings>,
+  entry: Node,
+  group: string,
+  ranges: Readonly<Record<string, SettingRange>>,
+  name: string,
+): void {
+  const parts = listOf(entry, name);
+  const key = atomOf(parts[0], entry, name);
+  const range = ranges[key] ?? failAt(entry, name, `unknown setting "${key}" in ${group}`);
+  const value = Number(atomOf(parts[1], entry, name));
+  if (parts.length !== 2 || !Number.isFinite(value)) failAt(entry, name, `${key} takes one number`);
+  if (value < range.low || value > range.high)
+    failAt(entry, name, `${key} must be from ${range.low} to ${range.high}`);
+  range.apply(settings, value);
+}
+
 /** Reads operators' settings from a file; the defaults without one. */
 export function readOperatorSettings(path: string | undefined): OperatorSettings {
-  if (path === undefined) return DEFAULT_SETTINGS;
-  let text: string;
-  try {
-    text = readFileSync(path, 'utf8');
-  } catch (e) {
-    throw new SettingsError(`cannot read ${path}: ${(e as NodeJS.ErrnoException).code ?? String(e)}`);
-  }
-  return parseOperatorSettings(text, path);
+  return path === undefined ? DEFAULT_SETTINGS : parseOperatorSettings(readSettingsFile(path), path);
 }
--- a/src/edge/config/platform-settings.ts
+++ b/src/edge/config/platform-settings.ts
@@ -1,29 +1,34 @@
-import { readFileSync } from 'node:fs';
+/**
+ * @file The settings file that the platform hands over (JSON): its schema, how it is read and checked, and its facts in
+ * the terms of the core. A file that is taken must be one that the controller can serve.
+ */
 import * as z from 'zod';
 import type { ClusterConfig } from '../../core/model/cluster-config.js';
 import { seconds } from '../../core/model/time.js';
 import { MIN_VALUE_BYTES } from '../../core/records/record-pages.js';
 import { MIN_MEMORY_MB } from '../runtime/memory-monitor.js';
 import { MIN_SOCKETS } from './connection-limits.js';
+import { SettingsError } from './settings-error.js';
+import { readSettingsFile } from './settings-file.js';
 
-/** A mistake in what we were started with: told in one line, exit code 2. */
-export class SettingsError extends Error {}
+const BYTES_PER_KB = 1024;
 
 const amount = z.number().nonnegative();
 const address = z.string().regex(/^[^\s:]+:[0-9]{1,5}$/, 'must be HOST:PORT');
 
-const perhaps = <T extends z.ZodType>(type: T) => type.optional().catch(undefined);
+/** A value that counts as absent if it cannot be read. */
+const optionalOrInvalid = <T extends z.ZodType>(type: T) => type.optional().catch(undefined);
 
-/** The limits that the state service will have from some moment on. What cannot be read of them is passed over. */
-const nextLimits = perhaps(
+/** The limits that the state store is announced to have later. Whatever of them cannot be read is ignored. */
+const announcedLimits = optionalOrInvalid(
   z.object({
-    write_rps: perhaps(z.number().positive()),
-    value_kb: perhaps(z.number().positive()),
-    txn_ops: perhaps(z.number().int().positive()),
+    write_rps: optionalOrInvalid(z.number().positive()),
+    value_kb: optionalOrInvalid(z.number().positive()),
+    txn_ops: optionalOrInvalid(z.number().int().positive()),
   }),
 );
 
-const platform = z.object({
+const platformSchema = z.object({
   label: z.string().min(1),
   area: z.string(),
   api_addr: address,
@@ -57,7 +62,7 @@
       write_rps: z.number().positive(),
       value_kb: z.number().positive(),
       txn_ops: z.number().int().positive(),
-      next: nextLimits,
+      next: announcedLimits,
     }),
     cloud: z.object({ rps: z.number().positive(), list_lag_s: amount }),
     limits: z
@@ -72,71 +77,69 @@
 });
 
 /** The settings file of the platform, checked. */
-export type PlatformSettings = z.infer<typeof platform>;
+export type PlatformSettings = z.infer<typeof platformSchema>;
 
-/** Reads and checks the settings file of the platform. */
+/** Reads and checks the settings file of the platform; a mistake is a SettingsError. */
 export function readPlatformSettings(path: string): PlatformSettings {
-  let text: string;
-  try {
-    text = readFileSync(path, 'utf8');
-  } catch (e) {
+  const result = platformSchema.safeParse(parseJson(readSettingsFile(path, `settings ${path}`), path));
+  if (!result.success) {
+    const issue = result.error.issues[0];
     throw new SettingsError(
-      `cannot read settings ${path}: ${(e as NodeJS.ErrnoException).code ?? String(e)}`,
+      `settings ${path}: ${issue?.path.join('.') ?? ''}: ${issue?.message ?? 'invalid'}`,
+      { cause: result.error },
     );
   }
-  let json: unknown;
+  checkValueLimit(path, result.data);
+  return result.data;
+}
+
+function parseJson(text: string, path: string): unknown {
   try {
-    json = JSON.parse(text);
-  } catch (e) {
-    throw new SettingsError(`settings ${path} are not JSON: ${e instanceof Error ? e.message : String(e)}`);
-  }
-  const r = platform.safeParse(json);
-  if (!r.success) {
-    const first = r.error.issues[0];
+    return JSON.parse(text);
+  } catch (error) {
     throw new SettingsError(
-      `settings ${path}: ${first?.path.join('.') ?? ''}: ${first?.message ?? 'invalid'}`,
+      `settings ${path} are not JSON: ${error instanceof Error ? error.message : String(error)}`,
+      { cause: error },
     );
   }
-  checkValueLimit(path, r.data);
-  return r.data;
 }
 
-/** The smaller of the limits of a value, now and later: what is written must fit both. */
-const valueBytesOf = ({ facts: { state } }: PlatformSettings): number =>
-  Math.floor(Math.min(state.value_kb, state.next?.value_kb ?? Infinity) * 1024);
+/** The smaller of a value's present and announced limit: what is written must fit both. */
+const maxValueBytes = ({ facts: { state } }: PlatformSettings): number =>
+  Math.floor(Math.min(state.value_kb, state.next?.value_kb ?? Infinity) * BYTES_PER_KB);
 
-function checkValueLimit(path: string, p: PlatformSettings): void {
-  if (valueBytesOf(p) < MIN_VALUE_BYTES)
+function checkValueLimit(path: string, platform: PlatformSettings): void {
+  if (maxValueBytes(platform) < MIN_VALUE_BYTES)
     throw new SettingsError(
       `settings ${path}: facts.state: values must hold ${MIN_VALUE_BYTES} bytes, now and by \`next\``,
     );
 }
 
 /** The platform's settings as the core uses them. */
-export function clusterConfigFrom(p: PlatformSettings): ClusterConfig {
-  const f = p.facts;
+export function clusterConfigFrom(platform: PlatformSettings): ClusterConfig {
+  const { zones, teams, objectives, workers, state, cloud } = platform.facts;
   return {
-    zones: f.zones,
-    teams: f.teams.map((t) => ({
-      name: t.name,
-      fairShareCpus: t.cpus,
-      fairShareGpus: t.gpus,
-      cpuQuota: t.cpus_max,
-      gpuQuota: t.gpus_max,
+    zones,
+    teams: teams.map((team) => ({
+      name: team.name,
+      fairShareCpus: team.cpus,
+      fairShareGpus: team.gpus,
+      cpuQuota: team.cpus_max,
+      gpuQuota: team.gpus_max,
     })),
-    objectives: f.objectives.map((o) => ({
-      kind: o.kind,
-      class: o.class ?? '',
-      threshold: o.within_s === undefined ? null : seconds(o.within_s),
-      share: o.share ?? 1,
+    objectives: objectives.map((objective) => ({
+      kind: objective.kind,
+      class: objective.class ?? '',
+      threshold: objective.within_s === undefined ? null : seconds(objective.within_s),
+      share: objective.share ?? 1,
     })),
-    heartbeatInterval: seconds(f.workers.report_s),
-    workerLease: seconds(f.workers.lease_s),
-    gangStartTimeout: seconds(f.workers.gang_wait_s),
-    gangPeerTimeout: seconds(f.workers.gang_peer_s),
-    cancellationDeadline: seconds(f.workers.cancel_s),
-    maxTransactionOperations: Math.min(f.state.txn_ops, f.state.next?.txn_ops ?? Infinity),
-    maxValueBytes: valueBytesOf(p),
-    inventoryLag: seconds(f.cloud.list_lag_s),
+    heartbeatInterval: seconds(workers.report_s),
+    workerLease: seconds(workers.lease_s),
+    gangStartTimeout: seconds(workers.gang_wait_s),
+    gangPeerTimeout: seconds(workers.gang_peer_s),
+    cancellationDeadline: seconds(workers.cancel_s),
+    maxTransactionOperations: Math.min(state.txn_ops, state.next?.txn_ops ?? Infinity),
+    maxValueBytes: maxValueBytes(platform),
+    inventoryLag: seconds(cloud.list_lag_s),
   };
 }
--- a/src/edge/config/sexpr.ts
+++ b/src/edge/config/sexpr.ts
@@ -1,27 +1,29 @@
-/** @file Reading S-expressions, with the line of every mistake. */
+/** @file Reads S-expressions; every mistake is a SettingsError with the line at which it stands. */
 import { parse, type Node } from 'sexpr-plus';
-import { SettingsError } from './platform-settings.js';
+import { SettingsError } from './settings-error.js';
 
-/** The forms of a text. */
+/** The forms of a text; `name` stands for the text in messages. */
 export function readForms(text: string, name: string): Node[] {
   try {
     return parse(text);
-  } catch (e) {
-    throw new SettingsError(`${name}: ${e instanceof Error ? e.message : String(e)}`);
+  } catch (error) {
+    throw new SettingsError(`${name}: ${error instanceof Error ? error.message : String(error)}`, {
+      cause: error,
+    });
   }
 }
 
-/** Tells of a mistake at a form. */
+/** Throws the error for a mistake at a form. */
 export function failAt(node: Node, name: string, reason: string): never {
   throw new SettingsError(`${name}:${node.location.start.line}: ${reason}`);
 }
 
-/** What a list holds. */
+/** The elements of a list. */
 export const listOf = (node: Node, name: string): Node[] =>
   node.type === 'list' ? node.content : failAt(node, name, 'expected a list');
 
-/** The text of an atom; `at` is the form to blame if there is none. */
-export const atomOf = (node: Node | undefined, at: Node, name: string): string =>
+/** The text of an atom; if there is none, the error names the line of `parent`. */
+export const atomOf = (node: Node | undefined, parent: Node, name: string): string =>
   node !== undefined && node.type === 'atom'
     ? node.content
-    : failAt(node ?? at, name, 'expected a name or a number');
+    : failAt(node ?? parent, name, 'expected a name or a number');
--- a/src/edge/http/request-handler.ts
+++ b/src/edge/http/request-handler.ts
@@ -41,7 +41,7 @@
   private inside = 0;
   readonly counts: TaskCounts;
   private readonly dependencies: DependencyIndex;
-  types: readonly MachineType[] = [];
+  machineTypes: readonly MachineType[] = [];
 
   constructor(
     private readonly stateStore: StateStore,
@@ -56,7 +56,7 @@
   }
 
   get ready(): boolean {
-    return this.stateStore.loaded && this.types.length > 0;
+    return this.stateStore.loaded && this.machineTypes.length > 0;
   }
 
   view(id: string): JobView | null {
@@ -215,8 +215,8 @@
   private neverRuns(spec: JobSpec): string | null {
     if (!this.config.teams.some((team) => team.name === spec.team)) return `unknown team ${spec.team}`;
     if (!fitsQuota(spec, this.config.teams)) return 'more than the limit of its team';
-    if (this.types.length === 0) return null;
-    const fits = this.types.some(
+    if (this.machineTypes.length === 0) return null;
+    const fits = this.machineTypes.some(
       (type) =>
         (spec.machineTypes === null || spec.machineTypes.includes(type.name)) &&
         (spec.zone === null || type.zones.includes(spec.zone)) &&
--- a/src/edge/service.ts
+++ b/src/edge/service.ts
@@ -1,134 +1,175 @@
+/**
+ * @file The composition root: builds the components of one controller, connects them and starts them. It must hold no
+ * logic of its own; what runs in the background is a component with its own module.
+ */
 import { Subscription } from 'rxjs';
+import type { ClusterConfig } from '../core/model/cluster-config.js';
 import type { OperatorSettings } from '../core/model/operator-settings.js';
-import { startHttpServer } from './http/http-server.js';
-import { millisecondsSince, monotonicNow } from './runtime/clock.js';
 import { CloudClient } from './cloud/cloud-client.js';
-import { RequestHandler } from './http/request-handler.js';
-import { supervise, errorMessage, sleep } from './runtime/supervised-task.js';
-import { DecodedPageCache } from './state-store/decoded-page-cache.js';
-import { FinishedJobCompactor } from './state-store/finished-job-compactor.js';
+import { startMachineTypeRefresh } from './cloud/machine-type-refresh.js';
+import { connectionLimitsFor, type ConnectionLimits } from './config/connection-limits.js';
 import { zonePolicyFor } from './config/feature-loader.js';
 import type { Features } from './config/features.js';
-import { ImageCacheObserver } from './state-store/image-cache-observer.js';
+import { clusterConfigFrom, type PlatformSettings } from './config/platform-settings.js';
 import { isHealthy } from './http/health.js';
-import { jittered } from './runtime/jitter.js';
-import type { Logger } from './runtime/logger.js';
-import { MemoryMonitor } from './runtime/memory-monitor.js';
+import { startHttpServer } from './http/http-server.js';
+import { RequestHandler } from './http/request-handler.js';
 import { LeaderElection } from './leadership/leader-election.js';
 import { PeerLinks } from './peers/peer-links.js';
-import { clusterConfigFrom, type PlatformSettings } from './config/platform-settings.js';
-import { connectionLimitsFor } from './config/connection-limits.js';
-import { StateStore } from './state-store/state-store.js';
+import { millisecondsSince, monotonicNow } from './runtime/clock.js';
+import type { Logger } from './runtime/logger.js';
+import { MemoryMonitor } from './runtime/memory-monitor.js';
+import { errorMessage } from './runtime/supervised-task.js';
+import { startContactProbe } from './state-store/contact-probe.js';
 import { ControllerVersions } from './state-store/controller-versions.js';
+import { DecodedPageCache } from './state-store/decoded-page-cache.js';
+import { FinishedJobCompactor } from './state-store/finished-job-compactor.js';
+import { ImageCacheObserver } from './state-store/image-cache-observer.js';
+import { StateStore } from './state-store/state-store.js';
+
+/** The only partition there is; names and keys leave room for more. */
+const PARTITION = 'all';
 
-/** The one part of today; names and keys leave room for more. */
-const PART = 'all';
-/** A controller: everything it does hangs on the subscription that this returns. */
+/** What a controller is started with. */
+interface ServiceOptions {
+  readonly platform: PlatformSettings;
+  readonly settings: OperatorSettings;
+  readonly features: Features;
+  readonly logger: Logger;
+}
+
+/** The components that others are connected to. */
+interface Components {
+  readonly config: ClusterConfig;
+  readonly stateStore: StateStore;
+  readonly cloud: CloudClient;
+  readonly memory: MemoryMonitor;
+  readonly connectionLimits: ConnectionLimits;
+  readonly versions: ControllerVersions;
+  readonly requests: RequestHandler;
+}
+
+/** Starts a controller; everything it runs ends with the subscription that this returns. */
 export function startService(
-  p: PlatformSettings,
+  platform: PlatformSettings,
   settings: OperatorSettings,
   features: Features,
   logger: Logger,
   onFatal: (reason: string) => void,
 ): Subscription {
-  const config = clusterConfigFrom(p);
-  const stateStore = new StateStore(p.external.state, logger);
-  const cloud = new CloudClient(p.external.cloud, p.facts.cloud.rps, logger);
-  const memory = new MemoryMonitor(p.facts.limits?.memory_mb ?? null, logger);
-  const sockets = connectionLimitsFor(p.facts.limits?.max_sockets ?? null);
-  const versions = new ControllerVersions(
+  const options: ServiceOptions = { platform, settings, features, logger };
+  const components = createComponents(options);
+  const { stateStore, cloud, memory, versions, requests } = components;
+  const pageCache = new DecodedPageCache();
+  const imageObserver = new ImageCacheObserver(
     stateStore,
-    p.label,
-    p.known.map((peer) => peer.label),
     logger,
+    pageCache,
+    (): boolean => election.currentTerm !== null,
   );
+  const election: LeaderElection = createElection(options, components, pageCache, imageObserver);
+  const peers = createPeerLinks(options, stateStore, election);
+
+  const service = new Subscription();
+  service.add(memory.start());
+  service.add(new FinishedJobCompactor(stateStore, requests.counts).start());
+  service.add(imageObserver.start());
+  service.add(stateStore.start());
+  service.add(peers.start());
+  service.add(versions.start());
+  service.add(election.start());
+  service.add(startMachineTypeRefresh(cloud, logger, (types) => (requests.machineTypes = types)));
+  service.add(startContactProbe(stateStore, logger));
+  service.add(startApi(options, components, election, peers, onFatal));
+  return service;
+}
+
+function createComponents({ platform, logger }: ServiceOptions): Components {
+  const { external, facts } = platform;
+  const config = clusterConfigFrom(platform);
+  const stateStore = new StateStore(external.state, logger);
+  const cloud = new CloudClient(external.cloud, facts.cloud.rps, logger);
+  const memory = new MemoryMonitor(facts.limits?.memory_mb ?? null, logger);
+  const connectionLimits = connectionLimitsFor(facts.limits?.max_sockets ?? null);
+  const peerLabels = platform.known.map((peer) => peer.label);
+  const versions = new ControllerVersions(stateStore, platform.label, peerLabels, logger);
   const requests = new RequestHandler(stateStore, config, versions, logger, () => memory.underPressure);
-  const incarnation = `${p.label}-${new Date().getTime()}-${monotonicNow()}`;
-  const pages = new DecodedPageCache();
-  const images = new ImageCacheObserver(stateStore, logger, pages, (): boolean => owner.currentTerm !== null);
-  const owner: LeaderElection = new LeaderElection({
-    partition: PART,
-    label: p.label,
-    incarnation,
+  return { config, stateStore, cloud, memory, connectionLimits, versions, requests };
+}
+
+function createElection(
+  { platform, settings, features, logger }: ServiceOptions,
+  { config, stateStore, cloud, connectionLimits }: Components,
+  pageCache: DecodedPageCache,
+  imageObserver: ImageCacheObserver,
+): LeaderElection {
+  const { label, facts } = platform;
+  return new LeaderElection({
+    partition: PARTITION,
+    label,
+    incarnation: `${label}-${new Date().getTime()}-${monotonicNow()}`,
     config,
     settings,
     stateStore,
     cloud,
     logger,
-    maxWritesPerSecond: p.facts.state.write_rps,
-    announcedMaxWritesPerSecond: p.facts.state.next?.write_rps ?? Infinity,
-    imageObserver: images,
-    pageCache: pages,
-    maxWorkerConnections: sockets.workerCommands,
+    maxWritesPerSecond: facts.state.write_rps,
+    announcedMaxWritesPerSecond: facts.state.next?.write_rps ?? Infinity,
+    imageObserver,
+    pageCache,
+    maxWorkerConnections: connectionLimits.workerCommands,
     newZonePolicy: zonePolicyFor(features, config),
   });
+}
 
-  const peers = new PeerLinks(
-    p.internal_addr,
-    p.known,
+function createPeerLinks(
+  { platform, logger }: ServiceOptions,
+  stateStore: StateStore,
+  election: LeaderElection,
+): PeerLinks {
+  return new PeerLinks(
+    platform.internal_addr,
+    platform.known,
     () => ({
-      label: p.label,
-      isLeader: owner.currentTerm !== null,
+      label: platform.label,
+      isLeader: election.currentTerm !== null,
       stateStoreContactMs: stateStore.lastSyncedAt === 0n ? null : millisecondsSince(stateStore.lastSyncedAt),
-      fencingToken: BigInt(owner.currentTerm?.fencingToken ?? 0),
+      fencingToken: BigInt(election.currentTerm?.fencingToken ?? 0),
     }),
     logger,
   );
-  const healthy = (): boolean =>
-    isHealthy({
-      ready: requests.ready,
-      replicaAgeMs: millisecondsSince(stateStore.lastSyncedAt),
-      isLeader: owner.currentTerm !== null,
-      overloaded: owner.currentTerm?.overloaded === true,
-      peerCount: peers.peerCount,
-      peersServing: peers.peersServing(),
-    });
+}
 
-  const all = new Subscription();
-  all.add(memory.start());
-  all.add(new FinishedJobCompactor(stateStore, requests.counts).start());
-  all.add(images.start());
-  all.add(stateStore.start());
-  all.add(peers.start());
-  all.add(versions.start());
-  all.add(owner.start());
-  all.add(
-    supervise('types for users', logger, async (signal) => {
-      while (!signal.aborted) {
-        const types = await cloud.listMachineTypes(signal);
-        if (types !== null) requests.types = types;
-        await sleep(types === null ? jittered(1000) : 300_000, signal);
-      }
-    }),
-  );
-  // A controller that is asked nothing still has to know whether the state service answers it.
-  all.add(
-    supervise('contact', logger, async (signal) => {
-      while (!signal.aborted) {
-        if (stateStore.loaded && millisecondsSince(stateStore.lastSyncedAt) > 800)
-          await stateStore.syncReplica(1000);
-        await sleep(500, signal);
-      }
-    }),
-  );
-  all.add(
-    startHttpServer({
-      address: p.api_addr,
-      requests,
-      logger,
-      isHealthy: healthy,
-      connectionLimits: sockets,
-      coreShare: p.facts.limits?.core_share ?? 1,
-      isLeader: () => owner.currentTerm !== null,
-      onHeartbeat: (heartbeat) => owner.currentTerm?.onHeartbeat(heartbeat) ?? null,
-      leaderLabel: () => {
-        const label = owner.leaderLabel();
-        return label === p.label ? null : label;
-      },
-    }).subscribe({
-      next: ({ port }) => logger.info({ port }, 'listening'),
-      error: (e: unknown) => onFatal(`cannot listen on ${p.api_addr}: ${errorMessage(e)}`),
-    }),
-  );
-  return all;
+function startApi(
+  { platform, logger }: ServiceOptions,
+  { stateStore, requests, connectionLimits }: Components,
+  election: LeaderElection,
+  peers: PeerLinks,
+  onFatal: (reason: string) => void,
+): Subscription {
+  return startHttpServer({
+    address: platform.api_addr,
+    requests,
+    logger,
+    isHealthy: () =>
+      isHealthy({
+        ready: requests.ready,
+        replicaAgeMs: millisecondsSince(stateStore.lastSyncedAt),
+        isLeader: election.currentTerm !== null,
+        overloaded: election.currentTerm?.overloaded === true,
+        peerCount: peers.peerCount,
+        peersServing: peers.peersServing(),
+      }),
+    connectionLimits,
+    coreShare: platform.facts.limits?.core_share ?? 1,
+    isLeader: () => election.currentTerm !== null,
+    onHeartbeat: (heartbeat) => election.currentTerm?.onHeartbeat(heartbeat) ?? null,
+    leaderLabel: () => {
+      const label = election.leaderLabel();
+      return label === platform.label ? null : label;
+    },
+  }).subscribe({
+    next: ({ port }) => logger.info({ port }, 'listening'),
+    error: (error: unknown) => onFatal(`cannot listen on ${platform.api_addr}: ${errorMessage(error)}`),
+  });
 }
--- /dev/null
+++ b/src/edge/state-store/contact-probe.ts
@@ -0,0 +1,28 @@
+/**
+ * @file Keeps the time of the last contact with the state store current on a controller that gets no requests: health
+ * and the refusal of requests follow from that time. It reads only, and must never write to the state store.
+ */
+import type { Subscription } from 'rxjs';
+import { millisecondsSince } from '../runtime/clock.js';
+import type { Logger } from '../runtime/logger.js';
+import { sleep, supervise } from '../runtime/supervised-task.js';
+import type { StateStore } from './state-store.js';
+
+const PROBE_INTERVAL_MS = 500;
+/** Requests of users sync the replica too; a probe is sent only if none has done so for this long. */
+const MAX_CONTACT_AGE_MS = 800;
+const SYNC_TIMEOUT_MS = 1000;
+
+/** Probes the state store until unsubscribed. */
+export function startContactProbe(
+  stateStore: Pick<StateStore, 'loaded' | 'lastSyncedAt' | 'syncReplica'>,
+  logger: Logger,
+): Subscription {
+  return supervise('state store contact probe', logger, async (signal) => {
+    while (!signal.aborted) {
+      if (stateStore.loaded && millisecondsSince(stateStore.lastSyncedAt) > MAX_CONTACT_AGE_MS)
+        await stateStore.syncReplica(SYNC_TIMEOUT_MS);
+      await sleep(PROBE_INTERVAL_MS, signal);
+    }
+  });
+}
--- a/src/module-stubs/iconv-lite.ts
+++ b/src/module-stubs/iconv-lite.ts
@@ -1,7 +1,13 @@
-/** In place of iconv-lite, 500 kB of alphabets that express loads for text bodies. We read none: bodies are CBOR. */
+/**
+ * @file Replaces iconv-lite in the bundle: 500 kB of character sets that express loads for text bodies, though all our
+ * bodies are CBOR. This stub, that of mime-db and the code cache together took the bundle from 1.66 to 1.0 MB and the
+ * memory of `--version` from 59 to 55 MB.
+ */
+
+/** Asked by express's body parser; no character set is ever looked up. */
 export const encodingExists = (): boolean => false;
 
-/** Never called: bodies are not text. */
+/** Never called, since no text body is read. */
 export function getDecoder(): never {
   throw new Error('text bodies are not read');
 }
--- a/test/features.test.ts
+++ b/test/features.test.ts
@@ -3,7 +3,7 @@
 import { ZoneRecovery } from '../packages/zone-recovery/src/index.js';
 import { zonePolicyFor } from '../src/edge/config/feature-loader.js';
 import { parseFeatures, readFeatures } from '../src/edge/config/features.js';
-import { SettingsError } from '../src/edge/config/platform-settings.js';
+import { SettingsError } from '../src/edge/config/settings-error.js';
 import { CLUSTER_CONFIG } from './fixtures/cluster-config.js';
 
 test('features are off unless they are named, and a mistake is told with its line', () => {
