--- a/measure/load.ts
+++ b/measure/load.ts
@@ -5,9 +5,9 @@
 import { join } from 'node:path';
 import { call, listen } from '../test/standins/http.js';
 import { bytesOfPeerLink } from './peer-link.js';
-import { ownAddress, job, platform, until } from '../test/standins/cluster.js';
-import { StateStandIn } from '../test/standins/state-store.js';
-import { Watch, WorkerStandIn } from '../test/standins/worker.js';
+import { reserveAddress, jobBody, platformSettings, waitFor } from '../test/standins/cluster.js';
+import { StateStoreStandIn } from '../test/standins/state-store.js';
+import { TaskHistory, WorkerStandIn } from '../test/standins/worker.js';
 
 /**
  * Two controllers as real processes against our stand-ins: what the leader's and the standby's start, rest, work and
@@ -103,7 +103,7 @@
 
 /** A controller as a process of its own. */
 class Controller {
-  readonly api = ownAddress();
+  readonly api = reserveAddress();
   private child: ChildProcess | null = null;
   private readonly log: string[] = [];
   private last: Held = { userMs: 0, systemMs: 0, rssMb: 0 };
@@ -159,13 +159,13 @@
   }
 }
 
-async function startWorkers(controllers: readonly string[], watch: Watch): Promise<WorkerStandIn[]> {
+async function startWorkers(controllers: readonly string[], watch: TaskHistory): Promise<WorkerStandIn[]> {
   const workers: WorkerStandIn[] = [];
   for (let n = 0; n < machines; n++) {
     const zone = n % 2 === 0 ? 'east' : 'west';
     const name = `n-${String(n).padStart(6, '0')}`;
     const worker = new WorkerStandIn(name, zone, controllers, watch, () => 20_000);
-    worker.everyMs = reportS * 1000;
+    worker.heartbeatIntervalMs = reportS * 1000;
     worker.leaseMs = LEASE_S * 1000;
     worker.agent = new Agent({ keepAlive: true, maxSockets: 1 });
     await worker.start();
@@ -176,7 +176,7 @@
 
 const listed = (worker: WorkerStandIn): unknown => ({
   ref: worker.name,
-  endpoint: worker.addr,
+  endpoint: worker.address,
   build: 'big',
   hall: worker.zone,
   loaners: false,
@@ -190,7 +190,7 @@
   let next = 0;
   const submit = async (): Promise<void> => {
     const desk = next % 2 === 0 ? 'red' : 'blue';
-    await call(api, 'POST', '/work', job(`req-${next++}`, { tickets: 4, desk })).catch(() => null);
+    await call(api, 'POST', '/work', jobBody(`req-${next++}`, { tickets: 4, desk })).catch(() => null);
   };
   for (let n = 0; n < jobs; n++) await submit();
   for (let s = 0; s < seconds; s++) {
@@ -200,7 +200,7 @@
 }
 
 async function main(): Promise<void> {
-  const state = new StateStandIn({ txnOps: 12, valueBytes: 4096 });
+  const state = new StateStoreStandIn({ txnOps: 12, valueBytes: 4096 });
   await state.start();
   let workers: WorkerStandIn[] = [];
   const cloud = await listen((_method, url) =>
@@ -210,7 +210,7 @@
   );
   const settingsOf = (controller: Controller): unknown => {
     const timing = { report_s: reportS, lease_s: LEASE_S, cancel_s: 31 };
-    const p = platform(controller.label, controller.api, cloud.addr, state, timing);
+    const p = platformSettings(controller.label, controller.api, cloud.address, state, timing);
     const limits = memoryMb > 0 ? { core_share: 1, memory_mb: memoryMb, max_sockets: sockets } : undefined;
     const team = { cpus: 0, cpus_max: 0, gpus: 0, gpus_max: 0 };
     const teams = ['red', 'blue'].map((name) => ({ name, ...team }));
@@ -221,7 +221,7 @@
   await leader.start(settingsOf(leader));
   await pause(1500);
   await standby.start(settingsOf(standby));
-  const watch = new Watch();
+  const watch = new TaskHistory();
   workers = await startWorkers([leader.api, standby.api], watch);
   await pause(4000);
   for (const controller of [leader, standby]) controller.spent(1);
@@ -231,7 +231,7 @@
   await keepBusy(leader.api);
   for (const controller of [leader, standby])
     console.log(`${controller.label} busy: ${controller.spent(seconds)}`);
-  console.log(`${watch.starts} tasks started, ${watch.broken.length} twice`);
+  console.log(`${watch.startCount} tasks started, ${watch.conflicts.length} twice`);
   await leader.end('of the leader');
   const bySecond: string[] = [];
   for (let s = 0; s < TAKEOVER_S; s++) {
@@ -239,7 +239,7 @@
     bySecond.push(standby.spent(1).split(' ')[0] ?? '');
   }
   console.log(`the standby, of a core by the second after the leader ended: ${bySecond.join(' ')}`);
-  await until('the steps', () => Promise.resolve(standby.steps), STEPS_LIMIT_MS).catch(() => null);
+  await waitFor('the steps', () => Promise.resolve(standby.steps), STEPS_LIMIT_MS).catch(() => null);
   console.log(`the standby's first 20 s as leader, ms by step: ${standby.steps ?? 'not told'}`);
   await standby.end('of the standby');
   console.log(
--- a/measure/peer-link.ts
+++ b/measure/peer-link.ts
@@ -2,7 +2,7 @@
 import { runInNewContext } from 'node:vm';
 import { createLogger } from '../src/edge/runtime/logger.js';
 import { PeerLinks } from '../src/edge/peers/peer-links.js';
-import { ownAddress } from '../test/standins/cluster.js';
+import { reserveAddress } from '../test/standins/cluster.js';
 
 const STATUSES_MS = 3000;
 
@@ -16,7 +16,7 @@
     return process.memoryUsage().heapUsed;
   };
   const logger = createLogger('peer-link');
-  const addresses = [ownAddress(), ownAddress()] as const;
+  const addresses = [reserveAddress(), reserveAddress()] as const;
   const link = (own: 0 | 1): PeerLinks => {
     const other = own === 0 ? 1 : 0;
     const label = String(own);
--- a/measure/startup.ts
+++ b/measure/startup.ts
@@ -2,7 +2,7 @@
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
-import { ownAddress, platform } from '../test/standins/cluster.js';
+import { reserveAddress, platformSettings } from '../test/standins/cluster.js';
 
 /**
  * What each step of a start costs, by the processor time of a process that ends after it. Run by hand after a build:
@@ -12,7 +12,10 @@
 
 const folder = mkdtempSync(join(tmpdir(), 'startup-'));
 const settings = join(folder, 'settings.json');
-writeFileSync(settings, JSON.stringify(platform('one', ownAddress(), ownAddress(), { addr: ownAddress() })));
+writeFileSync(
+  settings,
+  JSON.stringify(platformSettings('one', reserveAddress(), reserveAddress(), { address: reserveAddress() })),
+);
 
 /** The processor time of one run in milliseconds, as the shell counts it. */
 function run(args: readonly string[]): number {
--- a/test/standins/production-version.ts
+++ b/test/standins/production-version.ts
@@ -2,7 +2,7 @@
 import type { JobRecord } from '../../src/core/model/job.js';
 import type { PageEntry } from '../../src/core/records/record-pages.js';
 import { seconds, toSeconds } from '../../src/core/model/time.js';
-import type { RecordCodec } from './core-fleet.js';
+import type { RecordCodec } from './simulated-fleet.js';
 
 /**
  * Kept copies of what the version named as `production` in `deploy/service.toml` writes to the state service and
