--- a/measure/cost.ts
+++ b/measure/cost.ts
@@ -1,3 +1,4 @@
+/** @file What events cost the scheduler as machines and tasks increase. */
 import { SimulatedFleet } from '../test/standins/simulated-fleet.js';
 
 /**
--- a/measure/load.ts
+++ b/measure/load.ts
@@ -1,3 +1,4 @@
+/** @file Processor time and memory of two controller processes under load and at a failover. */
 import { spawn, type ChildProcess } from 'node:child_process';
 import { Agent } from 'node:http';
 import { mkdtempSync, readFileSync, readdirSync, rmSync, writeFileSync } from 'node:fs';
--- a/measure/memory.ts
+++ b/measure/memory.ts
@@ -1,3 +1,4 @@
+/** @file Memory of the parts of a controller, each built alone. */
 import { connect, createServer, type Socket } from 'node:net';
 import { Subject } from 'rxjs';
 import type { JobRecord } from '../src/core/model/job.js';
--- a/measure/peer-link.ts
+++ b/measure/peer-link.ts
@@ -1,3 +1,4 @@
+/** @file Heap of a link between two controllers. */
 import { setFlagsFromString } from 'node:v8';
 import { runInNewContext } from 'node:vm';
 import { createLogger } from '../src/edge/runtime/logger.js';
--- a/measure/startup.ts
+++ b/measure/startup.ts
@@ -1,3 +1,4 @@
+/** @file Processor time of each step of a start. */
 import { spawnSync } from 'node:child_process';
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
--- a/measure/zone-return.ts
+++ b/measure/zone-return.ts
@@ -1,3 +1,4 @@
+/** @file Zone loss and return in the simulation, with zone recovery off and on. */
 import { checkHistory } from '../packages/zone-recovery/test/history-checker.js';
 import {
   ONE_PARTITION,
--- a/packages/zone-recovery/test/history-checker.ts
+++ b/packages/zone-recovery/test/history-checker.ts
@@ -1,3 +1,4 @@
+/** @file Judges a history of what machines ran. */
 import type { HistoryEntry } from './zone-simulation.js';
 
 /** What a checker finds in the machines' record. */
--- a/packages/zone-recovery/test/scenario.ts
+++ b/packages/zone-recovery/test/scenario.ts
@@ -1,3 +1,4 @@
+/** @file Scenarios of zone loss and return in the simulation. */
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { seconds } from '../../../src/core/model/time.js';
--- a/packages/zone-recovery/test/zone-simulation.ts
+++ b/packages/zone-recovery/test/zone-simulation.ts
@@ -1,3 +1,4 @@
+/** @file The scheduler, machines in three zones, a state store and a cloud in simulated time. */
 import type { Effect } from '../../../src/core/model/effects.js';
 import type { WorkerCommand } from '../../../src/core/model/worker-command.js';
 import type { ClusterConfig } from '../../../src/core/model/cluster-config.js';
--- a/test/golden-bytes.ts
+++ b/test/golden-bytes.ts
@@ -1,3 +1,4 @@
+/** @file Literal external forms and their comparison. */
 import assert from 'node:assert/strict';
 import { decode } from '../src/wire/cbor.js';
 import type { RecordedRequest } from './standins/recorder.js';
--- a/test/standins/cluster.ts
+++ b/test/standins/cluster.ts
@@ -1,3 +1,4 @@
+/** @file A cloud with workers on loopback, and the settings and jobs of tests with whole controllers. */
 import assert from 'node:assert/strict';
 import { setTimeout as delay } from 'node:timers/promises';
 import pino from 'pino';
--- a/test/standins/http.ts
+++ b/test/standins/http.ts
@@ -1,3 +1,4 @@
+/** @file A CBOR server on loopback, and requests to controllers. */
 import http from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { decode, encode } from '../../src/wire/cbor.js';
--- a/test/standins/production-version.ts
+++ b/test/standins/production-version.ts
@@ -1,3 +1,4 @@
+/** @file The record codec of the version in production. */
 import * as z from 'zod';
 import type { JobRecord } from '../../src/core/model/job.js';
 import type { PageEntry } from '../../src/core/records/record-pages.js';
--- a/test/standins/recorder.ts
+++ b/test/standins/recorder.ts
@@ -1,3 +1,4 @@
+/** @file A server that records the bytes of each request. */
 import { createServer, type AddressInfo, type Socket } from 'node:net';
 import { encode } from '../../src/wire/cbor.js';
 
--- a/test/standins/simulated-fleet.ts
+++ b/test/standins/simulated-fleet.ts
@@ -1,3 +1,4 @@
+/** @file A scheduler with a simulated fleet and state store, without messages in flight. */
 import type { Effect } from '../../src/core/model/effects.js';
 import type { JobRecord, JobSpec } from '../../src/core/model/job.js';
 import type { MachineType } from '../../src/core/model/machine.js';
--- a/test/standins/state-store.ts
+++ b/test/standins/state-store.ts
@@ -1,3 +1,4 @@
+/** @file A state store in memory, behind its HTTP interface. */
 import { listen, type Reply } from './http.js';
 
 interface StoredItem {
--- a/test/standins/worker.ts
+++ b/test/standins/worker.ts
@@ -1,3 +1,4 @@
+/** @file A worker on loopback, and the history of what all workers ran. */
 import type { Agent } from 'node:http';
 import { call, listen, type Reply } from './http.js';
 
