--- a/measure/memory.ts
+++ b/measure/memory.ts
@@ -1,3 +1,4 @@
+/** @file Memory of the parts of a controller, each built alone. */
 import { connect, createServer, type Socket } from 'node:net';
 import { Subject } from 'rxjs';
 import type { JobRecord } from '../src/core/model/job.js';
@@ -8,7 +9,6 @@
 import { HeartbeatQueue } from '../src/edge/http/heartbeat-queue.js';
 import { readHeartbeats, type HeartbeatReaderOptions } from '../src/edge/http/heartbeat-reader.js';
 import type { KeyChange, ReplicaEntry } from '../src/edge/state-store/replica-view.js';
-import type { StateStore } from '../src/edge/state-store/state-store.js';
 import { jobKey, pageKey } from '../src/wire/keys.js';
 import { encodeJob } from '../src/wire/job-record.js';
 import { encodePage } from '../src/wire/page-record.js';
@@ -135,7 +135,7 @@
     );
   tell(`${openJobs} open jobs of ${TASKS} tasks, as placed by the owner`);
   const copy = new Copy();
-  const counts = new TaskCounts(copy as unknown as StateStore);
+  const counts = new TaskCounts(copy);
   const ended = new FinishedJobCompactor(copy, counts);
   const pages = new DecodedPageCache();
   const routine = ended.start();
