--- a/measure/cost.ts
+++ b/measure/cost.ts
@@ -2,7 +2,7 @@
 import { SimulatedFleet } from '../test/standins/simulated-fleet.js';
 
 /**
- * What events cost the owner's core as machines and tasks become more. Run by hand: `npm run cost`. Absolute times
+ * What events cost the scheduler as machines and tasks become more. Run by hand: `npm run cost`. Absolute times
  * depend on the machine, so what counts is each column's ratio to the smallest size, and the counts beside it.
  */
 const micros = (n: number, f: (k: number) => void): number => {
--- a/measure/load.ts
+++ b/measure/load.ts
@@ -160,12 +160,12 @@
   }
 }
 
-async function startWorkers(controllers: readonly string[], watch: TaskHistory): Promise<WorkerStandIn[]> {
+async function startWorkers(controllers: readonly string[], history: TaskHistory): Promise<WorkerStandIn[]> {
   const workers: WorkerStandIn[] = [];
   for (let n = 0; n < machines; n++) {
     const zone = n % 2 === 0 ? 'east' : 'west';
     const name = `n-${String(n).padStart(6, '0')}`;
-    const worker = new WorkerStandIn(name, zone, controllers, watch, () => 20_000);
+    const worker = new WorkerStandIn(name, zone, controllers, history, () => 20_000);
     worker.heartbeatIntervalMs = reportS * 1000;
     worker.leaseMs = LEASE_S * 1000;
     worker.agent = new Agent({ keepAlive: true, maxSockets: 1 });
--- a/measure/memory.ts
+++ b/measure/memory.ts
@@ -50,7 +50,7 @@
   last = now;
 }
 
-/** A followed copy without a state service. */
+/** A followed copy without a state store. */
 class Copy {
   readonly replica = new Map<string, ReplicaEntry>();
   readonly changes = new Subject<KeyChange>();
@@ -133,7 +133,7 @@
       { kind: 'job-changed', id: `req-${n}`, record: recordOf(n, 'open'), modRevision: n + 1 },
       timeAt(1),
     );
-  tell(`${openJobs} open jobs of ${TASKS} tasks, as placed by the owner`);
+  tell(`${openJobs} open jobs of ${TASKS} tasks, as assigned by the leader`);
   const copy = new Copy();
   const counts = new TaskCounts(copy);
   const ended = new FinishedJobCompactor(copy, counts);
--- a/test/coalesced-read.test.ts
+++ b/test/coalesced-read.test.ts
@@ -4,7 +4,7 @@
 import { CoalescedRead } from '../src/edge/state-store/coalesced-read.js';
 
 // Guards against stale answers to polls: the first read once stayed in place for good, and a controller cut from the
-// state service went on answering from it (found as `forgotten` and `went_back` on simulated days).
+// state store went on answering from it (found as `forgotten` and `went_back` on simulated days).
 test('a request never shares a read that was sent before it arrived', async () => {
   let sent = 0;
   const shared = new CoalescedRead<number>(5, () => Promise.resolve(++sent));
--- a/test/standins/production-version.ts
+++ b/test/standins/production-version.ts
@@ -6,7 +6,7 @@
 import type { RecordCodec } from './simulated-fleet.js';
 
 /**
- * Kept copies of what the version named as `production` in `deploy/service.toml` writes to the state service and
+ * Kept copies of what the version named as `production` in `deploy/service.toml` writes to the state store and
  * accepts from it. They stay as they are while that version may run beside newer ones: tests play both on each other's
  * records. It knows no dependencies, and drops fields that it does not know.
  */
