--- a/src/core/reconciliation/fencing.ts
+++ b/src/core/reconciliation/fencing.ts
@@ -9,13 +9,13 @@
 import { isOverloaded } from '../state/overload.js';
 
 /** Machines probed in one sweep: after a failover all of a large fleet would otherwise be called at once. */
-const MAX_PROBES = 50;
+const MAX_PROBES_PER_SWEEP = 50;
 
 /** Machines probed in one sweep while workers are still joining by themselves or the process is overloaded. */
-const MAX_PROBES_WHEN_BUSY = 1;
+const MAX_PROBES_PER_SWEEP_WHEN_BUSY = 1;
 
 /** When no worker has joined for so long, the rest are not about to join by themselves. */
-const JOINING_PAUSE = seconds(1);
+const JOIN_QUIET_PERIOD = seconds(1);
 
 /**
  * How long a machine that has sent a heartbeat has to show this term's token by itself: a higher token makes it send
@@ -37,8 +37,9 @@
 export function fenceMachines(state: ClusterState, now: Timestamp): void {
   const unfenced: Machine[] = [];
   for (const machine of state.machines.byName.values()) if (needsProbe(machine, now)) unfenced.push(machine);
-  const stillJoining = now.monotonic - state.term.lastWorkerJoinedAt < JOINING_PAUSE;
-  const limit = stillJoining || isOverloaded(state.term) ? MAX_PROBES_WHEN_BUSY : MAX_PROBES;
+  const workersStillJoining = now.monotonic - state.term.lastWorkerJoinedAt < JOIN_QUIET_PERIOD;
+  const limit =
+    workersStillJoining || isOverloaded(state.term) ? MAX_PROBES_PER_SWEEP_WHEN_BUSY : MAX_PROBES_PER_SWEEP;
   if (unfenced.length > limit) unfenced.sort((a, b) => b.assignments.size - a.assignments.size);
   for (const machine of unfenced.slice(0, limit)) {
     machine.probedAt = now.monotonic;
