--- a/src/core/reconciliation/failure-detector.ts
+++ b/src/core/reconciliation/failure-detector.ts
@@ -11,7 +11,7 @@
 import { isOverloaded } from '../state/overload.js';
 
 /** How long a suspected machine with replicas has to answer a probe. */
-const PROBE_ANSWER_TIMEOUT = seconds(2.5);
+const PROBE_RESPONSE_TIMEOUT = seconds(2.5);
 
 /** With fewer machines than this, their silence says little about the leader. */
 const MIN_MACHINES_FOR_CUT_OFF = 3;
@@ -46,9 +46,9 @@
   // In an overloaded process heartbeats that seem to be missing may have arrived and not been read yet.
   if (isOverloaded(state.term)) return [];
   if (now.monotonic - state.term.startedAt < failoverSettlingTime(state.config)) return [];
-  const unresponsive = machinesNeverSeen(state);
+  const unresponsive = machinesWithoutHeartbeat(state);
   if (manySuspected(state, now)) return unresponsive;
-  const releaseAfter = suspicionTimeout(state.config) + PROBE_ANSWER_TIMEOUT;
+  const releaseAfter = suspicionTimeout(state.config) + PROBE_RESPONSE_TIMEOUT;
   for (const machine of fencedMachines(state)) {
     if (machine.agentEpoch <= machine.lastExpiredEpoch || !isSuspected(state.config, machine, now.monotonic))
       continue;
@@ -64,16 +64,16 @@
  * leader may have acknowledged their heartbeats until shortly before it ended, so that their leases prove nothing for
  * most of a minute; a machine that is cut off around a failover would leave its users without replicas for that time.
  */
-function machinesNeverSeen(state: ClusterState): string[] {
+function machinesWithoutHeartbeat(state: ClusterState): string[] {
   let withAssignments = 0;
-  const neverSeen: Machine[] = [];
+  const withoutHeartbeat: Machine[] = [];
   for (const machine of state.machines.byName.values()) {
     if (machine.assignments.size === 0) continue;
     withAssignments += 1;
-    if (machine.lastHeartbeatAt === 0n && !machine.releasing) neverSeen.push(machine);
+    if (machine.lastHeartbeatAt === 0n && !machine.releasing) withoutHeartbeat.push(machine);
   }
-  if (isLargeShare(neverSeen.length, withAssignments)) return [];
-  return neverSeen.filter((machine) => holdsReplica(state, machine)).map((machine) => machine.name);
+  if (isLargeShare(withoutHeartbeat.length, withAssignments)) return [];
+  return withoutHeartbeat.filter((machine) => holdsReplica(state, machine)).map((machine) => machine.name);
 }
 
 const fencedMachines = (state: ClusterState): Machine[] =>
