--- a/src/core/reconciliation/heartbeat-intake.ts
+++ b/src/core/reconciliation/heartbeat-intake.ts
@@ -18,7 +18,7 @@
 /** Handles a heartbeat that a worker sent by itself. */
 export function onWorkerHeartbeat(state: ClusterState, heartbeat: Heartbeat, now: Timestamp): void {
   applyHeartbeat(state, heartbeat, now);
-  recordJoin(state, heartbeat.machineName, now);
+  recordFirstHeartbeat(state, heartbeat.machineName, now);
   dropCompletedForgets(state.commands, heartbeat);
 }
 
@@ -62,7 +62,7 @@
   (heartbeat.agentEpoch === machine.agentEpoch && heartbeat.sequence > machine.sequence);
 
 /** A machine that joined by itself needs no direct call to be fenced for a while. */
-function recordJoin(state: ClusterState, machineName: string, now: Timestamp): void {
+function recordFirstHeartbeat(state: ClusterState, machineName: string, now: Timestamp): void {
   const machine = state.machines.byName.get(machineName);
   if (machine === undefined || machine.firstHeartbeatAt !== null) return;
   machine.firstHeartbeatAt = now.monotonic;
