--- a/src/core/reconciliation/assignment-reconciliation.ts
+++ b/src/core/reconciliation/assignment-reconciliation.ts
@@ -29,7 +29,7 @@
     if (assignment.agentEpoch === heartbeat.agentEpoch)
       reconcileAssignment(state, machine, heartbeat, assignment, listedAttempts, now);
   detectLostStarts(state, machine, now.monotonic);
-  findOrphanedTasks(state, machine);
+  detectOrphanedTasks(state, machine);
 }
 
 function reconcileAssignment(
@@ -89,7 +89,7 @@
 }
 
 /** Tasks on the machine without an assignment take resources there until they are stopped. */
-function findOrphanedTasks(state: ClusterState, machine: Machine): void {
+function detectOrphanedTasks(state: ClusterState, machine: Machine): void {
   const hadOrphanedTasks = machine.hasOrphanedTasks;
   machine.hasOrphanedTasks = false;
   for (const [key, task] of machine.reportedTasks)
