--- a/src/core/reconciliation/command-outcomes.ts
+++ b/src/core/reconciliation/command-outcomes.ts
@@ -15,13 +15,13 @@
   if (answer.outcome !== 'unknown' && answer.heartbeat !== null && machine !== undefined)
     markReachable(state, machine);
   for (const command of answer.commands)
-    if (command.op === 'start') settleStart(state, machine, answer, command);
+    if (command.op === 'start') recordStartOutcome(state, machine, answer, command);
   if (answer.heartbeat === null) return;
   applyHeartbeat(state, answer.heartbeat, now);
   if (answer.outcome === 'refused') retryFencing(state, answer.machineName);
 }
 
-function settleStart(
+function recordStartOutcome(
   state: ClusterState,
   machine: Machine | undefined,
   answer: CommandsAnswered,
