--- a/src/core/reconciliation/agent-epochs.ts
+++ b/src/core/reconciliation/agent-epochs.ts
@@ -15,7 +15,7 @@
  * The last heartbeats before a worker hangs may be acknowledged without reaching it. An epoch that ends this many
  * heartbeat intervals before its lease should have expired is not explained by that.
  */
-const EARLY_EXPIRY_HEARTBEATS = 4n;
+const EARLY_EXPIRY_HEARTBEAT_INTERVALS = 4n;
 
 /** Starts a newer agent epoch of a machine. */
 export function beginAgentEpoch(
@@ -24,7 +24,7 @@
   agentEpoch: number,
   now: MonotonicTime,
 ): void {
-  if (endedBeforeLease(state, machine, now)) markUnreachable(state, machine, now);
+  if (endedBeforeLeaseExpiry(state, machine, now)) markUnreachable(state, machine, now);
   machine.agentEpoch = agentEpoch;
   machine.sequence = 0;
   machine.answeredSequences = [];
@@ -42,12 +42,13 @@
 }
 
 /** The worker's lease expired although its heartbeats were acknowledged in time: nothing that we send reaches it. */
-function endedBeforeLease(state: ClusterState, machine: Machine, now: MonotonicTime): boolean {
-  const earlyUntil = leaseExpiry(state, machine) - state.config.heartbeatInterval * EARLY_EXPIRY_HEARTBEATS;
+function endedBeforeLeaseExpiry(state: ClusterState, machine: Machine, now: MonotonicTime): boolean {
+  const earlyThreshold =
+    leaseExpiry(state, machine) - state.config.heartbeatInterval * EARLY_EXPIRY_HEARTBEAT_INTERVALS;
   return (
     machine.agentEpoch > 0 &&
     machine.lastExpiredEpoch < machine.agentEpoch &&
     machine.fenced &&
-    now < earlyUntil
+    now < earlyThreshold
   );
 }
