--- a/src/core/reconciliation/task-exits.ts
+++ b/src/core/reconciliation/task-exits.ts
@@ -50,7 +50,7 @@
   ) {
     const job = state.jobs.byId.get(task.jobId);
     const completed = task.exitReason === 'done';
-    if (job !== undefined && !completed) onFailure(state, job, machine, task, now);
+    if (job !== undefined && !completed) onTaskFailure(state, job, machine, task, now);
     if (assignment.runningSince !== null && completed && job !== undefined)
       updateDurationFactor(state, job, now.monotonic - assignment.runningSince);
     endAssignment(state, assignment, completed, task.exitReason ?? 'exited', now.monotonic);
@@ -68,7 +68,7 @@
         stopAssignment(state, assignment, 0, `gang task failed: ${task.exitReason}`, now.monotonic);
 }
 
-function onFailure(
+function onTaskFailure(
   state: ClusterState,
   job: Job,
   machine: Machine,
@@ -104,17 +104,17 @@
 
 /** A job that fails everywhere is retried ever later. */
 function retryDelay(job: Job): Duration {
-  if (!failsEverywhere(job)) return seconds(RETRY_DELAY_S);
+  if (!failsOnManyMachines(job)) return seconds(RETRY_DELAY_S);
   return seconds(Math.min(2 ** Math.min(job.failureCount, MAX_BACKOFF_EXPONENT), MAX_RETRY_DELAY_S));
 }
 
-const failsEverywhere = (job: Job): boolean => job.failuresByMachine.size > MAX_SUSPECT_MACHINES_OF_JOB;
+const failsOnManyMachines = (job: Job): boolean => job.failuresByMachine.size > MAX_SUSPECT_MACHINES_OF_JOB;
 
 /** Different jobs failing on a machine are the machine's fault; jobs that fail everywhere do not count against it. */
 function quarantineIfFaulty(state: ClusterState, machine: Machine, now: Timestamp): void {
   const failedJobs = [...machine.failuresByJob.keys()].filter((id) => {
     const job = state.jobs.byId.get(id);
-    return job === undefined || !failsEverywhere(job);
+    return job === undefined || !failsOnManyMachines(job);
   });
   if (machine.quarantined || failedJobs.length < state.settings.quarantineThreshold) return;
   machine.quarantined = true;
@@ -127,9 +127,9 @@
   const estimate = toSeconds(job.spec.estimatedDuration);
   if (estimate <= 0) return;
   const ratio = Math.min(MAX_DURATION_RATIO, Math.max(MIN_DURATION_RATIO, toSeconds(ranFor) / estimate));
-  const known = state.jobs.durationFactors.get(job.spec.class) ?? 1;
+  const previousFactor = state.jobs.durationFactors.get(job.spec.class) ?? 1;
   state.jobs.durationFactors.set(
     job.spec.class,
-    known * (1 - DURATION_SAMPLE_WEIGHT) + ratio * DURATION_SAMPLE_WEIGHT,
+    previousFactor * (1 - DURATION_SAMPLE_WEIGHT) + ratio * DURATION_SAMPLE_WEIGHT,
   );
 }
