--- a/src/core/commands/forgets.ts
+++ b/src/core/commands/forgets.ts
@@ -36,7 +36,7 @@
 }
 
 /** The exited tasks that the machine's worker may forget now. */
-export function forgetsFor(state: ClusterState, machine: Machine): PendingForget[] {
+export function allowedForgets(state: ClusterState, machine: Machine): PendingForget[] {
   const allowed: PendingForget[] = [];
   for (const forget of state.commands.pendingForgets.get(machine.name)?.values() ?? [])
     if (mayForget(state, machine, forget)) allowed.push(forget);
--- a/src/core/commands/heartbeat-commands.ts
+++ b/src/core/commands/heartbeat-commands.ts
@@ -9,7 +9,7 @@
 import type { WorkerCommand } from '../model/worker-command.js';
 import type { ClusterState } from '../state/cluster-state.js';
 import { emitLog } from '../state/log-effects.js';
-import { forgetsFor } from './forgets.js';
+import { allowedForgets } from './forgets.js';
 import { isStartable } from './start-conditions.js';
 import { forgetCommand, startCommand, stopCommand } from './worker-commands.js';
 
@@ -37,7 +37,7 @@
     if (command !== null) commands.push(command);
   }
   commands.push(...stopsForOrphanedTasks(state, machine));
-  for (const forget of forgetsFor(state, machine)) commands.push(forgetCommand(forget));
+  for (const forget of allowedForgets(state, machine)) commands.push(forgetCommand(forget));
   return commands;
 }
 
