--- a/src/core/commands/heartbeat-commands.ts
+++ b/src/core/commands/heartbeat-commands.ts
@@ -28,7 +28,8 @@
 ): WorkerCommand[] {
   const machine = state.machines.byName.get(heartbeat.machineName);
   if (machine === undefined) return [];
-  if (heartbeat.agentEpoch === machine.agentEpoch && !recordAnswered(machine, heartbeat.sequence)) return [];
+  if (heartbeat.agentEpoch === machine.agentEpoch && !recordAnsweredHeartbeat(machine, heartbeat.sequence))
+    return [];
   machine.lastAcknowledgedAt = now.monotonic;
   if (heartbeat.agentEpoch !== machine.agentEpoch || heartbeat.sequence !== machine.sequence) return [];
   const commands: WorkerCommand[] = [];
@@ -42,7 +43,7 @@
 }
 
 /** Records that a heartbeat of the current epoch is answered. False: it is a duplicate of one answered before. */
-function recordAnswered(machine: Machine, sequence: number): boolean {
+function recordAnsweredHeartbeat(machine: Machine, sequence: number): boolean {
   const answered = machine.answeredSequences;
   if (answered.includes(sequence)) return false;
   // A worker sends one heartbeat at a time: one that is older than all of these is no original either.
