--- a/src/core/reconciliation/preemption-notices.ts
+++ b/src/core/reconciliation/preemption-notices.ts
@@ -5,7 +5,7 @@
 import type { Job } from '../model/job.js';
 import type { Machine } from '../model/machine.js';
 import { type Timestamp, toSeconds } from '../model/time.js';
-import { gracePeriod } from '../jobs/grace-period.js';
+import { gracePeriodSeconds } from '../jobs/grace-period.js';
 import type { ClusterState } from '../state/cluster-state.js';
 import { emitLog } from '../state/log-effects.js';
 
@@ -23,7 +23,7 @@
       // A notice may be half its nominal length: what has to checkpoint is stopped while there surely is time.
       const mayFinish =
         finishesWithin(state, job, assignment, remainingS, now) &&
-        remainingS > gracePeriod(job) + NOTICE_MARGIN_S;
+        remainingS > gracePeriodSeconds(job) + NOTICE_MARGIN_S;
       if (!mayFinish) stopBeforePreemption(state, machine, job, assignment, remainingS, now);
     }
   }
@@ -58,5 +58,5 @@
   );
   const stopped = job.spec.kind === 'gang' ? assignmentsOf(job) : [assignment];
   for (const each of stopped)
-    stopAssignment(state, each, gracePeriod(job), 'spot preemption notice', now.monotonic);
+    stopAssignment(state, each, gracePeriodSeconds(job), 'spot preemption notice', now.monotonic);
 }
--- a/src/core/scheduling/eviction.ts
+++ b/src/core/scheduling/eviction.ts
@@ -1,6 +1,6 @@
 /** @file Stops tasks for a job that preempts them, with the time that they need for a checkpoint where there is any. */
 import { assignmentsOf, stopAssignment } from '../assignments/assignments.js';
-import { gracePeriod } from '../jobs/grace-period.js';
+import { gracePeriodSeconds } from '../jobs/grace-period.js';
 import { pendingSeconds } from '../jobs/deadline-slack.js';
 import { type Assignment, taskKey } from '../model/assignment.js';
 import type { Job } from '../model/job.js';
@@ -28,7 +28,7 @@
     },
     'info',
   );
-  const grace = checkpointWouldBeTooLate(cycle, victim, preemptor) ? 0 : gracePeriod(victim);
+  const grace = checkpointWouldBeTooLate(cycle, victim, preemptor) ? 0 : gracePeriodSeconds(victim);
   victim.preemptionCount += 1;
   const stopped = victim.spec.kind === 'gang' ? assignmentsOf(victim) : [assignment];
   for (const each of stopped) stopAssignment(state, each, grace, 'preempted', now.monotonic);
@@ -38,7 +38,7 @@
 const checkpointWouldBeTooLate = (cycle: SchedulingCycle, victim: Job, preemptor: Job): boolean =>
   victim.spec.kind === 'array' &&
   preemptor.spec.priority === 'production' &&
-  startObjectiveSeconds(cycle, preemptor) < gracePeriod(victim);
+  startObjectiveSeconds(cycle, preemptor) < gracePeriodSeconds(victim);
 
 /** Seconds in which the job should start by the objectives of its class; infinite without one that is still in force. */
 function startObjectiveSeconds({ state, now }: SchedulingCycle, job: Job): number {
