--- a/src/core/jobs/deadline-slack.ts
+++ b/src/core/jobs/deadline-slack.ts
@@ -29,7 +29,7 @@
  * those of the jobs that depend on it.
  */
 export function startDeadline(state: ClusterState, job: Job): number {
-  const startWithin = objectiveSeconds(state, job);
+  const startWithin = startObjectiveSeconds(state, job);
   const latestStart = job.latestCompletion - estimatedSeconds(state, job);
   if (startWithin === Infinity && latestStart !== Infinity) return latestStart;
   const readyAt = wallSeconds(job.readySince ?? job.submittedAt);
@@ -37,7 +37,7 @@
 }
 
 /** Seconds within which the job should start by the objectives of its class; infinite without one. */
-function objectiveSeconds(state: ClusterState, job: Job): number {
+function startObjectiveSeconds(state: ClusterState, job: Job): number {
   let startWithin = Infinity;
   for (const objective of state.config.objectives) {
     if (objective.class !== job.spec.class || objective.threshold === null) continue;
