--- a/src/core/jobs/urgency.ts
+++ b/src/core/jobs/urgency.ts
@@ -22,7 +22,7 @@
   priorityRank(second) > priorityRank(first) ? second : first;
 
 /** The completion of a dependency that leaves its dependent the time to run. */
-const completionBefore = (state: ClusterState, dependent: Job): number =>
+const latestDependencyCompletion = (state: ClusterState, dependent: Job): number =>
   dependent.latestCompletion - estimatedSeconds(state, dependent);
 
 /** A job's own urgency, joined with that of its known dependents. */
@@ -33,7 +33,7 @@
     const dependent = state.jobs.byId.get(id);
     if (dependent === undefined || dependent.status !== 'open') continue;
     priority = higherPriority(priority, dependent.priority);
-    latestCompletion = Math.min(latestCompletion, completionBefore(state, dependent));
+    latestCompletion = Math.min(latestCompletion, latestDependencyCompletion(state, dependent));
   }
   return { priority, latestCompletion };
 }
@@ -51,7 +51,7 @@
   setUrgency(job, urgencyOf(state, job));
   updateDependencies(state, job, (dependency, dependent) => ({
     priority: higherPriority(dependency.priority, dependent.priority),
-    latestCompletion: Math.min(dependency.latestCompletion, completionBefore(state, dependent)),
+    latestCompletion: Math.min(dependency.latestCompletion, latestDependencyCompletion(state, dependent)),
   }));
 }
 
