--- a/src/core/reconciliation/agent-epochs.ts
+++ b/src/core/reconciliation/agent-epochs.ts
@@ -1,5 +1,5 @@
 /**
- * @file What a new agent epoch of a worker means: it has killed all tasks of the epochs before and forgotten them, and
+ * @file Handles a new agent epoch of a worker: the worker has killed and forgotten all tasks of earlier epochs, and
  * refuses commands for those epochs.
  */
 import { endAssignment } from '../assignments/assignments.js';
@@ -12,12 +12,13 @@
 import { leaseExpiry } from '../machines/lease-expiry.js';
 
 /**
- * The last heartbeats before a worker hangs may be acknowledged without reaching it. An epoch that ends this many
- * heartbeat intervals before its lease should have expired is not explained by that.
+ * An agent epoch may end a little before its lease should have expired, because the last heartbeats before a worker
+ * hangs may be acknowledged without the response reaching it. That does not explain an end this many heartbeat
+ * intervals too early.
  */
 const EARLY_EXPIRY_HEARTBEAT_INTERVALS = 4n;
 
-/** Starts a newer agent epoch of a machine. */
+/** Records that a machine's worker has begun a newer agent epoch, and ends the assignments of earlier epochs. */
 export function beginAgentEpoch(
   state: ClusterState,
   machine: Machine,
@@ -29,9 +30,9 @@
   machine.sequence = 0;
   machine.answeredSequences = [];
   machine.unacknowledgedStarts = 0;
-  // The lease of an epoch runs from its beginning, also where no heartbeat of it was acknowledged yet. Counted from an
-  // older acknowledgement it would expire here while the worker holds it, and a start command in flight would start
-  // what was ended.
+  // The lease of an epoch starts with the epoch, even if none of its heartbeats has been acknowledged yet. If it were
+  // counted from an older acknowledgement, it would expire here while the worker still holds it, and a start command in
+  // flight would start a task whose assignment has been ended.
   machine.lastAcknowledgedAt = laterOf(machine.lastAcknowledgedAt, now);
   machine.lastExpiredEpoch = Math.max(machine.lastExpiredEpoch, agentEpoch - 1);
   dropUnresolvedStarts(state.commands, machine.name);
@@ -41,7 +42,10 @@
   state.scheduling.cycleNeeded = true;
 }
 
-/** The worker's lease expired although its heartbeats were acknowledged in time: nothing that we send reaches it. */
+/**
+ * True if the worker's agent epoch ended well before its lease should have expired. The lease expired although
+ * heartbeats were acknowledged in time, so nothing that the leader sends reaches the worker.
+ */
 function endedBeforeLeaseExpiry(state: ClusterState, machine: Machine, now: MonotonicTime): boolean {
   const earlyThreshold =
     leaseExpiry(state, machine) - state.config.heartbeatInterval * EARLY_EXPIRY_HEARTBEAT_INTERVALS;
--- a/src/core/reconciliation/assignment-reconciliation.ts
+++ b/src/core/reconciliation/assignment-reconciliation.ts
@@ -1,6 +1,6 @@
 /**
- * @file Compares the tasks in a machine's newest heartbeat with the assignments recorded for it: updates their phases,
- * and ends those that the heartbeat proves gone.
+ * @file Compares the tasks in a machine's newest heartbeat with the assignments recorded for it: updates the phases of
+ * the assignments, and ends those whose tasks the heartbeat proves gone.
  */
 import { endAssignment } from '../assignments/assignments.js';
 import { recordImageUse } from '../machines/image-cache.js';
@@ -12,7 +12,7 @@
 import { startMayStillArrive } from '../state/command-state.js';
 import { countUnacknowledgedStart, detectLostStarts } from './reachability.js';
 
-/** Takes in the tasks of a machine's newest heartbeat. */
+/** Reconciles a machine's assignments with the tasks in its newest heartbeat. */
 export function reconcileAssignments(
   state: ClusterState,
   machine: Machine,
@@ -44,11 +44,11 @@
   const reported = machine.reportedTasks.get(taskKey(jobId, taskIndex));
   if (reported !== undefined && reported.attempt === attempt)
     return onTaskReported(state, machine, assignment, reported, now);
-  // What is listed here has exited, and was handled as such.
+  // The heartbeat lists this attempt as exited, and its exit has already been handled.
   if (listedAttempts.has(attemptKey(jobId, taskIndex, attempt))) return;
-  // Absence proves something only if the worker has this term's token and no start command can still arrive.
+  // Absence is proof only if the worker has shown this term's fencing token and no start command can still arrive.
   if (!machine.fenced || startMayStillArrive(state.commands, assignment)) return;
-  // A heartbeat that is no newer than the one whose answer carried the start command cannot show the task.
+  // A heartbeat that is no newer than the one whose response carried the start command cannot show the task.
   if (assignment.startSentInSequence !== null && heartbeat.sequence <= assignment.startSentInSequence) return;
   onTaskAbsent(state, machine, heartbeat, assignment, now);
 }
@@ -64,7 +64,7 @@
   machine.unacknowledgedStarts = 0;
   if (reported.state === 'running' && assignment.runningSince === null)
     assignment.runningSince = now.monotonic;
-  // An earlier leader sent the start command.
+  // A previous leader sent the start command.
   if (assignment.startSentInSequence === null) assignment.startSentInSequence = 0;
   const job = state.jobs.byId.get(assignment.jobId);
   if (reported.state !== 'fetching' && job !== undefined)
@@ -88,7 +88,7 @@
     endAssignment(state, assignment, false, `not started: ${assignment.stopRequest.reason}`, now.monotonic);
 }
 
-/** Tasks on the machine without an assignment take resources there until they are stopped. */
+/** Detects tasks on the machine that have no assignment: they take resources there until they are stopped. */
 function detectOrphanedTasks(state: ClusterState, machine: Machine): void {
   const hadOrphanedTasks = machine.hasOrphanedTasks;
   machine.hasOrphanedTasks = false;
--- a/src/core/reconciliation/command-outcomes.ts
+++ b/src/core/reconciliation/command-outcomes.ts
@@ -1,4 +1,4 @@
-/** @file What became of commands that were sent directly. */
+/** @file Handles the outcomes of commands that were sent directly to workers. */
 import type { CommandsAnswered } from '../model/events.js';
 import type { Machine } from '../model/machine.js';
 import type { Timestamp } from '../model/time.js';
@@ -9,7 +9,9 @@
 import type { ClusterState } from '../state/cluster-state.js';
 import { trackStartAnswered, trackUnresolvedStart } from '../commands/start-tracking.js';
 
-/** Takes in the outcome of direct commands, and the heartbeat if the worker itself answered. */
+/**
+ * Records the outcome of direct commands, and applies the heartbeat in the response if the worker itself answered.
+ */
 export function onCommandsAnswered(state: ClusterState, answer: CommandsAnswered, now: Timestamp): void {
   const machine = state.machines.byName.get(answer.machineName);
   if (answer.outcome !== 'unknown' && answer.heartbeat !== null && machine !== undefined)
@@ -28,7 +30,8 @@
   command: WorkerCommand,
 ): void {
   trackStartAnswered(state.commands, answer.machineName, command);
-  // It may still arrive, unless the worker has gone on to a newer epoch or a higher token and would refuse it.
+  // The command may still arrive, unless the worker would refuse it because of a newer agent epoch or a higher fencing
+  // token.
   if (
     answer.outcome === 'unknown' &&
     machine !== undefined &&
--- a/src/core/reconciliation/failure-detector.ts
+++ b/src/core/reconciliation/failure-detector.ts
@@ -1,7 +1,7 @@
 /**
- * @file Concludes from missing heartbeats which machines have failed, and whether it is rather the leader that is cut
- * off. It releases nothing itself. Without proof nothing counts as gone: a lease expires, or the cloud terminates the
- * machine.
+ * @file Detects from missing heartbeats which machines have failed, and whether the leader is more likely to be cut off
+ * from the workers. This module releases nothing itself. No task counts as gone without proof: either its worker's
+ * lease expires, or the cloud terminates the machine.
  */
 import { requestProbe } from '../commands/probes.js';
 import { failoverSettlingTime, isSuspected, suspicionTimeout } from '../machines/responsiveness.js';
@@ -10,25 +10,27 @@
 import type { ClusterState } from '../state/cluster-state.js';
 import { isOverloaded } from '../state/overload.js';
 
-/** How long a suspected machine with replicas has to answer a probe. */
+/** How long a suspected machine with service replicas has to respond to a probe. */
 const PROBE_RESPONSE_TIMEOUT = seconds(2.5);
 
-/** With fewer machines than this, their silence says little about the leader. */
+/** With fewer machines than this, missing heartbeats are weak evidence that the leader is cut off. */
 const MIN_MACHINES_FOR_CUT_OFF = 3;
 
-/** Whether so many of the machines are missing that it is more likely the leader that is cut off. */
+/**
+ * True if so many machines are missing that the leader is more likely to be cut off than the machines to have failed.
+ */
 const isLargeShare = (missing: number, all: number): boolean => missing > Math.max(1, all / 5);
 
-/** Whether so many machines are suspected together that none of them may be released for it. */
+/** True if so many machines are suspected at once that none of them may be released for being suspected. */
 export function manySuspected(state: ClusterState, now: Timestamp): boolean {
   const machines = fencedMachines(state);
   return isLargeShare(countSuspected(state, machines, now), machines.length);
 }
 
 /**
- * A leader that reaches the state store but hardly any worker keeps their leases from being renewed by anybody: the
- * other controllers send the workers back to it. It steps down, in time for another leader to acknowledge heartbeats
- * before the leases expire.
+ * True if the leader receives heartbeats from so few machines that it should step down. While it still reaches the
+ * state store, the other controllers redirect workers to it, so no controller renews their leases. Stepping down now
+ * leaves another leader enough time to acknowledge heartbeats before the leases expire.
  */
 export function isCutOffFromWorkers(state: ClusterState, now: Timestamp): boolean {
   if (now.monotonic - state.term.startedAt < state.config.workerLease / 2n) return false;
@@ -38,12 +40,13 @@
 }
 
 /**
- * Machines with replicas that became unresponsive. Waiting for their leases would leave users without those replicas,
- * so that each is probed and, if it does not answer, listed here to be released: its termination proves its tasks
- * gone. When many are suspected together the leader is more likely cut off: then their leases decide.
+ * Returns the names of unresponsive machines with service replicas, which are to be released because their termination
+ * proves their tasks gone. Waiting for their leases to expire would leave users without those replicas. A suspected
+ * machine is probed first and returned only if it does not respond. If many machines are suspected at once, the leader
+ * is more likely to be cut off, and their leases decide instead.
  */
 export function findUnresponsiveMachines(state: ClusterState, now: Timestamp): string[] {
-  // In an overloaded process heartbeats that seem to be missing may have arrived and not been read yet.
+  // In an overloaded process, heartbeats that seem to be missing may have arrived without having been read yet.
   if (isOverloaded(state.term)) return [];
   if (now.monotonic - state.term.startedAt < failoverSettlingTime(state.config)) return [];
   const unresponsive = machinesWithoutHeartbeat(state);
@@ -60,9 +63,10 @@
 }
 
 /**
- * Machines with recorded replicas that sent no heartbeat in this term, while nearly all others with work did. An earlier
- * leader may have acknowledged their heartbeats until shortly before it ended, so that their leases prove nothing for
- * most of a minute; a machine that is cut off around a failover would leave its users without replicas for that time.
+ * Returns the names of machines with recorded service replicas that have sent no heartbeat in this term, if nearly all
+ * other machines with assignments have. A previous leader may have acknowledged their heartbeats until shortly before
+ * it ended, so their leases prove nothing for most of a minute. For that time, a machine that was cut off around a
+ * failover would leave its users without replicas.
  */
 function machinesWithoutHeartbeat(state: ClusterState): string[] {
   let withAssignments = 0;
--- a/src/core/reconciliation/fencing.ts
+++ b/src/core/reconciliation/fencing.ts
@@ -1,4 +1,7 @@
-/** @file Makes sure that workers obey this term alone, and finds out when only a higher fencing token helps. */
+/**
+ * @file Fences workers, so that they accept commands from this term only, and detects when only a higher fencing token
+ * allows progress.
+ */
 import { startNeverSent } from '../assignments/assignments.js';
 import { requestProbe } from '../commands/probes.js';
 import { attemptKey, taskKey } from '../model/assignment.js';
@@ -8,31 +11,37 @@
 import { mayStartTasks } from '../state/leadership-timing.js';
 import { isOverloaded } from '../state/overload.js';
 
-/** Machines probed in one sweep: after a failover all of a large fleet would otherwise be called at once. */
+/**
+ * Upper bound on machines probed in one sweep: without it, a failover would probe all machines of a large fleet at
+ * once.
+ */
 const MAX_PROBES_PER_SWEEP = 50;
 
-/** Machines probed in one sweep while workers are still joining by themselves or the process is overloaded. */
+/**
+ * Upper bound on machines probed in one sweep while workers are still joining (sending their first heartbeat of the
+ * term) by themselves, or while the process is overloaded.
+ */
 const MAX_PROBES_PER_SWEEP_WHEN_BUSY = 1;
 
-/** When no worker has joined for so long, the rest are not about to join by themselves. */
+/** If no worker has joined for this long, the remaining workers are not expected to join without a probe. */
 const JOIN_QUIET_PERIOD = seconds(1);
 
 /**
- * How long a machine that has sent a heartbeat has to show this term's token by itself: a higher token makes it send
- * the next heartbeat half a second later.
+ * How long a machine has, after its first heartbeat of the term, to show this term's fencing token without a probe. A
+ * worker that receives a higher token sends its next heartbeat half a second later.
  */
 const TOKEN_ECHO_TIMEOUT = seconds(1.5);
 
-/** How often one machine is probed. */
+/** How often an unfenced machine is probed. */
 const PROBE_INTERVAL = seconds(2);
 
-/** Without a heartbeat for so many intervals a worker would not show a higher token either. */
+/** A worker that has sent no heartbeat for more than this many intervals would not show a higher token either. */
 const MAX_HEARTBEAT_INTERVALS_MISSED = 3n;
 
 /**
- * Probes machines that have not shown this term's token, so that they take it before anything else is done. A machine
- * whose heartbeats come shows the token in the heartbeat after the first that was acknowledged, so it is probed only if
- * it does not; a direct call costs several times as much as a heartbeat. Machines with assignments come first.
+ * Probes machines that have not shown this term's fencing token, so that they adopt it before anything else is done. A
+ * machine that sends heartbeats shows the token in the heartbeat after the first acknowledged one. It is probed only if
+ * it does not, because a direct call costs several times as much as a heartbeat. Machines with assignments come first.
  */
 export function fenceMachines(state: ClusterState, now: Timestamp): void {
   const unfenced: Machine[] = [];
@@ -43,7 +52,7 @@
   if (unfenced.length > limit) unfenced.sort((a, b) => b.assignments.size - a.assignments.size);
   for (const machine of unfenced.slice(0, limit)) {
     machine.probedAt = now.monotonic;
-    // A machine that sent no heartbeat has an unknown epoch; its refusal shows the right one.
+    // The agent epoch of a machine that has sent no heartbeat is unknown; the worker's refusal reports the right one.
     requestProbe(state, machine, Math.max(machine.agentEpoch, 1));
   }
 }
@@ -55,14 +64,16 @@
   return machine.firstHeartbeatAt === null || now.monotonic - machine.firstHeartbeatAt >= TOKEN_ECHO_TIMEOUT;
 }
 
-/** Probes a machine again at once whose worker refused the token: its refusal has shown its agent epoch. */
+/**
+ * Probes a machine again at once after its worker refused a direct call: the refusal has reported its agent epoch.
+ */
 export function retryFencing(state: ClusterState, machineName: string): void {
   const machine = state.machines.byName.get(machineName);
   if (machine === undefined || machine.fenced || machine.agentEpoch === 0) return;
   requestProbe(state, machine);
 }
 
-/** Has the fencing token advanced if that is needed. */
+/** Requests an advance of the fencing token if a higher one is needed. */
 export function requestTokenAdvance(state: ClusterState, now: Timestamp): void {
   const reason = tokenAdvanceReason(state, now);
   if (reason === null) return;
@@ -71,8 +82,8 @@
 }
 
 /**
- * Why a higher fencing token is needed; null: it is not. An unresolved start command may block progress, and only a
- * higher token on the worker proves that it will never be carried out.
+ * Returns why a higher fencing token is needed, or null if it is not needed now. An unresolved start command may block
+ * progress, and only a higher token on the worker proves that the command will never be executed.
  */
 function tokenAdvanceReason(state: ClusterState, now: Timestamp): string | null {
   if (
--- a/src/core/reconciliation/heartbeat-intake.ts
+++ b/src/core/reconciliation/heartbeat-intake.ts
@@ -1,6 +1,7 @@
 /**
- * @file Takes in workers' heartbeats, whichever way they come: decides which are current, and updates the machine. What
- * a current heartbeat proves about tasks is concluded by the modules that it calls.
+ * @file Handles workers' heartbeats, whether sent by the worker itself or in the response to direct commands: decides
+ * which are current, and updates the machine. The modules that it calls conclude what a current heartbeat proves about
+ * tasks.
  */
 import { dropCompletedForgets } from '../commands/forgets.js';
 import { dropFencedStarts } from '../commands/start-tracking.js';
@@ -23,7 +24,7 @@
 }
 
 /**
- * Takes in a heartbeat, whether a worker sent it by itself or in the answer to direct commands. Exits count even in
+ * Applies a heartbeat, whether a worker sent it by itself or in the response to direct commands. Exits count even in
  * delayed heartbeats; the absence of a task counts only in current ones.
  */
 export function applyHeartbeat(state: ClusterState, heartbeat: Heartbeat, now: Timestamp): void {
@@ -56,12 +57,18 @@
   if (isUsable(state, machine, now.monotonic) !== wasUsable) state.scheduling.cycleNeeded = true;
 }
 
-/** Heartbeats are ordered by agent epoch, then by sequence; one that is not newer says nothing about the present. */
+/**
+ * True if the heartbeat is newer than the machine's last one, by agent epoch and then by sequence number. A heartbeat
+ * that is not newer proves nothing about the present state.
+ */
 const isCurrent = (machine: Machine, heartbeat: Heartbeat): boolean =>
   heartbeat.agentEpoch > machine.agentEpoch ||
   (heartbeat.agentEpoch === machine.agentEpoch && heartbeat.sequence > machine.sequence);
 
-/** A machine that joined by itself needs no direct call to be fenced for a while. */
+/**
+ * Records when a machine's worker first sent a heartbeat by itself in this term. Such a machine needs no probe for a
+ * while, because it is expected to show the fencing token by itself.
+ */
 function recordFirstHeartbeat(state: ClusterState, machineName: string, now: Timestamp): void {
   const machine = state.machines.byName.get(machineName);
   if (machine === undefined || machine.firstHeartbeatAt !== null) return;
--- a/src/core/reconciliation/image-sightings.ts
+++ b/src/core/reconciliation/image-sightings.ts
@@ -1,11 +1,13 @@
-/** @file Images that another source than a heartbeat shows to be cached on machines. */
+/** @file Records images that a source other than heartbeats shows to be cached on machines. */
 import type { ImageSighting } from '../model/events.js';
 import { recordImageUse } from '../machines/image-cache.js';
 import { getOrAddMachine } from '../machines/machine-registry.js';
 import type { Timestamp } from '../model/time.js';
 import type { ClusterState } from '../state/cluster-state.js';
 
-/** Takes in cached images, as last used at the beginning of the term: heartbeats since then know better. */
+/**
+ * Records images as cached and last used at the beginning of the term, because heartbeats since then are more accurate.
+ */
 export function onImagesObserved(
   state: ClusterState,
   sightings: readonly ImageSighting[],
--- a/src/core/reconciliation/instance-inventory.ts
+++ b/src/core/reconciliation/instance-inventory.ts
@@ -1,4 +1,4 @@
-/** @file Compares the cloud's inventory and its list of machine types with the machines that the leader knows. */
+/** @file Reconciles the leader's machines with the cloud's inventory and its list of machine types. */
 import { getOrAddMachine } from '../machines/machine-registry.js';
 import type { CloudInstance, Machine, MachineType } from '../model/machine.js';
 import { type MonotonicTime, type Timestamp, laterOf, seconds } from '../model/time.js';
@@ -7,20 +7,22 @@
 import { removeMachine, removeTerminatedMachine } from './machine-removal.js';
 import { leaseExpiry } from '../machines/lease-expiry.js';
 
-/** A machine without assignments that is unlisted and sends no heartbeats is dropped after so many inventory lags. */
+/**
+ * A machine without assignments that is not listed and sends no heartbeats is removed after this many inventory lags.
+ */
 const UNLISTED_RETENTION_LAGS = 6n;
 
-/** Kept, with half a lag, beyond the two lags by which an inventory may be older than its request. */
+/** Margin that is added, with half a lag, to the two lags by which an inventory may be older than its request. */
 const INVENTORY_PROOF_MARGIN = seconds(2);
 
-/** Takes in the cloud's machine types. */
+/** Stores the cloud's machine types. */
 export function updateMachineTypes(state: ClusterState, types: readonly MachineType[]): void {
   for (const type of types) state.machines.types.set(type.name, type);
   for (const machine of state.machines.byName.values()) machine.resources = null;
   state.scheduling.cycleNeeded = true;
 }
 
-/** Takes in a whole inventory of the cloud's, requested at that time. */
+/** Reconciles the machines with a complete inventory of the cloud, which was requested at `requestedAt`. */
 export function reconcileInventory(
   state: ClusterState,
   instances: readonly CloudInstance[],
@@ -31,7 +33,7 @@
   state.machines.inventorySeen = true;
   for (const instance of instances) {
     listedNames.add(instance.name);
-    // Inventories lag: a machine that is proven to be terminated stays listed for a while.
+    // Inventories lag: a machine that is proven to be terminated remains listed for a while.
     if (!state.machines.terminated.has(instance.name)) updateFromInstance(state, instance, now);
   }
   for (const machine of [...state.machines.byName.values()])
@@ -41,7 +43,7 @@
 function updateFromInstance(state: ClusterState, instance: CloudInstance, now: Timestamp): void {
   const machine = getOrAddMachine(state, instance.name, now.monotonic);
   if (machine.endpoint === '') machine.endpoint = instance.endpoint;
-  // Once the worker has sent a heartbeat, that is the better source.
+  // Once the worker has sent a heartbeat, the heartbeat is the better source.
   if (machine.agentEpoch === 0) {
     if (machine.type !== instance.type) machine.resources = null;
     machine.type = instance.type;
@@ -65,7 +67,8 @@
     if (isProvenTerminated(state, machine, requestedAt)) onUnlistedWithAssignments(state, machine, now);
     return;
   }
-  // Inventories lag and may go back in time: only what has been unlisted and without heartbeats for long is dropped.
+  // Inventories lag, and a later one may describe an earlier moment, so a machine is removed only if it has been
+  // unlisted and has sent no heartbeats for a long time.
   const lastSeenAt = laterOf(
     laterOf(machine.lastHeartbeatAt, machine.lastListedAt ?? 0n),
     machine.firstSeenAt,
@@ -80,8 +83,9 @@
 /**
  * An inventory describes a moment at most twice its lag before it was requested, and lists every machine that existed
  * then and had for so long. A machine that sent a heartbeat, or had an assignment recorded, before that moment and is
- * not listed is terminated: preempted or deleted. Without this proof the tasks of spot machines that were preempted just
- * before a failover waited for leases that an earlier leader might have renewed, and again after each further failover.
+ * not listed has been terminated: preempted or deleted. Without this proof, the tasks of spot machines that were
+ * preempted just before a failover waited for leases that a previous leader might have renewed, and waited again after
+ * each further failover.
  */
 function isProvenTerminated(state: ClusterState, machine: Machine, requestedAt: MonotonicTime): boolean {
   const existedAt = machine.lastHeartbeatAt > 0n ? machine.lastHeartbeatAt : state.term.startedAt;
@@ -98,7 +102,7 @@
   removeTerminatedMachine(state, machine, 'machine terminated', now);
 }
 
-/** Takes in that the cloud has terminated these machines. */
+/** Removes machines that the cloud has terminated on request, and ends their assignments. */
 export function onMachinesReleased(state: ClusterState, names: readonly string[], now: Timestamp): void {
   for (const name of names) {
     const machine = state.machines.byName.get(name);
--- a/src/core/reconciliation/machine-removal.ts
+++ b/src/core/reconciliation/machine-removal.ts
@@ -1,4 +1,4 @@
-/** @file Removes machines from the state, with everything that is kept by machine name. */
+/** @file Removes machines from the state, together with everything that is stored by machine name. */
 import { endAssignment } from '../assignments/assignments.js';
 import { dropForgets } from '../commands/forgets.js';
 import { dropStarts } from '../commands/start-tracking.js';
@@ -6,10 +6,12 @@
 import { type MonotonicTime, type Timestamp, seconds } from '../model/time.js';
 import type { ClusterState } from '../state/cluster-state.js';
 
-/** Delayed heartbeats of a terminated machine arrive hardly later than this. */
+/**
+ * How long the name of a terminated machine is kept: its delayed heartbeats are unlikely to arrive later than this.
+ */
 const TERMINATED_RETENTION = seconds(600);
 
-/** Removes a machine that may still exist: should it send a heartbeat, it becomes known again. */
+/** Removes a machine that may still exist; if it sends a heartbeat, it is added again. */
 export function removeMachine(state: ClusterState, name: string): void {
   state.machines.byName.delete(name);
   state.machines.booting.delete(name);
@@ -18,8 +20,8 @@
 }
 
 /**
- * Removes a machine that is proven to be terminated, and ends its assignments. Its name is kept for a while: a delayed
- * heartbeat would otherwise make it look alive, and tasks would be assigned to it.
+ * Removes a machine that is proven to be terminated, and ends its assignments. Its name is kept for a while, because
+ * otherwise a delayed heartbeat would make it look alive and tasks would be assigned to it.
  */
 export function removeTerminatedMachine(
   state: ClusterState,
--- a/src/core/reconciliation/preemption-notices.ts
+++ b/src/core/reconciliation/preemption-notices.ts
@@ -1,4 +1,4 @@
-/** @file Tasks on spot machines that the cloud is about to take back. */
+/** @file Handles preemption notices of spot machines: stops tasks that would not finish in time. */
 import { assignmentsOf, stopAssignment } from '../assignments/assignments.js';
 import { estimatedSeconds } from '../jobs/deadline-slack.js';
 import { type Assignment, taskKey } from '../model/assignment.js';
@@ -9,10 +9,13 @@
 import type { ClusterState } from '../state/cluster-state.js';
 import { emitLog } from '../state/log-effects.js';
 
-/** Time kept between the expected end of a task, or of its checkpoint, and the moment at which its machine is taken. */
+/** Margin in seconds between the expected end of a task, or of its checkpoint, and the preemption of its machine. */
 const NOTICE_MARGIN_S = 2;
 
-/** Stops tasks that will not be done before their machine is taken, so that they checkpoint and move in time. */
+/**
+ * Stops tasks that are not expected to finish before their machine is preempted, so that they write a checkpoint and
+ * move to another machine in time.
+ */
 export function handlePreemptionNotices(state: ClusterState, now: Timestamp): void {
   for (const machine of state.machines.byName.values()) {
     if (machine.preemptionAt === null || !machine.fenced) continue;
@@ -20,7 +23,8 @@
     for (const assignment of [...machine.assignments.values()]) {
       const job = state.jobs.byId.get(assignment.jobId);
       if (job === undefined || assignment.stopRequest !== null) continue;
-      // A notice may be half its nominal length: what has to checkpoint is stopped while there surely is time.
+      // A notice may be half its nominal length, so a task that has to write a checkpoint is stopped while there is
+      // certainly enough time for it.
       const mayFinish =
         finishesWithin(state, job, assignment, remainingS, now) &&
         remainingS > gracePeriodSeconds(job) + NOTICE_MARGIN_S;
@@ -41,7 +45,9 @@
   return estimatedSeconds(state, job) - ranForS < remainingS - NOTICE_MARGIN_S;
 }
 
-/** A gang loses all its tasks with one, so that all checkpoint together. */
+/**
+ * Stops a task, or all tasks of a gang: a gang that loses one task loses all, so all write their checkpoints together.
+ */
 function stopBeforePreemption(
   state: ClusterState,
   machine: Machine,
--- a/src/core/reconciliation/task-exits.ts
+++ b/src/core/reconciliation/task-exits.ts
@@ -1,6 +1,6 @@
 /**
- * @file What follows from the exit of a task: its assignment ends, its gang is stopped, failures are counted against the
- * job and the machine. Failures are counted here and nowhere else.
+ * @file Handles the exit of a task: ends its assignment, stops its gang if it failed, and counts failures against the
+ * job and the machine. Failures are counted only in this module.
  */
 import { endAssignment, stopAssignment } from '../assignments/assignments.js';
 import { requestForget } from '../commands/forgets.js';
@@ -12,29 +12,31 @@
 import type { ClusterState } from '../state/cluster-state.js';
 import { emitLog } from '../state/log-effects.js';
 
-/** A job that fails on more machines than this is taken to be at fault itself. */
+/** A job that fails on more machines than this is considered to be at fault itself. */
 const MAX_SUSPECT_MACHINES_OF_JOB = 2;
 
-/** Delay of a retry after a failure on few machines. */
+/** Retry delay of a job that has failed on few machines. */
 const RETRY_DELAY_S = 0.2;
 
-/** The longest delay of a retry for a job that fails everywhere; before, it doubles with each failure. */
+/**
+ * Upper bound on the retry delay of a job that fails on many machines; below it, the delay doubles with each failure.
+ */
 const MAX_RETRY_DELAY_S = 60;
 
-/** Keeps the power of two that is capped by `MAX_RETRY_DELAY_S` small. */
+/** Upper bound on the exponent of the retry delay: keeps the power small before `MAX_RETRY_DELAY_S` caps it. */
 const MAX_BACKOFF_EXPONENT = 6;
 
-/** Delay of a retry after a worker refused a start. */
+/** Retry delay after a worker refused a start command. */
 const REFUSED_START_RETRY_DELAY = seconds(0.5);
 
 /** Weight of one completed task in the moving average of a class's duration factor. */
 const DURATION_SAMPLE_WEIGHT = 0.1;
 
-/** One task changes the duration factor by no more than these ratios of its run time to the estimate would. */
+/** Bounds on the ratio of run time to estimate that one task contributes to the duration factor. */
 const MIN_DURATION_RATIO = 0.25;
 const MAX_DURATION_RATIO = 4;
 
-/** Handles an exited task in any heartbeat, also a delayed one: an exit stays true. */
+/** Handles an exited task in any heartbeat, even a delayed one, because an exit is final. */
 export function onTaskExited(
   state: ClusterState,
   machine: Machine,
@@ -60,7 +62,10 @@
     requestForget(state, machine.name, task.jobId, task.taskIndex, task.attempt, now.monotonic);
 }
 
-/** A gang's tasks run together: once one has failed, the others of that attempt have nothing more to do. */
+/**
+ * Stops the other tasks of a gang's attempt after one task has failed: they run together, so the others have nothing
+ * left to do.
+ */
 function stopGangAttempt(state: ClusterState, job: Job, task: ReportedTask, now: Timestamp): void {
   for (const chunk of job.chunks.values())
     for (const assignment of [...chunk.assignments.values()])
@@ -102,7 +107,7 @@
   quarantineIfFaulty(state, machine, now);
 }
 
-/** A job that fails everywhere is retried ever later. */
+/** Returns the retry delay, which grows with each failure of a job that fails on many machines. */
 function retryDelay(job: Job): Duration {
   if (!failsOnManyMachines(job)) return seconds(RETRY_DELAY_S);
   return seconds(Math.min(2 ** Math.min(job.failureCount, MAX_BACKOFF_EXPONENT), MAX_RETRY_DELAY_S));
@@ -110,7 +115,10 @@
 
 const failsOnManyMachines = (job: Job): boolean => job.failuresByMachine.size > MAX_SUSPECT_MACHINES_OF_JOB;
 
-/** Different jobs failing on a machine are the machine's fault; jobs that fail everywhere do not count against it. */
+/**
+ * Quarantines a machine on which enough different jobs have failed, because that indicates a faulty machine. Jobs that
+ * fail on many machines do not count against it.
+ */
 function quarantineIfFaulty(state: ClusterState, machine: Machine, now: Timestamp): void {
   const failedJobs = [...machine.failuresByJob.keys()].filter((id) => {
     const job = state.jobs.byId.get(id);
@@ -122,7 +130,7 @@
   emitLog(state, 'machine quarantined', { machine: machine.name, failedJobs }, 'info');
 }
 
-/** Learns from a completed task how far the estimates of its class are off. */
+/** Updates the duration factor of a class, the ratio of run times to estimates, from a completed task. */
 function updateDurationFactor(state: ClusterState, job: Job, ranFor: Duration): void {
   const estimate = toSeconds(job.spec.estimatedDuration);
   if (estimate <= 0) return;
--- a/src/core/reconciliation/worker-leases.ts
+++ b/src/core/reconciliation/worker-leases.ts
@@ -1,4 +1,4 @@
-/** @file When a worker's lease, and with it every task that the worker held, has surely expired. */
+/** @file Detects when a worker's lease, and with it every task that the worker held, has surely expired. */
 import { leaseExpiry } from '../machines/lease-expiry.js';
 import { endAssignment } from '../assignments/assignments.js';
 import type { Machine } from '../model/machine.js';
