--- a/src/core/commands/direct-starts.ts
+++ b/src/core/commands/direct-starts.ts
@@ -1,4 +1,6 @@
-/** @file Start commands that are sent straight to workers once a commit allows them, ahead of the next heartbeat. */
+/**
+ * @file Sends start commands directly to workers once a commit allows them, without waiting for the next heartbeat.
+ */
 import { assignmentsOf } from '../assignments/assignments.js';
 import type { Assignment } from '../model/assignment.js';
 import type { Machine } from '../model/machine.js';
@@ -12,8 +14,8 @@
 import { startCommand } from './worker-commands.js';
 
 /**
- * Sends the starts that a commit allows. In an overloaded process they are left to the answers to the machines' next
- * heartbeats, which carry them anyway.
+ * Sends the start commands that a commit allows. An overloaded process leaves them to the responses to the machines'
+ * next heartbeats, which carry them anyway.
  */
 export function sendCommittedStarts(state: ClusterState, transaction: Transaction, now: Timestamp): void {
   if (isOverloaded(state.term)) return;
--- a/src/core/commands/forgets.ts
+++ b/src/core/commands/forgets.ts
@@ -1,6 +1,7 @@
 /**
- * @file When workers may forget exited tasks: once their results are committed, and no start command for them can still
- * arrive. It owns the pending forgets: they are queued by the handling of exits, carried out and dropped here.
+ * @file Decides when workers may forget exited tasks: once their results are committed and no start command for them
+ * can still arrive. This module owns the pending forgets: the handling of exits queues them, and they are selected for
+ * sending and dropped here.
  */
 import { attemptKey, taskKey } from '../model/assignment.js';
 import type { Heartbeat } from '../model/heartbeat.js';
@@ -12,7 +13,7 @@
 import { type CommandState, attemptMayStillStart } from '../state/command-state.js';
 import { getOrCreateMap } from '../state/maps.js';
 
-/** Queues a forget command for an exited task, to be sent once what its chunk now holds is committed. */
+/** Queues a forget command for an exited task, to be sent once the current version of its chunk is committed. */
 export function requestForget(
   state: ClusterState,
   machineName: string,
@@ -35,7 +36,7 @@
   });
 }
 
-/** The exited tasks that the machine's worker may forget now. */
+/** Returns the pending forgets of the exited tasks that the machine's worker may forget now. */
 export function allowedForgets(state: ClusterState, machine: Machine): PendingForget[] {
   const allowed: PendingForget[] = [];
   for (const forget of state.commands.pendingForgets.get(machine.name)?.values() ?? [])
@@ -45,16 +46,16 @@
 
 function mayForget(state: ClusterState, machine: Machine, forget: PendingForget): boolean {
   const key = attemptKey(forget.jobId, forget.taskIndex, forget.attempt);
-  // A worker that has forgotten an attempt does not know it: a delayed start command would start it again.
+  // A worker that has forgotten an attempt would start it again if a delayed start command arrived.
   if (attemptMayStillStart(state.commands, machine.name, key)) return false;
   if (!machine.fenced) return false;
   const job = state.jobs.byId.get(forget.jobId);
-  // A job that is finished needs no more results.
+  // A finished job needs no more results.
   if (job === undefined || forget.chunkIndex === null || job.status !== 'open') return true;
   return (job.chunks.get(forget.chunkIndex)?.committedVersion ?? 0) >= forget.recordVersion;
 }
 
-/** Drops the forgets that a heartbeat shows to be carried out. */
+/** Drops the pending forgets that the worker has executed, as a heartbeat shows. */
 export function dropCompletedForgets(commands: CommandState, heartbeat: Heartbeat): void {
   const pending = commands.pendingForgets.get(heartbeat.machineName);
   if (pending === undefined) return;
@@ -67,7 +68,7 @@
     if (!exited.has(attemptKey(forget.jobId, forget.taskIndex, forget.attempt))) pending.delete(task);
 }
 
-/** Drops all forgets for a machine: its worker knows none of the attempts any more. */
+/** Drops all pending forgets of a machine, because its worker no longer stores any of the attempts. */
 export function dropForgets(commands: CommandState, machineName: string): void {
   commands.pendingForgets.delete(machineName);
 }
--- a/src/core/commands/heartbeat-commands.ts
+++ b/src/core/commands/heartbeat-commands.ts
@@ -1,6 +1,6 @@
 /**
- * @file The commands in the answer to a heartbeat, and whether a heartbeat gets any: the answer also renews the
- * worker's lease, so that it is decided here from when the lease is counted.
+ * @file Decides whether the response to a heartbeat carries commands, and which. The response also renews the worker's
+ * lease, so this module also decides from when the lease is counted.
  */
 import { type Assignment, taskKey } from '../model/assignment.js';
 import type { Heartbeat } from '../model/heartbeat.js';
@@ -13,13 +13,17 @@
 import { isStartable } from './start-conditions.js';
 import { forgetCommand, startCommand, stopCommand } from './worker-commands.js';
 
-/** Answered heartbeats that are remembered per machine: duplicates arrive late, but seldom after so many others. */
+/**
+ * Upper bound on the answered heartbeats recorded per machine: duplicates arrive late, but seldom after this many
+ * others.
+ */
 const MAX_ANSWERED_SEQUENCES = 64;
 
 /**
- * The commands for the answer to a heartbeat. A delayed heartbeat gets none: its worker has gone on, and commands for
- * it would fit an older list of tasks. Its answer may still renew the lease, since a heartbeat can be overtaken by the
- * answer to a direct command; only the same heartbeat again is surely a duplicate, whose answer reaches nobody.
+ * Returns the commands for the response to a heartbeat. A delayed heartbeat gets none, because its worker has moved on
+ * and the commands would match an outdated task list. Its response may still renew the lease, because a heartbeat can
+ * be overtaken by the response to a direct command. Only the same heartbeat again is surely a duplicate, and the
+ * response to a duplicate reaches nobody.
  */
 export function commandsForHeartbeat(
   state: ClusterState,
@@ -42,11 +46,14 @@
   return commands;
 }
 
-/** Records that a heartbeat of the current epoch is answered. False: it is a duplicate of one answered before. */
+/**
+ * Records that a heartbeat of the current agent epoch is answered. Returns false if it is a duplicate of an answered
+ * one.
+ */
 function recordAnsweredHeartbeat(machine: Machine, sequence: number): boolean {
   const answered = machine.answeredSequences;
   if (answered.includes(sequence)) return false;
-  // A worker sends one heartbeat at a time: one that is older than all of these is no original either.
+  // A worker sends one heartbeat at a time, so a heartbeat that is older than all of these is a duplicate too.
   if (answered.length === MAX_ANSWERED_SEQUENCES && sequence < (answered[0] ?? 0)) return false;
   answered.push(sequence);
   if (answered.length > MAX_ANSWERED_SEQUENCES) answered.shift();
@@ -69,7 +76,10 @@
   return startCommand(assignment);
 }
 
-/** A task that does not exit after it was stopped with a grace period is stopped without one after twice that period. */
+/**
+ * Returns the grace period, in seconds, of a stop command that is sent now. A task that does not exit after a stop with
+ * a grace period is stopped without one after twice that period and a margin.
+ */
 function remainingGracePeriodS(state: ClusterState, assignment: Assignment, now: MonotonicTime): number {
   const { stopRequest } = assignment;
   if (stopRequest === null || stopRequest.gracePeriodS === 0) return 0;
@@ -80,7 +90,10 @@
   return now - stopRequest.requestedAt > allowed ? 0 : stopRequest.gracePeriodS;
 }
 
-/** Stops tasks on the machine without an assignment: they were proven gone once, so that whatever runs must not. */
+/**
+ * Returns stop commands for tasks on the machine that have no assignment. They were proven gone before, so any that
+ * still run must be stopped.
+ */
 function stopsForOrphanedTasks(state: ClusterState, machine: Machine): WorkerCommand[] {
   const stops: WorkerCommand[] = [];
   if (!machine.fenced) return stops;
--- a/src/core/commands/probes.ts
+++ b/src/core/commands/probes.ts
@@ -1,8 +1,11 @@
-/** @file Direct calls without commands. Their answers carry the worker's heartbeat, and it takes the term's token. */
+/**
+ * @file Probes: direct calls without commands. The response carries the worker's heartbeat, and the worker adopts the
+ * term's fencing token.
+ */
 import type { Machine } from '../model/machine.js';
 import type { ClusterState } from '../state/cluster-state.js';
 
-/** Has a machine called directly without a command. */
+/** Requests a probe of a machine. */
 export function requestProbe(state: ClusterState, machine: Machine, agentEpoch = machine.agentEpoch): void {
   state.effects.push({ kind: 'send-commands', machineName: machine.name, agentEpoch, commands: [] });
 }
--- a/src/core/commands/start-conditions.ts
+++ b/src/core/commands/start-conditions.ts
@@ -1,4 +1,7 @@
-/** @file Whether a task with an assignment may be started now: what must be committed, and the start order in a gang. */
+/**
+ * @file Decides whether an assigned task may be started now: what must be committed first, and the start order in a
+ * gang.
+ */
 import type { Assignment } from '../model/assignment.js';
 import type { Job } from '../model/job.js';
 import type { Machine } from '../model/machine.js';
@@ -8,12 +11,15 @@
 import { mayStartTasks } from '../state/leadership-timing.js';
 
 /**
- * The share of the time for which a gang's tasks wait for one another that image fetches may differ by. The rest is
- * kept because fetches take a third more or less than planned.
+ * Share of the gang start timeout by which the image fetch times of a gang's tasks may differ. The remainder is kept as
+ * a margin, because fetches take a third more or less than planned.
  */
 const GANG_START_SKEW_SHARE = 0.4;
 
-/** Whether the task may be started: its assignment is committed, its job open and ready, the leadership confirmed. */
+/**
+ * True if the task may be started: its assignment is committed, its job is open and ready, and the leadership is
+ * confirmed.
+ */
 export function isStartable(
   state: ClusterState,
   machine: Machine,
@@ -36,16 +42,16 @@
   assignment: Assignment,
   now: MonotonicTime,
 ): boolean {
-  // A gang starts as one: no task of it before all assignments are committed.
+  // A gang starts as a unit: none of its tasks is started before all its assignments are committed.
   for (const chunk of job.chunks.values())
     for (const other of chunk.assignments.values()) if (!isAssignmentCommitted(job, other)) return false;
   return isNextInGangStartOrder(state, job, machine, assignment, now);
 }
 
 /**
- * Whether it is the gang task's turn to start: one whose image is cached would wait for those that still fetch, time
- * out, and end the whole attempt. The slowest fetches start first; a task that is late for any other reason delays the
- * others no longer than its fetch should take.
+ * True if it is the gang task's turn to start. The tasks with the slowest image fetches start first, because a task
+ * whose image is cached would wait for the tasks that are still fetching, time out, and end the whole attempt. A task
+ * that is late for any other reason delays the others no longer than its fetch should take.
  */
 function isNextInGangStartOrder(
   state: ClusterState,
--- a/src/core/commands/start-tracking.ts
+++ b/src/core/commands/start-tracking.ts
@@ -1,6 +1,6 @@
 /**
- * @file Keeps track of start commands that were sent directly: those in flight, and those of unknown outcome that may
- * still arrive. The maps of both are changed here and nowhere else.
+ * @file Tracks start commands that were sent directly: commands in flight, and commands of unknown outcome that may
+ * still arrive. Only this module changes the maps of both.
  */
 import { type Assignment, attemptKey } from '../model/assignment.js';
 import type { Machine } from '../model/machine.js';
@@ -28,7 +28,7 @@
   else inFlight.delete(key);
 }
 
-/** Records that a start command with that fencing token may still arrive. */
+/** Records that a start command with the given fencing token may still arrive. */
 export function trackUnresolvedStart(
   commands: CommandState,
   machineName: string,
@@ -41,7 +41,9 @@
   );
 }
 
-/** Drops start commands that carry a lower token than the worker has seen: it will refuse them. */
+/**
+ * Drops unresolved start commands with a lower fencing token than the worker has seen, because it will refuse them.
+ */
 export function dropFencedStarts(commands: CommandState, machine: Machine): void {
   const unresolved = commands.unresolvedStarts.get(machine.name);
   if (unresolved === undefined) return;
@@ -49,12 +51,15 @@
     if (machine.fencingToken > fencingToken) unresolved.delete(attempt);
 }
 
-/** Drops start commands for an agent epoch that has ended: the worker will refuse them. Those in flight get answers. */
+/**
+ * Drops unresolved start commands for an agent epoch that has ended, because the worker will refuse them. Commands in
+ * flight are kept, because their outcome is still to be reported.
+ */
 export function dropUnresolvedStarts(commands: CommandState, machineName: string): void {
   commands.unresolvedStarts.delete(machineName);
 }
 
-/** Drops all start commands to a machine that is gone. */
+/** Drops all tracked start commands to a machine that is removed. */
 export function dropStarts(commands: CommandState, machineName: string): void {
   commands.unresolvedStarts.delete(machineName);
   commands.startsInFlight.delete(machineName);
--- a/src/core/commands/worker-commands.ts
+++ b/src/core/commands/worker-commands.ts
@@ -1,10 +1,10 @@
 /** @file Builds commands to workers. */
 import type { WorkerCommand } from '../model/worker-command.js';
 
-/** What names one attempt of a task. */
+/** Identifies one attempt of a task. */
 type Attempt = Pick<WorkerCommand, 'jobId' | 'taskIndex' | 'attempt'>;
 
-/** Has the worker start the attempt. */
+/** Builds the command to start an attempt. */
 export const startCommand = ({ jobId, taskIndex, attempt }: Attempt): WorkerCommand => ({
   op: 'start',
   jobId,
@@ -12,7 +12,7 @@
   attempt,
 });
 
-/** Has the worker stop the attempt, with so many seconds to write a checkpoint. */
+/** Builds the command to stop an attempt, with `gracePeriodS` seconds to write a checkpoint. */
 export const stopCommand = ({ jobId, taskIndex, attempt }: Attempt, gracePeriodS: number): WorkerCommand => ({
   op: 'stop',
   jobId,
@@ -21,7 +21,7 @@
   gracePeriodS,
 });
 
-/** Has the worker forget an exited attempt. */
+/** Builds the command to forget an exited attempt. */
 export const forgetCommand = ({ jobId, taskIndex, attempt }: Attempt): WorkerCommand => ({
   op: 'forget',
   jobId,
