--- a/src/core/jobs/deadline-slack.ts
+++ b/src/core/jobs/deadline-slack.ts
@@ -1,32 +1,37 @@
-/** @file By when a job should have started, and how urgent that is. */
+/** @file Computes by when a job should have started, and whether it has slack until then or is urgent. */
 import type { ServiceLevelObjective } from '../model/cluster-config.js';
 import type { Job } from '../model/job.js';
 import { type Timestamp, seconds, toSeconds, wallSecondsBetween } from '../model/time.js';
 import type { ClusterState } from '../state/cluster-state.js';
 
-/** How long a job may wait without an objective for its class. */
+/** How long a job may wait if its class has no objective. */
 const DEFAULT_START_WITHIN_S = 120;
 
-/** However late its deadline, no job waits longer than this while a machine that fits stands empty. */
+/** Upper bound on the wait of a job while a machine that fits is empty, however late its deadline. */
 const MAX_SLACK_WAIT_S = 45;
 
-/** How long after its start deadline, or the loss of a replica, a job counts as urgent; then any capacity will do. */
+/**
+ * How long a job counts as urgent after its start deadline or the loss of a replica. After that, any capacity will do.
+ */
 const URGENT_AFTER_DEADLINE_S = 5;
 
 const wallSeconds = (time: Date): number => time.getTime() / 1000;
 
-/** How long a job has waited since its dependencies were done. */
+/** Returns the seconds that a job has waited since its dependencies were done, or 0 if a dependency is not done. */
 export const pendingSeconds = (job: Job, now: Timestamp): number =>
   job.readySince === null ? 0 : wallSecondsBetween(job.readySince, now.wall);
 
-/** The submitted estimate of a task's run time, corrected by what completed tasks of the class took. */
+/**
+ * Returns the submitted estimate of a task's run time in seconds, corrected by the run times of completed tasks of the
+ * class.
+ */
 export function estimatedSeconds(state: ClusterState, job: Job): number {
   return toSeconds(job.spec.estimatedDuration) * (state.jobs.durationFactors.get(job.spec.class) ?? 1);
 }
 
 /**
- * Seconds of wall time by which a job should have started: by the objectives of its class, by its deadline, and by
- * those of the jobs that depend on it.
+ * Returns the wall time, in seconds, by which a job should have started according to the objectives of its class, its
+ * deadline, and the deadlines of the jobs that depend on it.
  */
 export function startDeadline(state: ClusterState, job: Job): number {
   const startWithin = startObjectiveSeconds(state, job);
@@ -36,7 +41,7 @@
   return Math.min(readyAt + (startWithin === Infinity ? DEFAULT_START_WITHIN_S : startWithin), latestStart);
 }
 
-/** Seconds within which the job should start by the objectives of its class; infinite without one. */
+/** Returns the seconds within which the job should start by the objectives of its class, or Infinity without one. */
 function startObjectiveSeconds(state: ClusterState, job: Job): number {
   let startWithin = Infinity;
   for (const objective of state.config.objectives) {
@@ -49,11 +54,11 @@
   return startWithin;
 }
 
-/** Whether the job need not start before new machines could be up twice over. */
+/** True if the job need not start within the time that new machines take to boot twice. */
 export function hasDeadlineSlack(state: ClusterState, job: Job, now: Timestamp): boolean {
   if (job.spec.kind === 'service' || pendingSeconds(job, now) > MAX_SLACK_WAIT_S) return false;
   const twoBootsSeconds = 2 * slowestBootSeconds(state);
-  // Only where some class has an objective within that time is there anything to leave capacity for.
+  // Leaving capacity free is of use only if some class has an objective that requires a start within that time.
   return (
     state.config.objectives.some((objective) => requiresStartWithin(objective, twoBootsSeconds)) &&
     startDeadline(state, job) - wallSeconds(now.wall) > twoBootsSeconds
@@ -69,10 +74,10 @@
 const requiresStartWithin = ({ kind, threshold }: ServiceLevelObjective, limitSeconds: number): boolean =>
   kind === 'wait' && threshold !== null && toSeconds(threshold) < limitSeconds;
 
-/** Whether the job should start before its image could be fetched. */
+/** True if the job should start before its image could be fetched. */
 export function isUrgent(state: ClusterState, job: Job, now: Timestamp): boolean {
   if (job.spec.priority !== 'production') return false;
-  // A lost replica is missed at once, whenever its job was submitted.
+  // A lost replica is missed at once, regardless of when its job was submitted.
   if (job.replicaLostAt !== null && now.monotonic - job.replicaLostAt < seconds(URGENT_AFTER_DEADLINE_S))
     return true;
   let fastestGbPerS = 0;
--- a/src/core/jobs/dependencies.ts
+++ b/src/core/jobs/dependencies.ts
@@ -1,4 +1,4 @@
-/** @file Takes jobs and their ends into the dependency graph, and makes dependents ready or cancels them. */
+/** @file Adds jobs and their final statuses to the dependency graph, and makes dependents ready or cancels them. */
 import type { Job } from '../model/job.js';
 import { NOT_CONSIDERED_YET, WAITING_FOR_DEPENDENCIES } from '../model/pending-reasons.js';
 import type { Timestamp } from '../model/time.js';
@@ -9,7 +9,7 @@
 import { emitLog } from '../state/log-effects.js';
 import { inheritUrgency, ownDeadline, withdrawUrgency } from './urgency.js';
 
-/** Takes in an unfinished job: it is ready at once, or when its last dependency is committed as done. */
+/** Registers an unfinished job. It becomes ready at once, or when its last dependency is committed as done. */
 export function registerJob(state: ClusterState, job: Job, now: Timestamp): void {
   const { id, deadline, dependencies } = job.spec;
   if (deadline !== null) state.jobs.deadlines.set(id, ownDeadline(job));
@@ -20,7 +20,7 @@
   applyGraphChange(state, state.jobs.dependencies.add(id, dependencies), now);
 }
 
-/** Takes in that a job has ended, as committed. */
+/** Handles the committed end of a job. */
 export function onJobFinished(
   state: ClusterState,
   id: string,
@@ -48,8 +48,8 @@
 }
 
 /**
- * One of the job's dependencies was cancelled, so that it never runs. The record of that dependency alone makes this
- * so; the job's own record is written later, so that the dependency's need not be kept for good.
+ * Cancels a job that can never run because one of its dependencies was cancelled. The dependency's record alone implies
+ * this; the job's own record is written later, so that the dependency's record need not be kept forever.
  */
 function cancelDependent(state: ClusterState, id: string, now: Timestamp): void {
   const job = state.jobs.byId.get(id);
@@ -62,7 +62,7 @@
   withdrawUrgency(state, job);
 }
 
-/** Logs once each unfinished job whose deadline has passed, with the reason for which it is pending. */
+/** Logs each unfinished job once after its deadline has passed, with its pending reason if it is pending. */
 export function logMissedDeadlines(state: ClusterState, now: Timestamp): void {
   const nowSeconds = now.wall.getTime() / 1000;
   for (const [id, deadline] of state.jobs.deadlines) {
--- a/src/core/jobs/urgency.ts
+++ b/src/core/jobs/urgency.ts
@@ -1,31 +1,33 @@
 /**
- * @file Priorities and deadlines that jobs pass on to their dependencies, back along the pipeline: the last job of a
- * pipeline alone carries the priority and the deadline that its user cares about.
+ * @file Propagates priorities and deadlines from jobs back to their dependencies, because only the last job of a
+ * pipeline carries the priority and the deadline that matter to its user.
  */
 import { type Job, type Priority, priorityRank } from '../model/job.js';
 import { toSeconds } from '../model/time.js';
 import type { ClusterState } from '../state/cluster-state.js';
 import { estimatedSeconds } from './deadline-slack.js';
 
-/** What a job has itself, or takes from its dependents. */
+/** The priority and the latest completion of a job, its own or inherited from its dependents. */
 interface Urgency {
   readonly priority: Priority;
-  /** Seconds of wall time by which it should be done at the latest. */
+  /** Wall time, in seconds, by which the job should be done at the latest. */
   readonly latestCompletion: number;
 }
 
-/** The job's own deadline in seconds of wall time; infinite without one. */
+/** Returns the job's own deadline as wall time in seconds, or Infinity if it has none. */
 export const ownDeadline = ({ spec, submittedAt }: Job): number =>
   spec.deadline === null ? Infinity : submittedAt.getTime() / 1000 + toSeconds(spec.deadline);
 
 const higherPriority = (first: Priority, second: Priority): Priority =>
   priorityRank(second) > priorityRank(first) ? second : first;
 
-/** The completion of a dependency that leaves its dependent the time to run. */
+/**
+ * Returns the latest completion of a dependency, as wall time in seconds, that leaves its dependent enough time to run.
+ */
 const latestDependencyCompletion = (state: ClusterState, dependent: Job): number =>
   dependent.latestCompletion - estimatedSeconds(state, dependent);
 
-/** A job's own urgency, joined with that of its known dependents. */
+/** Returns a job's own urgency combined with that of its known open dependents. */
 function urgencyOf(state: ClusterState, job: Job): Urgency {
   let priority = job.spec.priority;
   let latestCompletion = ownDeadline(job);
@@ -38,7 +40,7 @@
   return { priority, latestCompletion };
 }
 
-/** Sets a job's urgency; whether that has changed it. */
+/** Sets a job's urgency. Returns whether it changed. */
 function setUrgency(job: Job, { priority, latestCompletion }: Urgency): boolean {
   if (priority === job.priority && latestCompletion === job.latestCompletion) return false;
   job.priority = priority;
@@ -46,7 +48,9 @@
   return true;
 }
 
-/** A job was added: it takes its dependents' urgency, and its dependencies take its own. */
+/**
+ * Propagates urgency after a job was added: the job inherits from its dependents, and its dependencies inherit from it.
+ */
 export function inheritUrgency(state: ClusterState, job: Job): void {
   setUrgency(job, urgencyOf(state, job));
   updateDependencies(state, job, (dependency, dependent) => ({
@@ -55,12 +59,12 @@
   }));
 }
 
-/** A job was cancelled: its dependencies lose what they had from it. */
+/** Removes the urgency that the dependencies of a cancelled job inherited from it. */
 export function withdrawUrgency(state: ClusterState, job: Job): void {
   updateDependencies(state, job, (dependency) => urgencyOf(state, dependency));
 }
 
-/** Updates the open dependencies of a job, and those of each dependency that changed. */
+/** Updates the urgency of a job's open dependencies, and of the open dependencies of each one that changed. */
 function updateDependencies(
   state: ClusterState,
   job: Job,
