--- a/src/core/jobs/dependencies.ts
+++ b/src/core/jobs/dependencies.ts
@@ -7,13 +7,13 @@
 import type { GraphChange } from '../state/dependency-graph.js';
 import { markJobFinished, markJobReady } from '../state/job-table.js';
 import { emitLog } from '../state/log-effects.js';
-import { inheritUrgency, ownDeadline, withdrawUrgency } from './urgency.js';
+import { propagateUrgency, ownDeadline, removeInheritedUrgency } from './urgency.js';
 
 /** Registers an unfinished job. It becomes ready at once, or when its last dependency is committed as done. */
 export function registerJob(state: ClusterState, job: Job, now: Timestamp): void {
   const { id, deadline, dependencies } = job.spec;
   if (deadline !== null) state.jobs.deadlines.set(id, ownDeadline(job));
-  inheritUrgency(state, job);
+  propagateUrgency(state, job);
   if (dependencies.length === 0) return makeReady(state, job, job.submittedAt);
   job.readySince = null;
   job.pendingReason = WAITING_FOR_DEPENDENCIES;
@@ -30,7 +30,7 @@
   state.jobs.deadlines.delete(id);
   const job = state.jobs.byId.get(id);
   applyGraphChange(state, state.jobs.dependencies.markFinished(id, status), now);
-  if (status === 'cancelled' && job !== undefined) withdrawUrgency(state, job);
+  if (status === 'cancelled' && job !== undefined) removeInheritedUrgency(state, job);
 }
 
 function applyGraphChange(state: ClusterState, change: GraphChange, now: Timestamp): void {
@@ -59,7 +59,7 @@
   state.records.unrecordedCancellations.add(id);
   releaseFinishedChunks(job);
   emitLog(state, 'job cancelled: a dependency was cancelled', { job: id }, 'info');
-  withdrawUrgency(state, job);
+  removeInheritedUrgency(state, job);
 }
 
 /** Logs each unfinished job once after its deadline has passed, with its pending reason if it is pending. */
--- a/src/core/jobs/urgency.ts
+++ b/src/core/jobs/urgency.ts
@@ -51,7 +51,7 @@
 /**
  * Propagates urgency after a job was added: the job inherits from its dependents, and its dependencies inherit from it.
  */
-export function inheritUrgency(state: ClusterState, job: Job): void {
+export function propagateUrgency(state: ClusterState, job: Job): void {
   setUrgency(job, urgencyOf(state, job));
   updateDependencies(state, job, (dependency, dependent) => ({
     priority: higherPriority(dependency.priority, dependent.priority),
@@ -60,7 +60,7 @@
 }
 
 /** Removes the urgency that the dependencies of a cancelled job inherited from it. */
-export function withdrawUrgency(state: ClusterState, job: Job): void {
+export function removeInheritedUrgency(state: ClusterState, job: Job): void {
   updateDependencies(state, job, (dependency) => urgencyOf(state, dependency));
 }
 
