--- a/src/core/reconciliation/heartbeat-intake.ts
+++ b/src/core/reconciliation/heartbeat-intake.ts
@@ -51,7 +51,7 @@
     return;
   }
   const wasUsable = isUsable(state, machine, now.monotonic);
-  updateMachine(state, machine, heartbeat, now);
+  updateFromHeartbeat(state, machine, heartbeat, now);
   dropFencedStarts(state.commands, machine);
   reconcileAssignments(state, machine, heartbeat, now);
   if (isUsable(state, machine, now.monotonic) !== wasUsable) state.scheduling.cycleNeeded = true;
@@ -76,7 +76,12 @@
   state.term.lastWorkerJoinedAt = now.monotonic;
 }
 
-function updateMachine(state: ClusterState, machine: Machine, heartbeat: Heartbeat, now: Timestamp): void {
+function updateFromHeartbeat(
+  state: ClusterState,
+  machine: Machine,
+  heartbeat: Heartbeat,
+  now: Timestamp,
+): void {
   machine.endpoint = heartbeat.endpoint;
   if (machine.type !== heartbeat.type) machine.resources = null;
   machine.type = heartbeat.type;
