--- a/src/core/capacity/draining.ts
+++ b/src/core/capacity/draining.ts
@@ -3,7 +3,7 @@
  * would ever be empty, and all would be paid for.
  */
 import { estimatedSeconds } from '../jobs/deadline-slack.js';
-import { freeOn, isUsable } from '../machines/free-resources.js';
+import { freeResourcesOf, isUsable } from '../machines/free-resources.js';
 import type { Job } from '../model/job.js';
 import type { Machine, MachineType } from '../model/machine.js';
 import { NO_CAPACITY, NO_GANG_CAPACITY, PREEMPTION_IN_PROGRESS } from '../model/pending-reasons.js';
@@ -41,7 +41,7 @@
   for (const machine of state.machines.byName.values()) {
     const type = state.machines.types.get(machine.type);
     if (type === undefined || !isUsable(state, machine, now.monotonic)) continue;
-    const free = freeOn(state, machine);
+    const free = freeResourcesOf(state, machine);
     inUse.add(type, free);
     candidates.push({
       machine,
--- a/src/core/capacity/fleet-summary.ts
+++ b/src/core/capacity/fleet-summary.ts
@@ -1,5 +1,5 @@
 /** @file Sums up the fleet and the pending work in the log, for whoever is on call. It changes nothing. */
-import { freeOn, isUsable } from '../machines/free-resources.js';
+import { freeResourcesOf, isUsable } from '../machines/free-resources.js';
 import type { LogFields } from '../model/effects.js';
 import type { Job } from '../model/job.js';
 import type { Timestamp } from '../model/time.js';
@@ -35,7 +35,7 @@
     counts[machine.spot ? 'spot' : 'onDemand'] += 1;
     if (machine.assignments.size === 0) counts.idle += 1;
     if (machine.draining) counts.draining += 1;
-    counts.freeGpus += freeOn(state, machine).gpus;
+    counts.freeGpus += freeResourcesOf(state, machine).gpus;
   }
   return counts;
 }
--- a/src/core/machines/free-resources.ts
+++ b/src/core/machines/free-resources.ts
@@ -45,7 +45,7 @@
 }
 
 /** What neither an assignment nor a reported task takes. */
-export const freeOn = (state: ClusterState, machine: Machine): Readonly<Resources> =>
+export const freeResourcesOf = (state: ClusterState, machine: Machine): Readonly<Resources> =>
   resourcesOf(state, machine).free;
 
 function computeResources(
