--- a/src/core/assignments/assignments.ts
+++ b/src/core/assignments/assignments.ts
@@ -9,7 +9,7 @@
 import type { AssignmentRecord, TaskChunk } from '../model/records.js';
 import { type MonotonicTime, toSeconds } from '../model/time.js';
 import { getOrAddMachine } from '../machines/machine-registry.js';
-import { chunkOf } from '../records/chunks.js';
+import { getOrCreateChunk } from '../records/chunks.js';
 import { markChunkChanged } from '../records/record-changes.js';
 import { releaseFinishedChunks } from '../records/record-pages.js';
 import type { ClusterState } from '../state/cluster-state.js';
@@ -31,7 +31,7 @@
   machine: Machine,
   now: MonotonicTime,
 ): Assignment {
-  const chunk = chunkOf(job, taskIndex);
+  const chunk = getOrCreateChunk(job, taskIndex);
   chunk.highestAttempt = Math.max(chunk.highestAttempt, attempt);
   markChunkChanged(state, job, chunk, true, now);
   const { name: machineName, agentEpoch, zone } = machine;
@@ -113,7 +113,7 @@
 ): void {
   const job = state.jobs.byId.get(assignment.jobId);
   if (job === undefined) return;
-  const chunk = chunkOf(job, assignment.taskIndex);
+  const chunk = getOrCreateChunk(job, assignment.taskIndex);
   if (chunk.assignments.get(assignment.taskIndex) !== assignment) return;
   removeAssignment(state, job, chunk, assignment);
   if (!chunk.completedTasks.has(assignment.taskIndex)) {
--- a/src/core/assignments/job-completion.ts
+++ b/src/core/assignments/job-completion.ts
@@ -1,7 +1,7 @@
 /** @file Completion of jobs: when all results are in, and for a gang, when the first is. */
 import type { Job } from '../model/job.js';
 import type { MonotonicTime } from '../model/time.js';
-import { chunkOf } from '../records/chunks.js';
+import { getOrCreateChunk } from '../records/chunks.js';
 import { markChunkChanged, markJobUrgent } from '../records/record-changes.js';
 import type { ClusterState } from '../state/cluster-state.js';
 
@@ -24,7 +24,7 @@
  */
 export function completeGang(state: ClusterState, job: Job, now: MonotonicTime): void {
   for (const taskIndex of [...job.unassignedTasks]) {
-    const chunk = chunkOf(job, taskIndex);
+    const chunk = getOrCreateChunk(job, taskIndex);
     job.unassignedTasks.delete(taskIndex);
     chunk.completedTasks.add(taskIndex);
     job.completedCount += 1;
--- a/src/core/records/chunks.ts
+++ b/src/core/records/chunks.ts
@@ -31,7 +31,7 @@
 });
 
 /** The chunk that records a task, created when it is first needed. */
-export function chunkOf(job: Job, taskIndex: number): TaskChunk {
+export function getOrCreateChunk(job: Job, taskIndex: number): TaskChunk {
   const index = chunkIndexOf(taskIndex);
   let chunk = job.chunks.get(index);
   if (chunk === undefined) {
@@ -62,4 +62,4 @@
 
 /** Whether the record that holds the assignment is committed. */
 export const isAssignmentCommitted = (job: Job, assignment: Assignment): boolean =>
-  chunkOf(job, assignment.taskIndex).committedVersion >= assignment.recordVersion;
+  getOrCreateChunk(job, assignment.taskIndex).committedVersion >= assignment.recordVersion;
--- a/src/core/scheduling/task-scheduling.ts
+++ b/src/core/scheduling/task-scheduling.ts
@@ -10,7 +10,7 @@
   ZONE_CONSTRAINTS,
 } from '../model/pending-reasons.js';
 import { fits } from '../model/resources.js';
-import { chunkOf } from '../records/chunks.js';
+import { getOrCreateChunk } from '../records/chunks.js';
 import { type Candidate, reserveTask } from './candidates.js';
 import { type SchedulingCycle, feasibleCandidates } from './cycle-context.js';
 import { isZoneAllowed } from './placement-constraints.js';
@@ -123,7 +123,7 @@
 ): void {
   const { job, tasksByZone, tieBreaker } = placement;
   const { candidate } = chosen;
-  const attempt = chunkOf(job, task).highestAttempt + 1;
+  const attempt = getOrCreateChunk(job, task).highestAttempt + 1;
   assignTask(state, job, task, attempt, candidate.machine, now.monotonic);
   const { zone } = candidate.machine;
   tasksByZone.set(zone, (tasksByZone.get(zone) ?? 0) + 1);
--- a/test/cancelled-dependents.test.ts
+++ b/test/cancelled-dependents.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { JobRecord } from '../src/core/model/job.js';
-import { chunkOf } from '../src/core/records/chunks.js';
+import { getOrCreateChunk } from '../src/core/records/chunks.js';
 import { assignTask } from '../src/core/assignments/assignments.js';
 import { isStartable } from '../src/core/commands/start-conditions.js';
 import { operationCount, type Transaction } from '../src/core/model/transaction.js';
@@ -163,7 +163,7 @@
     assert.ok(job !== undefined && machine !== undefined);
     const assignment =
       job.chunks.get(0)?.assignments.get(0) ?? assignTask(state, job, 0, 1, machine, timeAt(1).monotonic);
-    chunkOf(job, 0).committedVersion = state.records.version;
+    getOrCreateChunk(job, 0).committedVersion = state.records.version;
     return isStartable(state, machine, assignment, timeAt(1).monotonic);
   };
   assert.equal(starts('req-0'), true);
