--- a/src/core/persistence/recovery.ts
+++ b/src/core/persistence/recovery.ts
@@ -8,7 +8,7 @@
 import type { RecordPage, TaskChunk, PageEntry } from '../model/records.js';
 import type { MonotonicTime, Timestamp } from '../model/time.js';
 import { newChunk } from '../records/chunks.js';
-import { addPage, poolOf, putIntoPage } from '../records/record-pages.js';
+import { addPage, poolOf, addToPage } from '../records/record-pages.js';
 import type { ClusterState } from '../state/cluster-state.js';
 
 /** Restores a page. All jobs are read before any page. */
@@ -45,7 +45,7 @@
 /** Adds the chunk with its results to the job and the page. */
 function restoreChunk(page: RecordPage, job: Job, { chunkIndex, record }: PageEntry): TaskChunk {
   const chunk = newChunk(job.spec.id, chunkIndex, record.highestAttempt, record.completedTasks);
-  putIntoPage(page, chunk);
+  addToPage(page, chunk);
   page.pool = poolOf(job);
   job.chunks.set(chunkIndex, chunk);
   job.completedCount += chunk.completedTasks.size;
--- a/src/core/records/page-splitting.ts
+++ b/src/core/records/page-splitting.ts
@@ -7,7 +7,7 @@
 import type { ClusterState } from '../state/cluster-state.js';
 import { entryBytesBound, maxChunksPerPage, pageCapacityBytes, reservedBytesOf } from './page-size.js';
 import { markPageChanged } from './record-changes.js';
-import { addNewPage, putIntoPage, removeFromPage } from './record-pages.js';
+import { addNewPage, addToPage, removeFromPage } from './record-pages.js';
 
 /**
  * Distributes the chunks of oversized pages over further pages. A page and those split off it are written in one
@@ -46,7 +46,7 @@
     }
     if (target !== page) {
       removeFromPage(chunk);
-      putIntoPage(target, chunk);
+      addToPage(target, chunk);
     }
     usedBytes += neededBytes;
     chunkCount += 1;
--- a/src/core/records/record-changes.ts
+++ b/src/core/records/record-changes.ts
@@ -8,7 +8,7 @@
 import type { ClusterState } from '../state/cluster-state.js';
 import type { RecordState } from '../state/record-state.js';
 import { hasUncommittedChanges } from './chunks.js';
-import { pageFor } from './record-pages.js';
+import { getOrAssignPage } from './record-pages.js';
 
 /**
  * Records that a chunk has changed. What a task or a user waits for is urgent: a new assignment, or the last result of a
@@ -24,7 +24,7 @@
 ): void {
   const { records } = state;
   chunk.cachedRecord = null;
-  const page = pageFor(state, job, chunk);
+  const page = getOrAssignPage(state, job, chunk);
   markPageChanged(records, page, now);
   chunk.version = records.version;
   if (urgent) records.urgentPages.add(page.id);
--- a/src/core/records/record-pages.ts
+++ b/src/core/records/record-pages.ts
@@ -36,13 +36,13 @@
 }
 
 /** The page that holds a chunk, chosen when the chunk is first recorded. */
-export function pageFor(state: ClusterState, job: Job, chunk: TaskChunk): RecordPage {
+export function getOrAssignPage(state: ClusterState, job: Job, chunk: TaskChunk): RecordPage {
   if (chunk.page !== null) return chunk.page;
   const pool = poolOf(job);
   const page =
     fullestPageThatFits(state, pool, entryBytesBound(state, job, chunk)) ?? addNewPage(state.records, pool);
   page.pool = pool;
-  putIntoPage(page, chunk);
+  addToPage(page, chunk);
   return page;
 }
 
@@ -64,7 +64,7 @@
 }
 
 /** Adds a chunk that is in no page. */
-export function putIntoPage(page: RecordPage, chunk: TaskChunk): void {
+export function addToPage(page: RecordPage, chunk: TaskChunk): void {
   page.chunks.add(chunk);
   page.reservedBytes = null;
   chunk.page = page;
