--- a/src/core/records/page-size.ts
+++ b/src/core/records/page-size.ts
@@ -12,9 +12,9 @@
 export const MIN_VALUE_BYTES = 1792;
 
 /** Zone names are written once in a page; this many bytes are kept free beside them. */
-const PAGE_HEAD_BYTES = 240;
+const PAGE_HEADER_BYTES = 240;
 /** An entry beside its assignments: job id, index, counts and attempt, with their separators. */
-const ENTRY_HEAD_BYTES = 48;
+const ENTRY_HEADER_BYTES = 48;
 /** Four separators of an assignment, and the one that ends it. */
 const ASSIGNMENT_SEPARATOR_BYTES = 5;
 const ATTEMPT_DIGITS = 5;
@@ -34,10 +34,10 @@
  * result takes less than an assignment. The bound only falls as results come in, so a page that can hold its
  * chunks' bounds never overflows.
  */
-export function entryBytesBound(state: ClusterState, job: Job, chunk: TaskChunk): number {
+export function maxEntryBytes(state: ClusterState, job: Job, chunk: TaskChunk): number {
   const firstTask = chunk.index * CHUNK_TASKS;
   const indexDigits = digitCount(firstTask + CHUNK_TASKS);
-  const openTasks = Math.min(CHUNK_TASKS, job.spec.taskCount - firstTask) - chunk.completedTasks.size;
+  const incompleteTasks = Math.min(CHUNK_TASKS, job.spec.taskCount - firstTask) - chunk.completedTasks.size;
   const assignmentBytes =
     indexDigits +
     ATTEMPT_DIGITS +
@@ -46,13 +46,13 @@
     ASSIGNMENT_SEPARATOR_BYTES +
     Math.max(MIN_NAME_BYTES, state.machines.longestNameBytes);
   // Results are written as ranges: at worst every second task, each at most as long as a range of two numbers.
-  const resultBytes = Math.min(chunk.completedTasks.size, openTasks + 1) * (2 * indexDigits + 2);
-  return ENTRY_HEAD_BYTES + job.spec.id.length + openTasks * assignmentBytes + resultBytes;
+  const resultBytes = Math.min(chunk.completedTasks.size, incompleteTasks + 1) * (2 * indexDigits + 2);
+  return ENTRY_HEADER_BYTES + job.spec.id.length + incompleteTasks * assignmentBytes + resultBytes;
 }
 
 /** The bytes of a page that entries may take. */
 export const pageCapacityBytes = (config: ClusterConfig): number =>
-  config.maxValueBytes - PAGE_HEAD_BYTES - config.zones.join(',').length;
+  config.maxValueBytes - PAGE_HEADER_BYTES - config.zones.join(',').length;
 
 /**
  * The most chunks in a page. A transaction compares the key of each job whose assignments it commits. All jobs of a page
@@ -69,7 +69,7 @@
     page.reservedBytes = 0;
     for (const chunk of page.chunks) {
       const job = state.jobs.byId.get(chunk.jobId);
-      if (job !== undefined) page.reservedBytes += entryBytesBound(state, job, chunk);
+      if (job !== undefined) page.reservedBytes += maxEntryBytes(state, job, chunk);
     }
   }
   return page.reservedBytes;
--- a/src/core/records/page-splitting.ts
+++ b/src/core/records/page-splitting.ts
@@ -5,7 +5,7 @@
 import type { MonotonicTime } from '../model/time.js';
 import type { RecordPage } from '../model/records.js';
 import type { ClusterState } from '../state/cluster-state.js';
-import { entryBytesBound, maxChunksPerPage, pageCapacityBytes, reservedBytesOf } from './page-size.js';
+import { maxEntryBytes, maxChunksPerPage, pageCapacityBytes, reservedBytesOf } from './page-size.js';
 import { markPageChanged } from './record-changes.js';
 import { addNewPage, addToPage, removeFromPage } from './record-pages.js';
 
@@ -37,7 +37,7 @@
   let chunkCount = 0;
   for (const chunk of [...page.chunks]) {
     const job = state.jobs.byId.get(chunk.jobId);
-    const neededBytes = job === undefined ? 0 : entryBytesBound(state, job, chunk);
+    const neededBytes = job === undefined ? 0 : maxEntryBytes(state, job, chunk);
     if (chunkCount > 0 && (usedBytes + neededBytes > capacity || chunkCount >= maxChunks)) {
       target = addNewPage(state.records, page.pool);
       group.push(target);
--- a/src/core/records/record-pages.ts
+++ b/src/core/records/record-pages.ts
@@ -8,7 +8,7 @@
 import type { ClusterState } from '../state/cluster-state.js';
 import type { RecordState } from '../state/record-state.js';
 import { isInAtomicGroup } from './atomic-page-groups.js';
-import { entryBytesBound, maxChunksPerPage, pageCapacityBytes, reservedBytesOf } from './page-size.js';
+import { maxEntryBytes, maxChunksPerPage, pageCapacityBytes, reservedBytesOf } from './page-size.js';
 
 /** Services stay for hours and hardly change: in one page with arrays they would be written again and again. */
 export const poolOf = (job: Job): PagePool => (job.spec.kind === 'service' ? 'service' : 'batch');
@@ -40,7 +40,7 @@
   if (chunk.page !== null) return chunk.page;
   const pool = poolOf(job);
   const page =
-    fullestPageThatFits(state, pool, entryBytesBound(state, job, chunk)) ?? addNewPage(state.records, pool);
+    fullestPageThatFits(state, pool, maxEntryBytes(state, job, chunk)) ?? addNewPage(state.records, pool);
   page.pool = pool;
   addToPage(page, chunk);
   return page;
