--- a/src/core/cluster-scheduler.ts
+++ b/src/core/cluster-scheduler.ts
@@ -21,7 +21,7 @@
 import { onJobChanged } from './persistence/job-records.js';
 import { onPageLoaded } from './persistence/recovery.js';
 import { nextTransaction } from './persistence/transaction-builder.js';
-import { onCommitted } from './persistence/commits.js';
+import { onTransactionCommitted } from './persistence/commits.js';
 import { type Transaction } from './model/transaction.js';
 import { onWorkerHeartbeat } from './reconciliation/heartbeat-intake.js';
 import { onImagesObserved } from './reconciliation/image-sightings.js';
@@ -111,7 +111,7 @@
       case 'commands-answered':
         return onCommandsAnswered(state, event, now);
       case 'transaction-committed':
-        onCommitted(state, event.transaction, event.modRevision, now);
+        onTransactionCommitted(state, event.transaction, event.modRevision, now);
         return sendCommittedStarts(state, event.transaction, now);
       case 'leadership-confirmed':
         return confirmLeadership(state.term, event.confirmedAt);
--- a/src/core/persistence/commits.ts
+++ b/src/core/persistence/commits.ts
@@ -8,7 +8,7 @@
 import type { Transaction } from '../model/transaction.js';
 
 /** Applies a transaction that was committed at a revision of the state store. */
-export function onCommitted(
+export function onTransactionCommitted(
   state: ClusterState,
   transaction: Transaction,
   modRevision: number,
--- a/test/job-completion.test.ts
+++ b/test/job-completion.test.ts
@@ -4,7 +4,7 @@
 import { seconds } from '../src/core/model/time.js';
 import { endAssignment, assignTask } from '../src/core/assignments/assignments.js';
 import { getOrAddMachine } from '../src/core/machines/machine-registry.js';
-import { onCommitted } from '../src/core/persistence/commits.js';
+import { onTransactionCommitted } from '../src/core/persistence/commits.js';
 import { operationCount } from '../src/core/model/transaction.js';
 import { CLUSTER_CONFIG, jobSpec } from './fixtures/cluster-config.js';
 import { createScheduler } from './fixtures/scheduler.js';
@@ -28,7 +28,7 @@
   const first = state.jobs.byId.get('req-1');
   assert.ok(first !== undefined);
   const assignment = assignTask(state, first, 0, 1, machine, now.monotonic);
-  onCommitted(state, scheduler.nextTransaction(now) ?? assert.fail('nothing to commit'), 10, now);
+  onTransactionCommitted(state, scheduler.nextTransaction(now) ?? assert.fail('nothing to commit'), 10, now);
   for (let n = 0; n < 3 * CLUSTER_CONFIG.maxTransactionOperations; n++) {
     add(`req-2${n}`, 120);
     const job = state.jobs.byId.get(`req-2${n}`);
@@ -40,7 +40,7 @@
     const transaction = scheduler.nextTransaction(now) ?? assert.fail('nothing to commit');
     assert.ok(operationCount(transaction) <= CLUSTER_CONFIG.maxTransactionOperations);
     told.push(...transaction.completedJobs);
-    onCommitted(state, transaction, 20 + n, now);
+    onTransactionCommitted(state, transaction, 20 + n, now);
   }
   assert.deepEqual(told, ['req-1']);
 });
