--- a/src/core/persistence/finished-jobs.ts
+++ b/src/core/persistence/finished-jobs.ts
@@ -7,7 +7,7 @@
 import { markJobFinished } from '../state/job-table.js';
 
 /** The demand forecast looks at what was submitted recently, finished or not. */
-const RETENTION = seconds(120);
+const FINISHED_JOB_RETENTION = seconds(120);
 
 /** Applies a job's status as recorded: the job leaves the queues, and its dependents become ready or cancelled. */
 export function finishJob(state: ClusterState, job: Job, status: JobStatus, now: Timestamp): void {
@@ -22,7 +22,7 @@
  */
 export function evictFinishedJobs(state: ClusterState, now: MonotonicTime): void {
   for (const [id, finishedAt] of state.jobs.finished) {
-    if (now - finishedAt < RETENTION) return;
+    if (now - finishedAt < FINISHED_JOB_RETENTION) return;
     state.jobs.finished.delete(id);
     const job = state.jobs.byId.get(id);
     if (job === undefined || job.status === 'open') continue;
