--- a/src/core/persistence/cancellations.ts
+++ b/src/core/persistence/cancellations.ts
@@ -12,7 +12,7 @@
 
 /** Whether cancellations come before everything else now. */
 export const isCancellationOverdue = (records: RecordState, now: MonotonicTime): boolean =>
-  now - records.cancellationsWrittenAt >= CANCELLATION_INTERVAL;
+  now - records.cancellationsBuiltAt >= CANCELLATION_INTERVAL;
 
 /** Records cancelled dependents, as many as one transaction takes; null: there are none. */
 export function buildCancellations(state: ClusterState, now: MonotonicTime): Transaction | null {
@@ -25,7 +25,7 @@
     if (job === undefined) records.unrecordedCancellations.delete(id);
     else jobConditions.set(id, job.modRevision);
   }
-  records.cancellationsWrittenAt = now;
+  records.cancellationsBuiltAt = now;
   return {
     fencingToken: state.term.fencingToken,
     jobConditions,
--- a/src/core/state/record-state.ts
+++ b/src/core/state/record-state.ts
@@ -18,7 +18,7 @@
   /** Jobs cancelled through a dependency whose own records are still open. */
   readonly unrecordedCancellations: Set<string>;
   /** When a transaction of such cancellations was last built. */
-  cancellationsWrittenAt: MonotonicTime;
+  cancellationsBuiltAt: MonotonicTime;
 }
 
 /** No records yet. */
@@ -30,5 +30,5 @@
   urgentPages: new Set(),
   jobsToComplete: new Map(),
   unrecordedCancellations: new Set(),
-  cancellationsWrittenAt: startedAt,
+  cancellationsBuiltAt: startedAt,
 });
