--- a/src/core/state/team-quotas.ts
+++ b/src/core/state/team-quotas.ts
@@ -6,7 +6,7 @@
 const EPSILON = 1e-6;
 
 /** Whether usage is within a quota; 0 means no quota. */
-const isWithin = (usage: number, quota: number): boolean => quota <= 0 || usage <= quota + EPSILON;
+const isWithinQuota = (usage: number, quota: number): boolean => quota <= 0 || usage <= quota + EPSILON;
 
 /** What a team's tasks may hold on any machine, by their assignments. */
 export interface ResourceUsage {
@@ -50,8 +50,8 @@
     if (team === undefined) return false;
     const usage = this.usageOf(spec.team);
     return (
-      isWithin(usage.cpus + spec.cpus * count, team.cpuQuota) &&
-      isWithin(usage.gpus + spec.gpus * count, team.gpuQuota)
+      isWithinQuota(usage.cpus + spec.cpus * count, team.cpuQuota) &&
+      isWithinQuota(usage.gpus + spec.gpus * count, team.gpuQuota)
     );
   }
 }
@@ -60,6 +60,9 @@
 export function fitsQuota(spec: JobSpec, teams: readonly Team[]): boolean {
   const team = teams.find((team) => team.name === spec.team);
   if (team === undefined) return false;
-  const leastTasks = spec.kind === 'array' ? 1 : spec.taskCount;
-  return isWithin(spec.cpus * leastTasks, team.cpuQuota) && isWithin(spec.gpus * leastTasks, team.gpuQuota);
+  const minTaskCount = spec.kind === 'array' ? 1 : spec.taskCount;
+  return (
+    isWithinQuota(spec.cpus * minTaskCount, team.cpuQuota) &&
+    isWithinQuota(spec.gpus * minTaskCount, team.gpuQuota)
+  );
 }
