--- a/src/core/state/dependency-graph.ts
+++ b/src/core/state/dependency-graph.ts
@@ -67,15 +67,15 @@
   }
 
   /** Records how a job finished. `derived`: through a dependency, so that it is among the cancelled returned. */
-  markFinished(id: string, status: 'done' | 'cancelled', derived = false): GraphChange {
+  markFinished(id: string, status: 'done' | 'cancelled', viaDependency = false): GraphChange {
     if (this.finished.has(id)) return NO_CHANGE;
     if (status === 'done') return { ready: this.markDone(id), cancelled: [] };
-    return { ready: [], cancelled: this.markCancelled(id, derived) };
+    return { ready: [], cancelled: this.markCancelled(id, viaDependency) };
   }
 
   /** Cancels the job and all its direct and indirect dependents; returns those cancelled through a dependency. */
-  private markCancelled(id: string, derived: boolean): string[] {
-    const cancelled: string[] = derived ? [id] : [];
+  private markCancelled(id: string, viaDependency: boolean): string[] {
+    const cancelled: string[] = viaDependency ? [id] : [];
     const stack = [id];
     for (let next = stack.pop(); next !== undefined; next = stack.pop()) {
       this.finished.set(next, 'cancelled');
