--- a/src/core/capacity/scale-out-planning.ts
+++ b/src/core/capacity/scale-out-planning.ts
@@ -24,7 +24,7 @@
   blocked: readonly Job[],
   now: Timestamp,
 ): ScaleOutRequest[] {
-  if (state.machines.types.size === 0 || !state.machines.inventorySeen) return [];
+  if (state.machines.types.size === 0 || !state.machines.inventoryReceived) return [];
   const plan = new ScaleOutPlan(state, now);
   for (const job of blocked) {
     plan.addPendingTasks(job);
--- a/src/core/reconciliation/instance-inventory.ts
+++ b/src/core/reconciliation/instance-inventory.ts
@@ -30,7 +30,7 @@
   now: Timestamp,
 ): void {
   const listedNames = new Set<string>();
-  state.machines.inventorySeen = true;
+  state.machines.inventoryReceived = true;
   for (const instance of instances) {
     listedNames.add(instance.name);
     // Inventories lag: a machine that is proven to be terminated remains listed for a while.
--- a/src/core/state/machine-table.ts
+++ b/src/core/state/machine-table.ts
@@ -18,7 +18,7 @@
   /** Machines proven terminated, with the time: later heartbeats in their names are delayed duplicates. Names are unique. */
   readonly terminated: Map<string, MonotonicTime>;
   /** An inventory of the cloud was received in this term. */
-  inventorySeen: boolean;
+  inventoryReceived: boolean;
   /** Length of the longest encoded machine name seen: bounds the size of a recorded assignment. */
   longestNameBytes: number;
   /** Machines that scheduling cycles looked at: tests check that an idle cycle looks at none. */
@@ -31,7 +31,7 @@
   types: new Map(),
   booting: new Map(),
   terminated: new Map(),
-  inventorySeen: false,
+  inventoryReceived: false,
   longestNameBytes: 0,
   scannedCount: 0,
 });
