--- a/src/core/state/overload.ts
+++ b/src/core/state/overload.ts
@@ -2,7 +2,7 @@
 import { seconds } from '../model/time.js';
 import type { TermState } from './term-state.js';
 
-const OVERLOAD_LAG = seconds(0.1);
+const OVERLOAD_LAG_THRESHOLD = seconds(0.1);
 
 /**
  * Whether the event-loop lag is so high that everything else must give way to heartbeats. On a small share of a core a
@@ -10,4 +10,4 @@
  * times as much as a heartbeat, then took the time in which heartbeats should have been acknowledged, and leases
  * expired.
  */
-export const isOverloaded = (term: TermState): boolean => term.eventLoopLag > OVERLOAD_LAG;
+export const isOverloaded = (term: TermState): boolean => term.eventLoopLag > OVERLOAD_LAG_THRESHOLD;
