--- a/src/core/machines/machine-registry.ts
+++ b/src/core/machines/machine-registry.ts
@@ -5,8 +5,8 @@
 
 /** The machine of that name, added when it is not known yet. */
 export function getOrAddMachine(state: ClusterState, name: string, now: MonotonicTime): Machine {
-  const known = state.machines.byName.get(name);
-  if (known !== undefined) return known;
+  const existing = state.machines.byName.get(name);
+  if (existing !== undefined) return existing;
   const machine = newMachine(name, state.term.previousLeadersDeadline, now);
   state.machines.byName.set(name, machine);
   state.machines.longestNameBytes = Math.max(
--- a/src/core/persistence/job-records.ts
+++ b/src/core/persistence/job-records.ts
@@ -15,9 +15,9 @@
   modRevision: number,
   now: Timestamp,
 ): void {
-  const known = state.jobs.byId.get(id);
-  if (known === undefined) addJob(state, newJob(record, modRevision, now.monotonic), now);
-  else if (modRevision > known.modRevision) updateJob(state, known, record, modRevision, now);
+  const existing = state.jobs.byId.get(id);
+  if (existing === undefined) addJob(state, newJob(record, modRevision, now.monotonic), now);
+  else if (modRevision > existing.modRevision) updateJob(state, existing, record, modRevision, now);
 }
 
 function addJob(state: ClusterState, job: Job, now: Timestamp): void {
