--- a/src/core/model/zone-policy.ts
+++ b/src/core/model/zone-policy.ts
@@ -47,7 +47,7 @@
 /** Decides which machines of lost and returning zones take which tasks. It reads no clock and sends nothing. */
 export interface ZonePolicy {
   /** Evaluates an observation; returns the changes of state that follow from it. */
-  observe(seen: FleetObservation, now: Timestamp): readonly ZoneChange[];
+  observe(observation: FleetObservation, now: Timestamp): readonly ZoneChange[];
   /** Whether a machine of the zone may take the requested work. */
   admits(zone: string, machine: string, request: ZoneAdmissionRequest): boolean;
   /** Whether machines there should neither be waited for nor requested. */
