--- a/src/core/model/pending-reasons.ts
+++ b/src/core/model/pending-reasons.ts
@@ -1,27 +1,27 @@
-/** @file Why a job has tasks without an assignment, in the words that log lines show. */
+/** @file Pending reasons: why a job has tasks without an assignment, as written to the log. */
 
 /** No machine has capacity for a task. */
 export const NO_CAPACITY = 'no capacity';
 
-/** No choice of machines has capacity for all tasks of a gang at once. */
+/** No combination of machines has capacity for all tasks of a gang at once. */
 export const NO_GANG_CAPACITY = 'no capacity for all tasks at once';
 
-/** Tasks of lower priority are being stopped for it. */
-export const PREEMPTION_IN_PROGRESS = 'preemption in progress beside the cached image';
+/** Tasks of lower priority are being stopped on a machine that has the job's image cached. */
+export const PREEMPTION_IN_PROGRESS = 'preemption in progress on a machine with the cached image';
 
-/** Its team's quota does not allow more tasks. */
+/** The team's quota does not allow more tasks. */
 export const QUOTA_EXCEEDED = 'team quota';
 
-/** Machines have capacity, but not in the zones that its constraints allow. */
+/** Machines have capacity, but not in the zones that the job's constraints allow. */
 export const ZONE_CONSTRAINTS = 'zone constraints';
 
 /** Tasks of the gang's previous attempt may still be running. */
 export const PREVIOUS_ATTEMPT_ENDING = 'tasks of the previous attempt have not all ended';
 
-/** Some of its dependencies are not done. */
+/** At least one dependency is not done. */
 export const WAITING_FOR_DEPENDENCIES = 'waiting for dependencies';
 
-/** No scheduling cycle has considered it yet. */
+/** No scheduling cycle has considered the job yet. */
 export const NOT_CONSIDERED_YET = 'new';
 
 /** Why a job has tasks without an assignment. */
