--- a/src/core/model/assignment.ts
+++ b/src/core/model/assignment.ts
@@ -1,20 +1,20 @@
-/** @file Assignments of tasks to machines, and the keys that name tasks and attempts. */
+/** @file Assignments of tasks to machines, and the keys that identify tasks and attempts. */
 import type { MonotonicTime } from './time.js';
 
-/** How far an assigned task has come, by its worker's heartbeats. */
+/** Progress of an assigned task, as reported by the worker's heartbeats. */
 type AssignmentPhase = 'assigned' | 'fetching' | 'waiting' | 'running' | 'checkpointing';
 
-/** Why and how an assigned task is to end. */
+/** A request to stop an assigned task. */
 interface StopRequest {
-  /** Seconds that the task is given for a checkpoint. */
+  /** Grace period in seconds in which the task may write a checkpoint. */
   readonly gracePeriodS: number;
   readonly reason: string;
   readonly requestedAt: MonotonicTime;
 }
 
 /**
- * One attempt of a task, assigned to a machine. It is committed before any start command for it leaves this process,
- * and from then on the task may be running there until the opposite is proven.
+ * One attempt of a task, assigned to a machine. It is committed before any start command for it leaves this process;
+ * from then on the task counts as possibly running on the machine until the opposite is proven.
  */
 export interface Assignment {
   readonly jobId: string;
@@ -24,24 +24,24 @@
   readonly agentEpoch: number;
   readonly zone: string;
   /**
-   * `RecordState.version` that first holds this assignment; it is committed once its chunk's committed version reaches
-   * it.
+   * First `RecordState.version` that includes this assignment. The assignment is committed once its chunk's committed
+   * version reaches this value.
    */
   readonly recordVersion: number;
   readonly createdAt: MonotonicTime;
   phase: AssignmentPhase;
-  /** Set when the task is to end on this machine. */
+  /** The stop request for this attempt, or null if it is not to be stopped. */
   stopRequest: StopRequest | null;
-  /** Sequence number of the heartbeat whose answer last carried the start command; null: none did. */
+  /** Sequence number of the heartbeat whose answer last carried the start command, or null if no answer did. */
   startSentInSequence: number | null;
-  /** When the start command was first sent in this term. */
+  /** When the start command was first sent in this term, or null if it was not. */
   startSentAt: MonotonicTime | null;
   runningSince: MonotonicTime | null;
 }
 
-/** Names a task. */
+/** Returns the key that identifies a task. */
 export const taskKey = (jobId: string, taskIndex: number): string => `${jobId}/${taskIndex}`;
 
-/** Names one attempt of a task. */
+/** Returns the key that identifies one attempt of a task. */
 export const attemptKey = (jobId: string, taskIndex: number, attempt: number): string =>
   `${jobId}/${taskIndex}#${attempt}`;
--- a/src/core/model/cluster-config.ts
+++ b/src/core/model/cluster-config.ts
@@ -1,7 +1,7 @@
-/** @file The facts of the platform, as the core uses them. They are fixed for the life of the process. */
+/** @file Platform configuration that the core uses. It does not change during the life of the process. */
 import type { Duration } from './time.js';
 
-/** A team with its fair share (a guarantee) and its quota (a limit); 0: none. */
+/** A team with its fair share (a guarantee) and its quota (a limit). 0 means no guarantee or no limit. */
 export interface Team {
   readonly name: string;
   readonly fairShareCpus: number;
@@ -10,34 +10,34 @@
   readonly gpuQuota: number;
 }
 
-/** A service-level objective of the operators for a class of jobs. */
+/** A service-level objective that the operators set for a class of jobs. */
 export interface ServiceLevelObjective {
   readonly kind: string;
   readonly class: string;
-  /** The span that counts as kept; null: the objective's kind needs none. */
+  /** Longest span that meets the objective, or null if its kind needs no threshold. */
   readonly threshold: Duration | null;
-  /** The share of jobs for which the threshold is to be kept. */
+  /** Share of jobs that are to meet the threshold. */
   readonly share: number;
 }
 
-/** The platform's facts. */
+/** Configuration of the platform. */
 export interface ClusterConfig {
   readonly zones: readonly string[];
   readonly teams: readonly Team[];
   readonly objectives: readonly ServiceLevelObjective[];
   readonly heartbeatInterval: Duration;
-  /** How long a worker keeps its tasks after the last answered heartbeat. */
+  /** How long a worker keeps its tasks running after its last answered heartbeat. */
   readonly workerLease: Duration;
-  /** A gang's task that waits longer for the other tasks to start exits. */
+  /** How long a gang's task waits for the other tasks to start before it exits. */
   readonly gangStartTimeout: Duration;
-  /** Within this span a gang's tasks notice that one is lost, and within it all must receive a stop command. */
+  /** Within this span a gang's tasks detect the loss of one of them, and within it all must receive a stop command. */
   readonly gangPeerTimeout: Duration;
-  /** Within this span of a confirmed cancellation every task of the job has to be gone. */
+  /** Within this span after a cancellation is confirmed, no task of the job may be running any more. */
   readonly cancellationDeadline: Duration;
-  /** The most writes that one transaction of the state store takes. */
+  /** Upper bound on the writes in one transaction of the state store. */
   readonly maxTransactionOperations: number;
-  /** The most bytes that one value in the state store takes. */
+  /** Upper bound on the size of one value in the state store, in bytes. */
   readonly maxValueBytes: number;
-  /** How far the cloud's inventory usually lags; at times it is up to twice that. */
+  /** Usual lag of the cloud's inventory; at times the lag is up to twice as long. */
   readonly inventoryLag: Duration;
 }
--- a/src/core/model/effects.ts
+++ b/src/core/model/effects.ts
@@ -1,11 +1,11 @@
-/** @file What the core wants done outside: it performs no input or output itself. */
+/** @file Effects: actions that the core requests from its caller, because it performs no input or output itself. */
 import type { ScaleOutRequest } from './scale-out.js';
 import type { WorkerCommand } from './worker-command.js';
 
 /** Values of a log line, by name. */
 export type LogFields = Readonly<Record<string, string | number | boolean | null | readonly string[]>>;
 
-/** One action for the caller to carry out after the event. */
+/** One action that the caller carries out after the event. */
 export type Effect =
   | {
       readonly kind: 'send-commands';
@@ -16,10 +16,10 @@
   | { readonly kind: 'scale-out'; readonly request: ScaleOutRequest }
   | { readonly kind: 'scale-in'; readonly machineNames: readonly string[]; readonly reason: string }
   | { readonly kind: 'advance-token'; readonly reason: string }
-  /** A worker showed a higher fencing token: another leader is in office. */
+  /** A worker reported a higher fencing token, so another leader is active. */
   | { readonly kind: 'superseded'; readonly fencingToken: number }
   | { readonly kind: 'step-down'; readonly reason: string }
-  /** What the next leader must know of lost and returning zones. */
+  /** Stores what the next leader needs about lost and returning zones. */
   | { readonly kind: 'persist-zones'; readonly record: unknown }
   | {
       readonly kind: 'log';
--- a/src/core/model/events.ts
+++ b/src/core/model/events.ts
@@ -1,6 +1,6 @@
 /**
- * @file What can happen to a leader. Events are the core's only input besides direct requests for answers; each is
- * handled alone, in the order in which the edge dispatches them. Types only: nothing here handles an event.
+ * @file Types of the events that a leader handles. Events are the core's only input besides direct calls for answers.
+ * They are handled one at a time, in the order in which the edge dispatches them.
  */
 import type { Heartbeat } from './heartbeat.js';
 import type { JobRecord } from './job.js';
@@ -11,39 +11,39 @@
 import type { Transaction } from './transaction.js';
 import type { PageEntry } from './records.js';
 
-/** How direct commands ended. Unknown: they may still arrive and be carried out. */
+/** Outcome of commands sent directly. If it is unknown, they may still arrive and be executed. */
 export type CommandOutcome = 'executed' | 'refused' | 'unknown';
 
-/** A worker, or the time limit of the call, has answered commands that were sent directly. */
+/** A worker answered commands that were sent directly, or the call reached its time limit. */
 export interface CommandsAnswered {
   readonly kind: 'commands-answered';
   readonly machineName: string;
   readonly agentEpoch: number;
-  /** The token that the commands carried. */
+  /** Fencing token that the commands carried. */
   readonly fencingToken: number;
   readonly commands: readonly WorkerCommand[];
   readonly outcome: CommandOutcome;
-  /** The worker's heartbeat in its answer; null: the worker itself did not answer. */
+  /** The heartbeat in the worker's answer, or null if the worker itself did not answer. */
   readonly heartbeat: Heartbeat | null;
 }
 
-/** An image that another source than a heartbeat shows to be cached on a machine. */
+/** An image that is cached on a machine according to a source other than heartbeats. */
 export interface ImageSighting {
   readonly machineName: string;
   readonly image: string;
   readonly sizeGb: number;
 }
 
-/** One event. */
+/** An event that the leader handles. */
 export type Event =
-  /** A job's record was loaded, or was changed by a user or a controller. */
+  /** A job's record was loaded, or a user or a controller changed it. */
   | {
       readonly kind: 'job-changed';
       readonly id: string;
       readonly record: JobRecord;
       readonly modRevision: number;
     }
-  /** A job that had ended before the term, and of which no task has an assignment. */
+  /** A job that ended before the term began was loaded; none of its tasks has an assignment. */
   | { readonly kind: 'job-finished'; readonly id: string; readonly status: 'done' | 'cancelled' }
   /** A page of recorded assignments and results was loaded. */
   | {
@@ -52,9 +52,9 @@
       readonly entries: readonly PageEntry[];
       readonly modRevision: number;
     }
-  /** All that was recorded before the term is loaded. */
+  /** All records written before the term are loaded. */
   | { readonly kind: 'load-completed' }
-  /** A worker's heartbeat came as a request of its own; `answerHeartbeat` gives the answer to it. */
+  /** A worker sent a heartbeat as a separate request; `answerHeartbeat` returns the answer to it. */
   | { readonly kind: 'heartbeat'; readonly heartbeat: Heartbeat }
   | CommandsAnswered
   /** A transaction was committed. */
@@ -63,29 +63,29 @@
       readonly transaction: Transaction;
       readonly modRevision: number;
     }
-  /** The state store confirmed the leadership, as of the moment at which that was requested. */
+  /** The state store confirmed the leadership as of the time when the confirmation was requested. */
   | { readonly kind: 'leadership-confirmed'; readonly confirmedAt: MonotonicTime }
-  /** The leader's own fencing token was advanced within the term. */
+  /** The leader's own fencing token advanced within the term. */
   | { readonly kind: 'token-advanced'; readonly fencingToken: number }
-  /** The cloud's list of machine types. */
+  /** The cloud's list of machine types was received. */
   | { readonly kind: 'machine-types'; readonly types: readonly MachineType[] }
-  /** The cloud's whole inventory, and when the first request for it was sent. */
+  /** The cloud's whole inventory was received; `requestedAt` is when the first request for it was sent. */
   | {
       readonly kind: 'instance-inventory';
       readonly machines: readonly CloudInstance[];
       readonly requestedAt: MonotonicTime;
     }
-  /** A scale-out request is about to be sent, under a name of its own. */
+  /** A scale-out request with a name of its own will be sent next. */
   | { readonly kind: 'scale-out-started'; readonly name: string; readonly request: ScaleOutRequest }
-  /** The cloud answered a scale-out request: the names of the new machines; null: it refused. */
+  /** The cloud answered a scale-out request with the names of the new machines, or null if it refused. */
   | {
       readonly kind: 'scale-out-answered';
       readonly name: string;
       readonly machines: readonly string[] | null;
     }
-  /** The cloud answered a scale-in request, or failed to. */
+  /** The cloud answered a scale-in request, or did not answer it. */
   | { readonly kind: 'scale-in-answered'; readonly machines: readonly string[]; readonly succeeded: boolean }
-  /** Images were found in the caches of machines by another way than heartbeats. */
+  /** A source other than heartbeats shows that images are cached on machines. */
   | { readonly kind: 'images-observed'; readonly sightings: readonly ImageSighting[] }
-  /** Time has passed: the only event that periodic work depends on. */
+  /** A timer fired: the only event that triggers periodic work. */
   | { readonly kind: 'tick' };
--- a/src/core/model/heartbeat.ts
+++ b/src/core/model/heartbeat.ts
@@ -1,31 +1,31 @@
-/** @file Heartbeats of workers, as parsed. */
+/** @file Heartbeats of workers, in parsed form. */
 import type { Duration } from './time.js';
 
-/** A task in a worker's heartbeat. */
+/** A task as reported in a worker's heartbeat. */
 export interface ReportedTask {
   readonly jobId: string;
   readonly taskIndex: number;
   readonly attempt: number;
   readonly state: 'fetching' | 'waiting' | 'running' | 'checkpointing' | 'exited';
-  /** Why it exited; null: it has not. */
+  /** Why the task exited, or null if it has not exited. */
   readonly exitReason: string | null;
-  /** It ended with a checkpoint that the next attempt continues from. */
+  /** True if the task ended with a checkpoint from which the next attempt continues. */
   readonly checkpointed: boolean;
 }
 
-/** A worker's heartbeat: sent by the worker itself, or its answer to commands sent directly. */
+/** A worker's heartbeat, sent by the worker on its own or in its answer to commands sent directly. */
 export interface Heartbeat {
   readonly machineName: string;
   readonly endpoint: string;
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
-  /** Counts the agent's restarts: a new epoch begins without tasks. */
+  /** Counts the agent's restarts. A new epoch begins without tasks. */
   readonly agentEpoch: number;
   readonly sequence: number;
-  /** The highest fencing token that the worker has seen. */
+  /** Highest fencing token that the worker has received. */
   readonly fencingToken: number;
-  /** How long a spot machine has left; null: no notice was given. */
+  /** Time until the preemption of a spot machine, or null if no notice was given. */
   readonly preemptionNotice: Duration | null;
   readonly tasks: readonly ReportedTask[];
 }
--- a/src/core/model/job.ts
+++ b/src/core/model/job.ts
@@ -1,9 +1,9 @@
-/** @file Jobs: as submitted, as recorded in the state store, and as the leader knows them. */
+/** @file Jobs: as submitted, as recorded in the state store, and as held in the leader's memory. */
 import type { Duration, MonotonicTime } from './time.js';
 import { NOT_CONSIDERED_YET, type PendingReason } from './pending-reasons.js';
 import type { TaskChunk } from './records.js';
 
-/** How the tasks of a job belong together. */
+/** How the tasks of a job relate to each other. */
 export type JobKind = 'array' | 'gang' | 'service';
 
 /** Priorities, lowest first. */
@@ -11,7 +11,7 @@
 
 const PRIORITY_RANKS: Readonly<Record<Priority, number>> = { low: 0, normal: 1, high: 2, production: 3 };
 
-/** A priority as a number, for comparison. */
+/** Returns a priority as a number for comparison; a higher number is a higher priority. */
 export const priorityRank = (priority: Priority): number => PRIORITY_RANKS[priority];
 
 /** A job as its user described it. */
@@ -22,15 +22,15 @@
   readonly kind: JobKind;
   readonly priority: Priority;
   readonly taskCount: number;
-  /** Requested for each task, like `gpus` and `memory` (in GB). */
+  /** CPUs requested for each task. `gpus` and `memory` (in GB) are also per task. */
   readonly cpus: number;
   readonly gpus: number;
   readonly memory: number;
-  /** Machine types that it may run on; null: any. */
+  /** Machine types on which the job may run, or null for any. */
   readonly machineTypes: readonly string[] | null;
-  /** The only zone that it may run in; null: any. */
+  /** The only zone in which the job may run, or null for any. */
   readonly zone: string | null;
-  /** All its tasks have to be in one zone. */
+  /** True if all tasks must run in the same zone. */
   readonly singleZone: boolean;
   readonly spreadAcrossZones: boolean;
   readonly allowSpot: boolean;
@@ -39,58 +39,58 @@
   readonly estimatedDuration: Duration;
   readonly checkpointInterval: Duration;
   readonly checkpointDuration: Duration;
-  /** From its submission; null: none. */
+  /** Deadline counted from the submission, or null if there is none. */
   readonly deadline: Duration | null;
-  /** Jobs that must be done before any task of this one starts. */
+  /** Jobs that must be done before any task of this job starts. */
   readonly dependencies: readonly string[];
 }
 
-/** What the job's record says of its life. */
+/** Status in a job's record. */
 export type JobStatus = 'open' | 'cancelled' | 'done';
 
-/** A job as the state store holds it. */
+/** A job as recorded in the state store. */
 export interface JobRecord {
   readonly spec: JobSpec;
   readonly submittedAt: Date;
   readonly status: JobStatus;
 }
 
-/** A job as the leader knows it. */
+/** The leader's in-memory state of a job. */
 export interface Job {
   readonly spec: JobSpec;
   readonly submittedAt: Date;
   status: JobStatus;
-  /** Mod revision of the job's key: every transaction of the leader about this job compares it. */
+  /** Mod revision of the job's key. Every transaction of the leader that concerns this job compares it. */
   modRevision: number;
   readonly chunks: Map<number, TaskChunk>;
   completedCount: number;
   assignedCount: number;
-  /** All results are in, and the record that says so is queued for commit. */
+  /** True once every task has a result and the job is queued to be recorded as done. */
   completionRequested: boolean;
-  /** Machines on which tasks of this job failed, with how often. */
+  /** Number of failures of this job's tasks, by machine name. */
   readonly failuresByMachine: Map<string, number>;
   failureCount: number;
-  /** How often its tasks were stopped for other work. */
+  /** How often its tasks were stopped in favor of other work. */
   preemptionCount: number;
-  /** Not assigned again before this moment (back-off after failures). */
+  /** Tasks of the job are not assigned again before this time (back-off after failures). */
   retryNotBefore: MonotonicTime;
-  /** Tasks known to have neither a result nor an assignment; kept in order. */
+  /** Indexes of the tasks that have neither a result nor an assignment, in insertion order. */
   readonly unassignedTasks: Set<number>;
   firstSeenAt: MonotonicTime;
-  /** When a running replica was last lost: its users are without it from then on. */
+  /** When a running service replica was last lost and became unavailable to its users, or null if none was. */
   replicaLostAt: MonotonicTime | null;
   pendingReason: PendingReason;
-  /** From when it counts as pending: its submission, or the end of the last dependency; null: a dependency is open. */
+  /** When the job became pending: at its submission or the end of its last dependency. Null while one is open. */
   readySince: Date | null;
-  /** Its own priority, or that of a job that depends on it if that is higher. */
+  /** Higher of its own priority and the priorities of the jobs that depend on it. */
   priority: Priority;
-  /** Seconds of wall time by which it should end, for its own deadline and those of the jobs that depend on it. */
+  /** Wall time in seconds by which it should end to meet its own deadline and those of the jobs that depend on it. */
   latestCompletion: number;
-  /** Inside its team's fair share, together with the team's earlier unfinished jobs. */
+  /** True if the job fits its team's fair share together with the team's earlier unfinished jobs. */
   withinFairShare: boolean;
 }
 
-/** A job as first read, with none of its tasks known to be assigned or completed. */
+/** Returns a job as first read, with no task assigned or completed. */
 export const newJob = (record: JobRecord, modRevision: number, now: MonotonicTime): Job => ({
   spec: record.spec,
   submittedAt: record.submittedAt,
--- a/src/core/model/machine.ts
+++ b/src/core/model/machine.ts
@@ -1,10 +1,10 @@
-/** @file Machines: types that the cloud offers, instances as the cloud lists them, and what the leader knows of each. */
+/** @file Machines: types that the cloud offers, instances that it lists, and the leader's state of each machine. */
 import type { Assignment } from './assignment.js';
 import type { ReportedTask } from './heartbeat.js';
 import type { Resources } from './resources.js';
 import type { Duration, MonotonicTime } from './time.js';
 
-/** A type of machine that the cloud offers. */
+/** A machine type that the cloud offers. */
 export interface MachineType {
   readonly name: string;
   readonly cpus: number;
@@ -19,7 +19,7 @@
   readonly zones: readonly string[];
 }
 
-/** A machine as the cloud's inventory lists it. */
+/** An instance as listed in the cloud's inventory. */
 export interface CloudInstance {
   readonly name: string;
   readonly endpoint: string;
@@ -30,57 +30,60 @@
   readonly age: Duration;
 }
 
-/** A machine as the leader knows it. */
+/** The leader's in-memory state of a machine. */
 export interface Machine {
   readonly name: string;
   endpoint: string;
   type: string;
   zone: string;
   spot: boolean;
-  /** 0: no heartbeat seen yet. */
+  /** 0 until the first heartbeat is received. */
   agentEpoch: number;
   sequence: number;
   fencingToken: number;
-  /** When a spot machine is announced to be taken away; null: no notice. */
+  /** When the cloud will preempt the spot machine, according to its preemption notice, or null if it has none. */
   preemptionAt: MonotonicTime | null;
-  /** When this leader last answered a heartbeat, or the last moment at which a previous leader may have. */
+  /** When this leader last answered a heartbeat, or the latest time at which a previous leader may have done so. */
   lastAcknowledgedAt: MonotonicTime;
   lastHeartbeatAt: MonotonicTime;
-  /** When the first heartbeat of its own accord came in this term; null: none has. */
+  /** When the worker first sent a heartbeat on its own in this term, or null if it has not. */
   firstHeartbeatAt: MonotonicTime | null;
-  /** The worker has shown the fencing token of this term: only this leader's answers reach it, and absence counts. */
+  /**
+   * True once the worker has reported this term's fencing token. It then accepts answers from this leader alone, and
+   * the absence of a task from its heartbeats counts.
+   */
   fenced: boolean;
-  /** Agent epochs up to this one are over: their tasks are gone, and nothing starts in them. */
+  /** Agent epochs up to and including this one have ended: their tasks are gone, and no task starts in them. */
   lastExpiredEpoch: number;
   readonly assignments: Map<string, Assignment>;
-  /** Tasks last reported and not exited, by task key. */
+  /** Tasks in the last heartbeat that have not exited, by task key. */
   reportedTasks: Map<string, ReportedTask>;
   readonly cachedImages: Map<string, { gb: number; lastUsedAt: MonotonicTime }>;
   failuresByJob: Map<string, MonotonicTime>;
   quarantined: boolean;
   quarantinedSince: MonotonicTime | null;
   idleSince: MonotonicTime | null;
-  /** As last listed by the cloud; null: not listed yet. */
+  /** State in the cloud's last inventory that listed the machine, or null if none has listed it. */
   instanceState: CloudInstance['state'] | null;
   lastListedAt: MonotonicTime | null;
-  /** Its scale-in was requested. */
+  /** True once the scale-in of the machine was requested. */
   releasing: boolean;
-  /** Preferred for scale-in: it takes new tasks only when nothing else fits. */
+  /** True if the machine is preferred for scale-in: it takes new tasks only when no other machine fits. */
   draining: boolean;
   firstSeenAt: MonotonicTime;
-  /** Sequence numbers of recently answered heartbeats of this agent epoch: the same number again is a duplicate. */
+  /** Sequence numbers of recently answered heartbeats in this agent epoch, to detect duplicates. */
   answeredSequences: number[];
-  /** Answers in a row that carried a start command of which the next heartbeats showed nothing. */
+  /** Number of consecutive answers with a start command that had no effect in the following heartbeats. */
   unacknowledgedStarts: number;
   unacknowledgedSequence: number;
-  /** Since when its heartbeats come while nothing shows that commands reach it; null: commands do reach it. */
+  /** Since when heartbeats arrive but nothing shows that commands reach the worker, or null if commands reach it. */
   unreachableSince: MonotonicTime | null;
   probedAt: MonotonicTime | null;
   /**
-   * Free resources, computed again after a change (null). `free` is what no assigned or reported task takes;
-   * `projected` adds what tasks that are being stopped will free.
+   * Free resources, or null after a change until they are computed again. `free` is what no assigned or reported task
+   * takes; `projected` adds what tasks that are being stopped will free.
    */
   resources: { readonly free: Resources; readonly projected: Resources } | null;
-  /** It reports tasks that no assignment covers; they take resources too. */
+  /** True if the worker reports tasks without an assignment; they take resources too. */
   hasOrphanedTasks: boolean;
 }
--- a/src/core/model/operator-settings.ts
+++ b/src/core/model/operator-settings.ts
@@ -1,19 +1,19 @@
 /** @file Settings that operators may change. */
 import type { Duration } from './time.js';
 
-/** Parameters of the scheduling design (by the symbols of its paper) and of what was added to it. */
+/** Parameters of the scheduling design, named after the symbols of its paper, and of the extensions to it. */
 export interface OperatorSettings {
   readonly alpha: number;
   readonly lambda: number;
   readonly betaCs: number;
   readonly betaRc: number;
   readonly phi: number;
-  /** Image bandwidth in GB/s; null: the machine type's own. */
+  /** Bandwidth of image fetches in GB/s, or null to use that of the machine type. */
   readonly bandwidth: number | null;
-  /** A machine that is not needed is released after being idle for this long. */
+  /** How long a machine that is not needed stays idle before it is released. */
   readonly idleTimeout: Duration;
-  /** Capacity kept free beyond what is in use, as a share of it. */
+  /** Capacity kept free, as a share of the capacity in use. */
   readonly reserveShare: number;
-  /** A machine is quarantined once tasks of this many different jobs have failed on it. */
+  /** Number of different jobs with failed tasks on a machine at which the machine is quarantined. */
   readonly quarantineThreshold: number;
 }
--- a/src/core/model/records.ts
+++ b/src/core/model/records.ts
@@ -1,7 +1,7 @@
-/** @file Records of assignments and results, in memory and as they are written to the state store. */
+/** @file Records of assignments and results, in memory and as written to the state store. */
 import type { Assignment } from './assignment.js';
 
-/** A chunk as it is written to the state store. */
+/** A chunk as written to the state store. */
 export interface ChunkRecord {
   readonly highestAttempt: number;
   readonly completedTasks: readonly number[];
@@ -17,29 +17,29 @@
   readonly zone: string;
 }
 
-/** Which jobs share pages. It is derived from the jobs and never stored. */
+/** Group of jobs that share pages. It is derived from the jobs and never stored. */
 export type PagePool = 'service' | 'batch';
 
-/** One key of the state store: the recorded state of many jobs' chunks. */
+/** A page: one key of the state store, which holds chunks of many jobs. */
 export interface RecordPage {
   readonly id: number;
   pool: PagePool;
-  /** Mod revision of the key as last committed; 0: the key does not exist. */
+  /** Mod revision of the key at its last commit; 0 if the key does not exist. */
   modRevision: number;
   /** `RecordState.version` at the page's last change. */
   version: number;
-  /** The highest version of the page that is committed. */
+  /** Highest committed version of the page. */
   committedVersion: number;
   readonly chunks: Set<TaskChunk>;
-  /** The sum of its chunks' size bounds; null: to be computed again. */
+  /** Sum of the size bounds of its chunks in bytes, or null if it must be computed again. */
   reservedBytes: number | null;
 }
 
-/** A run of consecutive tasks of a job, recorded together in one page. */
+/** A range of consecutive tasks of a job, recorded together in one page. */
 export interface TaskChunk {
   readonly jobId: string;
   readonly index: number;
-  /** The page that records it; null: nothing of it is recorded. */
+  /** Page that holds the chunk, or null if the chunk is not recorded. */
   page: RecordPage | null;
   /** Highest attempt number assigned in this chunk. */
   highestAttempt: number;
@@ -47,13 +47,13 @@
   readonly assignments: Map<number, Assignment>;
   /** `RecordState.version` at the chunk's last change. */
   version: number;
-  /** The highest version of the chunk that is committed. */
+  /** Highest committed version of the chunk. */
   committedVersion: number;
-  /** As last built for writing; null: changed since. */
+  /** Record last built for writing, or null if the chunk has changed since. */
   cachedRecord: ChunkRecord | null;
 }
 
-/** One chunk in a page as it is written. */
+/** One chunk in a page as written to the state store. */
 export interface PageEntry {
   readonly jobId: string;
   readonly chunkIndex: number;
--- a/src/core/model/resources.ts
+++ b/src/core/model/resources.ts
@@ -1,19 +1,19 @@
 /**
- * @file Amounts of CPUs, GPUs and memory, and the only arithmetic done on them. Cycles do it millions of times, so that
- * it changes amounts in place and allocates nothing.
+ * @file Amounts of CPUs, GPUs and memory, and all arithmetic on them. Scheduling cycles run it millions of times, so it
+ * changes amounts in place and allocates nothing.
  */
 
-/** An amount of each resource. Negative amounts stand for more reserved than there is. */
+/** An amount of each resource (memory in GB). A negative amount means that more is reserved than exists. */
 export interface Resources {
   cpus: number;
   gpus: number;
   memory: number;
 }
 
-/** Amounts that differ by less than this count as equal: fractions of CPUs do not add up exactly. */
+/** Tolerance of comparisons, because fractions of CPUs do not add up exactly. */
 export const RESOURCE_EPSILON = 1e-6;
 
-/** Whether a request fits into what is available. */
+/** Whether a request fits into the available resources. */
 export function fits(request: Readonly<Resources>, available: Readonly<Resources>): boolean {
   return (
     request.cpus <= available.cpus + RESOURCE_EPSILON &&
@@ -36,7 +36,7 @@
   total.memory -= amount.memory;
 }
 
-/** A separate amount that is equal to the resources of a task, a machine type or another amount. */
+/** Returns a copy of the resources of a task, a machine type or another amount. */
 export const copyResources = ({ cpus, gpus, memory }: Readonly<Resources>): Resources => ({
   cpus,
   gpus,
--- a/src/core/model/scale-out.ts
+++ b/src/core/model/scale-out.ts
@@ -1,7 +1,7 @@
-/** @file Requests for further machines. */
+/** @file Requests to the cloud for more machines. */
 import type { MonotonicTime } from './time.js';
 
-/** Machines of one type, zone and kind that are requested together. */
+/** A request for `count` machines of one type in one zone, either all spot instances or none. */
 export interface ScaleOutRequest {
   readonly type: string;
   readonly zone: string;
@@ -9,7 +9,7 @@
   readonly count: number;
 }
 
-/** A request that the cloud has not answered yet. */
+/** A scale-out request that the cloud has not answered yet. */
 export interface PendingScaleOut {
   readonly request: ScaleOutRequest;
   readonly requestedAt: MonotonicTime;
--- a/src/core/model/transaction.ts
+++ b/src/core/model/transaction.ts
@@ -4,7 +4,7 @@
  */
 import type { PageEntry, TaskChunk } from './records.js';
 
-/** A page as it is to be written. */
+/** The write of one page. */
 export interface PageWrite {
   readonly id: number;
   readonly modRevision: number;
@@ -15,19 +15,19 @@
 
 /**
  * Changes that are committed together or not at all. Each transaction compares mod revisions: that of the leader key
- * (this process is still the leader), those of the jobs that get assignments (a cancellation wins against a start in
- * flight) and those of its pages (repeating a transaction that was committed after all changes nothing).
+ * (this process is still the leader), those of the jobs that get assignments (a cancellation wins over a concurrent
+ * start) and those of its pages (repeating a transaction that was already committed changes nothing).
  */
 export interface Transaction {
   readonly fencingToken: number;
-  /** Jobs whose mod revisions are compared. */
+  /** Mod revisions to compare, by job id. */
   readonly jobConditions: ReadonlyMap<string, number>;
   readonly pages: readonly PageWrite[];
   readonly completedJobs: readonly string[];
-  /** Jobs cancelled through a dependency, whose own records are to say so. */
+  /** Jobs cancelled through a dependency, to be recorded as cancelled. */
   readonly cancelledJobs: readonly string[];
 }
 
-/** How many of the state store's operations a transaction takes. */
+/** Returns the number of state store operations in a transaction. */
 export const operationCount = (transaction: Transaction): number =>
   transaction.pages.length + transaction.completedJobs.length + transaction.cancelledJobs.length;
--- a/src/core/model/worker-command.ts
+++ b/src/core/model/worker-command.ts
@@ -1,17 +1,17 @@
-/** @file Commands to workers, and what a heartbeat is answered with. */
+/** @file Commands to workers, and answers to heartbeats. */
 import type { MonotonicTime } from './time.js';
 
-/** What a worker is to do with one attempt of a task. */
+/** A command to a worker about one attempt of a task. */
 export interface WorkerCommand {
   readonly op: 'start' | 'stop' | 'forget';
   readonly jobId: string;
   readonly taskIndex: number;
   readonly attempt: number;
-  /** Of a stop: seconds that the task is given for a checkpoint. */
+  /** Stop commands only: grace period in seconds in which the task may write a checkpoint. */
   readonly gracePeriodS?: number;
 }
 
-/** What a heartbeat is answered with: it renews the worker's lease and carries the commands for it. */
+/** The answer to a heartbeat: it renews the worker's lease and carries commands to the worker. */
 export interface HeartbeatAnswer {
   readonly fencingToken: number;
   readonly commands: readonly WorkerCommand[];
@@ -22,9 +22,9 @@
   readonly jobId: string;
   readonly taskIndex: number;
   readonly attempt: number;
-  /** The chunk that records the result; null: the job or chunk is unknown, so nothing has to be committed first. */
+  /** Chunk that records the result, or null if the job or chunk is unknown and nothing has to be committed first. */
   readonly chunkIndex: number | null;
-  /** Version of the chunk that has to be committed first. */
+  /** Version of the chunk that must be committed first. */
   readonly recordVersion: number;
   readonly requestedAt: MonotonicTime;
 }
--- a/src/core/model/zone-policy.ts
+++ b/src/core/model/zone-policy.ts
@@ -1,13 +1,13 @@
-/** @file The interface of a policy for lost and returning zones. Without a policy all zones are treated alike. */
+/** @file Interface of a policy for lost and returning zones. Without a policy all zones are treated alike. */
 import type { JobKind, Priority } from './job.js';
 import type { Timestamp, Duration } from './time.js';
 
-/** What the leader observes of the machines of one zone at a moment. */
+/** The leader's observation of the machines in one zone at one time. */
 export interface ZoneObservation {
   readonly zone: string;
-  /** Machines that have sent a heartbeat in this term and are not proven terminated. */
+  /** Number of machines that have sent a heartbeat in this term and are not proven terminated. */
   readonly known: number;
-  /** Those of them whose last heartbeat is recent. */
+  /** Number of those machines whose last heartbeat is recent. */
   readonly responsive: number;
   /** GPUs of the responsive machines. */
   readonly gpus: number;
@@ -15,24 +15,24 @@
   readonly responsiveMachines: readonly string[];
 }
 
-/** What the leader observes of all zones at a moment. */
+/** The leader's observation of all zones at one time. */
 export interface FleetObservation {
   readonly zones: readonly ZoneObservation[];
-  /** The state store has recently confirmed this leader. */
+  /** True if the state store has recently confirmed the leadership. */
   readonly leadershipConfirmed: boolean;
-  /** Replicas of services that are wanted and not running. */
+  /** Number of service replicas that should be running and are not. */
   readonly replicasMissing: number;
-  /** How long the slowest start now under way takes, with its image fetch. */
+  /** Duration of the slowest start in progress, including its image fetch. */
   readonly slowestStart: Duration;
 }
 
-/** What decides whether a task may be assigned to a machine of a zone that was lost. */
+/** Properties that decide whether a task may be assigned to a machine in a zone that was lost. */
 export interface ZoneAdmissionRequest {
   readonly kind: JobKind;
   readonly priority: Priority;
-  /** The job may run in this zone only. */
+  /** True if the job may run in this zone only. */
   readonly restrictedToZone: boolean;
-  /** For how long the job has been pending; 0 if it has run before. */
+  /** How long the job has been pending; 0 if it has run before. */
   readonly pendingFor: Duration;
 }
 
@@ -44,18 +44,18 @@
   readonly reason: string;
 }
 
-/** Decides which machines of lost and returning zones take which tasks. It reads no clock and sends nothing. */
+/** Decides which tasks may run on machines in lost and returning zones. It reads no clock and sends nothing. */
 export interface ZonePolicy {
-  /** Evaluates an observation; returns the changes of state that follow from it. */
+  /** Evaluates an observation and returns the resulting changes of zone states. */
   observe(observation: FleetObservation, now: Timestamp): readonly ZoneChange[];
-  /** Whether a machine of the zone may take the requested work. */
+  /** Whether the machine in that zone may run the task of the request. */
   admits(zone: string, machine: string, request: ZoneAdmissionRequest): boolean;
-  /** Whether machines there should neither be waited for nor requested. */
+  /** Whether the scheduler should neither wait for machines in the zone nor request any there. */
   isUnavailable(zone: string): boolean;
-  /** Whether replacements for replicas there should be prepared in other zones: they may turn out to be lost. */
+  /** Whether replacements for the zone's replicas should be prepared in other zones, because they may be lost. */
   isEvacuating(zone: string): boolean;
-  /** What the next leader must know, to be stored; null: nothing has changed since the last call. */
+  /** Returns the record to store for the next leader, or null if nothing has changed since the last call. */
   takeUnsavedRecord(): unknown;
-  /** Takes over what a previous leader stored. What cannot be decoded is skipped, and a cautious state assumed. */
+  /** Restores a previous leader's record. Skips what cannot be decoded and assumes a cautious state for it. */
   restore(record: unknown, now: Timestamp): void;
 }
