--- a/src/core/state/cluster-state.ts
+++ b/src/core/state/cluster-state.ts
@@ -1,6 +1,6 @@
 /**
- * @file All that a leader knows, in typed parts. The parts hold data; the modules that own them are listed in
- * docs/architecture.md. Nothing here reads a clock or does input or output.
+ * @file The leader's state, in typed parts. The parts hold data; docs/architecture.md lists the modules that own them.
+ * Nothing here reads a clock or performs input or output.
  */
 import type { ClusterConfig } from '../model/cluster-config.js';
 import type { Effect } from '../model/effects.js';
@@ -14,7 +14,7 @@
 import { type SchedulingState, newSchedulingState } from './scheduling-state.js';
 import { type LeadershipTerm, type TermState, newTermState } from './term-state.js';
 
-/** The leader's whole state. */
+/** The leader's complete state. */
 export interface ClusterState {
   readonly config: ClusterConfig;
   readonly settings: OperatorSettings;
@@ -25,13 +25,13 @@
   readonly commands: CommandState;
   readonly scheduling: SchedulingState;
   readonly scaling: ScalingState;
-  /** Decides which lost or returning zones take work; null: the feature is off. */
+  /** Decides which lost or returning zones take work; null if the feature is off. */
   readonly zonePolicy: ZonePolicy | null;
-  /** What the current event has to have done outside the core. */
+  /** Actions outside the core that the current event requires. */
   effects: Effect[];
 }
 
-/** The state at the beginning of a term, before anything is loaded. */
+/** Returns the state at the beginning of a term, before anything is loaded. */
 export function newClusterState(
   config: ClusterConfig,
   settings: OperatorSettings,
--- a/src/core/state/command-state.ts
+++ b/src/core/state/command-state.ts
@@ -1,19 +1,19 @@
-/** @file Commands whose outcome is not known yet, and results that workers may not forget yet. */
+/** @file Start commands of unknown outcome, and results that workers must keep for now. */
 import type { Assignment } from '../model/assignment.js';
 import { attemptKey } from '../model/assignment.js';
 import type { PendingForget } from '../model/worker-command.js';
 
-/** Commands to workers. Each map is by machine name, then by task or attempt. */
+/** Commands to workers. The keys of each map are machine names, those of the inner maps tasks or attempts. */
 export interface CommandState {
-  /** Exited tasks that a worker may forget once their result is committed, by task key. */
+  /** Exited tasks that a worker may forget once their results are committed, by task key. */
   readonly pendingForgets: Map<string, Map<string, PendingForget>>;
-  /** Start commands of unknown outcome that may still arrive, by attempt key, with the fencing token they carry. */
+  /** Fencing tokens of start commands that have an unknown outcome and may still arrive, by attempt key. */
   readonly unresolvedStarts: Map<string, Map<string, number>>;
-  /** How many start commands sent directly to a worker have no answer yet, by attempt key. */
+  /** Number of start commands sent directly to a worker that have no answer yet, by attempt key. */
   readonly startsInFlight: Map<string, Map<string, number>>;
 }
 
-/** No commands yet. */
+/** Returns a state without commands. */
 export const newCommandState = (): CommandState => ({
   pendingForgets: new Map(),
   unresolvedStarts: new Map(),
@@ -26,7 +26,7 @@
   return attemptMayStillStart(commands, assignment.machineName, key);
 }
 
-/** Whether a start command for an attempt, named by `attemptKey`, may still reach the machine. */
+/** Whether a start command for an attempt may still reach the machine; `key` is its `attemptKey`. */
 export function attemptMayStillStart(commands: CommandState, machineName: string, key: string): boolean {
   return (
     commands.unresolvedStarts.get(machineName)?.has(key) === true ||
--- a/src/core/state/dependency-graph.ts
+++ b/src/core/state/dependency-graph.ts
@@ -1,36 +1,36 @@
 /**
- * @file Which jobs wait for which other jobs. It owns the dependency edges and how jobs finished; it must never look at
- * jobs beyond the edges of the one that changes.
+ * @file The dependencies between jobs. It owns the dependency edges and the final statuses of jobs. A change of a job
+ * must visit only the edges of that job, never other jobs.
  */
 
-/** What follows when a job is added or finishes. */
+/** Changes to other jobs when a job is added or finishes. */
 export interface GraphChange {
   /** Jobs whose last dependency is now done. */
   readonly ready: readonly string[];
-  /** Jobs that can never run, since a direct or indirect dependency was cancelled. */
+  /** Jobs that can never run, because a direct or indirect dependency was cancelled. */
   readonly cancelled: readonly string[];
 }
 
 const NO_CHANGE: GraphChange = { ready: [], cancelled: [] };
 
 /**
- * The dependency graph of all jobs. Jobs and how they finish may be added in any order, as they are read or watched, and
- * costs constant work for each dependency of a job, however many jobs there are.
+ * The dependency graph of all jobs. Jobs and their final statuses may be added in any order, as they are read or
+ * watched. The work for each dependency of a job is constant and does not depend on the number of jobs.
  *
- * A cancellation propagates without a write of its own: a dependent of a cancelled job is cancelled by that fact alone.
- * None of its tasks can ever have started, since a job that was cancelled was never done.
+ * A cancellation propagates without a separate write: a dependent of a cancelled job counts as cancelled. None of its
+ * tasks can have started, because a job that was cancelled was never done.
  */
 export class DependencyGraph {
-  /** How jobs finished; cancelled ones include those cancelled through a dependency. */
+  /** Final statuses of jobs. Cancelled jobs include those cancelled through a dependency. */
   private readonly finished = new Map<string, 'done' | 'cancelled'>();
   /** Dependencies that are not done yet, by waiting job. */
   private readonly unmetDependencies = new Map<string, Set<string>>();
   /** Unfinished dependents, by job. */
   private readonly dependents = new Map<string, Set<string>>();
-  /** Dependencies visited so far: tests check that the work does not grow with the number of jobs. */
+  /** Number of dependencies visited. Tests check that the work does not grow with the number of jobs. */
   visitedDependencies = 0;
 
-  /** Whether the job is cancelled, by its own user or through a dependency. */
+  /** Whether the job is cancelled, by its user or through a dependency. */
   isCancelled(id: string): boolean {
     return this.finished.get(id) === 'cancelled';
   }
@@ -66,7 +66,10 @@
     return NO_CHANGE;
   }
 
-  /** Records how a job finished. `derived`: through a dependency, so that it is among the cancelled returned. */
+  /**
+   * Records the final status of a job. `viaDependency` means that it was cancelled through a dependency; the job itself
+   * is then among the cancelled jobs returned.
+   */
   markFinished(id: string, status: 'done' | 'cancelled', viaDependency = false): GraphChange {
     if (this.finished.has(id)) return NO_CHANGE;
     if (status === 'done') return { ready: this.markDone(id), cancelled: [] };
@@ -92,7 +95,7 @@
     return cancelled;
   }
 
-  /** Returns the jobs that become ready. */
+  /** Records that the job is done; returns the jobs that become ready. */
   private markDone(id: string): string[] {
     this.finished.set(id, 'done');
     this.removeEdgesOf(id);
@@ -109,7 +112,7 @@
     return ready;
   }
 
-  /** The job no longer waits for its dependencies. */
+  /** Removes the job's edges to its unmet dependencies, for which it no longer waits. */
   private removeEdgesOf(id: string): void {
     for (const dependency of this.unmetDependencies.get(id) ?? []) {
       this.visitedDependencies += 1;
--- a/src/core/state/job-table.ts
+++ b/src/core/state/job-table.ts
@@ -1,6 +1,6 @@
 /**
- * @file The jobs that the leader knows: which are active, pending or finished, and what they wait for. It owns the
- * sets of jobs; it must never touch records or machines.
+ * @file The leader's table of jobs: which are active, pending or finished, and what they wait for. It owns the sets of
+ * jobs; it must never change records or machines.
  */
 import type { ClusterConfig } from '../model/cluster-config.js';
 import type { Job, JobStatus } from '../model/job.js';
@@ -8,26 +8,26 @@
 import { DependencyGraph } from './dependency-graph.js';
 import { TeamQuotas } from './team-quotas.js';
 
-/** All jobs of the partition, by what has to be done for them. */
+/** All jobs of the partition, grouped by status. */
 export interface JobTable {
   readonly byId: Map<string, Job>;
-  /** Jobs that are neither done nor cancelled, and whose dependencies are done. */
+  /** Jobs that are neither done nor cancelled and whose dependencies are done. */
   readonly active: Set<string>;
   /** Active jobs that have tasks without an assignment. */
   readonly pending: Set<string>;
-  /** Jobs that are done or cancelled, in the order in which that became known, with the time. */
+  /** Jobs that are done or cancelled, in the order in which the leader learned it, with the time. */
   readonly finished: Map<string, MonotonicTime>;
   readonly dependencies: DependencyGraph;
-  /** Deadlines of unfinished jobs that were not yet logged as missed, in seconds of wall time. */
+  /** Deadlines of unfinished jobs that were not logged as missed yet, in seconds of wall time. */
   readonly deadlines: Map<string, number>;
   readonly quotas: TeamQuotas;
-  /** Correction factor for the submitted estimate by class, learned from completed tasks. */
+  /** Correction factor for the submitted duration estimate, by job class, learned from completed tasks. */
   readonly durationFactors: Map<string, number>;
-  /** The set of active jobs has changed since fair shares were last updated. */
+  /** True if the set of active jobs has changed since fair shares were last updated. */
   fairSharesStale: boolean;
 }
 
-/** An empty table. */
+/** Returns an empty table. */
 export const newJobTable = (config: ClusterConfig): JobTable => ({
   byId: new Map(),
   active: new Set(),
@@ -40,7 +40,7 @@
   fairSharesStale: true,
 });
 
-/** A job may be scheduled from now on: its dependencies are done since then. */
+/** Makes a job available for scheduling. `since` is when the last of its dependencies was done. */
 export function markJobReady(jobs: JobTable, job: Job, since: Date): void {
   const { id } = job.spec;
   job.readySince = since;
@@ -50,8 +50,8 @@
 }
 
 /**
- * A job is no longer to be scheduled: it leaves all queues. `status` is as recorded; nothing that the job still has
- * assigned is touched.
+ * Removes a job from all queues, so that it is no longer scheduled. `status` is the recorded status. The remaining
+ * assignments of the job are not changed.
  */
 export function markJobFinished(jobs: JobTable, job: Job, status: JobStatus, now: MonotonicTime): void {
   const { id } = job.spec;
@@ -63,13 +63,13 @@
   jobs.fairSharesStale = true;
 }
 
-/** A task needs no assignment now: it got one, or its result. */
+/** Removes a task that needs no assignment, because it has one or has its result. */
 export function removeUnassignedTask(jobs: JobTable, job: Job, taskIndex: number): void {
   job.unassignedTasks.delete(taskIndex);
   if (job.unassignedTasks.size === 0) jobs.pending.delete(job.spec.id);
 }
 
-/** A task has lost its assignment without a result: its job is pending again. */
+/** Adds a task that lost its assignment without a result; its job becomes pending again. */
 export function addUnassignedTask(jobs: JobTable, job: Job, taskIndex: number): void {
   job.unassignedTasks.add(taskIndex);
   jobs.pending.add(job.spec.id);
--- a/src/core/state/leadership-timing.ts
+++ b/src/core/state/leadership-timing.ts
@@ -1,33 +1,33 @@
 /**
- * @file How long a leader may act after its last contact with the state store. Previous and next leader apply the same
- * spans, so they must never be made longer on one side alone.
+ * @file How long a leader may act after its last contact with the state store. The previous and the next leader apply
+ * the same spans, so a span must never be made longer on one side alone.
  */
 import type { ClusterConfig } from '../model/cluster-config.js';
 import { seconds, type Duration, type MonotonicTime } from '../model/time.js';
 import { withClockDrift } from '../model/clock-drift.js';
 
-/** For delays between a decision and its effect. */
+/** Allowance for delays between a decision and its effect. */
 const ACKNOWLEDGEMENT_MARGIN = seconds(2);
 const PREVIOUS_LEADER_MARGIN = seconds(0.5);
 const START_WINDOW = seconds(3);
 
 /**
- * How long a leader that has lost the state store may go on acknowledging heartbeats. A user can get a cancellation
- * confirmed by another controller right after the last contact; from then on every task must be gone within
- * `cancellationDeadline`. A heartbeat acknowledged at the last moment renews its worker's lease for `workerLease` more,
- * so both together must fit.
+ * How long a leader that has lost contact with the state store may continue to acknowledge heartbeats. Another
+ * controller can confirm a cancellation to a user right after the last contact; from then on every task must be gone
+ * within `cancellationDeadline`. A heartbeat acknowledged at the last moment renews its worker's lease for
+ * `workerLease`, so the window and that lease together must fit into the deadline.
  */
 export function acknowledgementWindow(config: ClusterConfig): Duration {
   const span = config.cancellationDeadline - withClockDrift(config.workerLease) - ACKNOWLEDGEMENT_MARGIN;
   return span > 0n ? span : 0n;
 }
 
-/** The moment after which no previous leader acknowledges heartbeats: each lost its contact before this term began. */
+/** The time after which no previous leader acknowledges heartbeats: each lost contact before this term began. */
 export function previousLeadersDeadlineFrom(config: ClusterConfig, startedAt: MonotonicTime): MonotonicTime {
   return startedAt + withClockDrift(acknowledgementWindow(config)) + PREVIOUS_LEADER_MARGIN;
 }
 
-/** Whether a leader whose leadership was last confirmed at that moment may still acknowledge heartbeats. */
+/** Whether a leader whose leadership was last confirmed at `confirmedAt` may still acknowledge heartbeats. */
 export function mayAcknowledgeHeartbeats(
   config: ClusterConfig,
   confirmedAt: MonotonicTime,
@@ -36,7 +36,7 @@
   return now - confirmedAt <= acknowledgementWindow(config);
 }
 
-/** Starting a task needs a recent confirmation by the state store: a leader that is partitioned from it starts none. */
+/** Whether the last confirmation by the state store allows starting tasks: a leader partitioned from it starts none. */
 export function mayStartTasks(confirmedAt: MonotonicTime, now: MonotonicTime): boolean {
   return now - confirmedAt <= START_WINDOW;
 }
--- a/src/core/state/machine-table.ts
+++ b/src/core/state/machine-table.ts
@@ -1,8 +1,8 @@
-/** @file The machines that the leader knows, their types, and names of machines that are gone. */
+/** @file The leader's table of machines, the machine types, and the names of terminated machines. */
 import type { Machine, MachineType } from '../model/machine.js';
 import type { MonotonicTime } from '../model/time.js';
 
-/** A machine that was requested and has not sent a heartbeat yet. */
+/** A requested machine that has not sent a heartbeat yet. */
 interface BootingMachine {
   readonly type: string;
   readonly zone: string;
@@ -15,17 +15,20 @@
   readonly byName: Map<string, Machine>;
   readonly types: Map<string, MachineType>;
   readonly booting: Map<string, BootingMachine>;
-  /** Machines proven terminated, with the time: later heartbeats in their names are delayed duplicates. Names are unique. */
+  /**
+   * Machines proven terminated, with the time. Names are unique, so later heartbeats with such a name are delayed
+   * duplicates.
+   */
   readonly terminated: Map<string, MonotonicTime>;
-  /** An inventory of the cloud was received in this term. */
+  /** True once an inventory was received from the cloud in this term. */
   inventoryReceived: boolean;
-  /** Length of the longest encoded machine name seen: bounds the size of a recorded assignment. */
+  /** Length of the longest encoded machine name in bytes. It bounds the size of a recorded assignment. */
   longestNameBytes: number;
-  /** Machines that scheduling cycles looked at: tests check that an idle cycle looks at none. */
+  /** Number of machines that scheduling cycles have scanned. Tests check that an idle cycle scans none. */
   scannedCount: number;
 }
 
-/** An empty table. */
+/** Returns an empty table. */
 export const newMachineTable = (): MachineTable => ({
   byName: new Map(),
   types: new Map(),
--- a/src/core/state/maps.ts
+++ b/src/core/state/maps.ts
@@ -1,6 +1,6 @@
 /** @file Nested maps. */
 
-/** The inner map under a key, created when it is missing. */
+/** Returns the inner map for a key, and creates it if it is missing. */
 export function getOrCreateMap<K, V>(outer: Map<string, Map<K, V>>, key: string): Map<K, V> {
   let inner = outer.get(key);
   if (inner === undefined) {
--- a/src/core/state/record-state.ts
+++ b/src/core/state/record-state.ts
@@ -1,27 +1,27 @@
-/** @file What the leader keeps in the state store, and which of it is not committed yet. */
+/** @file The leader's records in the state store, and the changes to them that are not committed yet. */
 import type { RecordPage } from '../model/records.js';
 import type { MonotonicTime } from '../model/time.js';
 
-/** Pages of records and the changes that wait for a transaction. */
+/** Pages of records, and changes that wait for a transaction. */
 export interface RecordState {
   readonly pages: Map<number, RecordPage>;
-  /** Groups of pages that must each be written in one transaction, since chunks move between them; the first is next. */
+  /** Groups of pages; each is written in one transaction, because chunks move between its pages. The first is next. */
   readonly atomicPageGroups: (readonly number[])[];
-  /** Counts every change of what is to be recorded. */
+  /** Incremented with each change that must be recorded. */
   version: number;
   /** Pages with uncommitted changes, oldest first, with the time of the first change. */
   readonly dirtyPages: Map<number, MonotonicTime>;
-  /** Dirty pages whose commit a task or a user waits for. */
+  /** Dirty pages for whose commit a task or a user is waiting. */
   readonly urgentPages: Set<number>;
-  /** Jobs to be recorded as done once all their results are committed, with when that was requested. */
+  /** Jobs to be recorded as done once all their results are committed, with the time of that request. */
   readonly jobsToComplete: Map<string, MonotonicTime>;
-  /** Jobs cancelled through a dependency whose own records are still open. */
+  /** Jobs that were cancelled through a dependency and whose own records are still open. */
   readonly unrecordedCancellations: Set<string>;
-  /** When a transaction of such cancellations was last built. */
+  /** When a transaction with such cancellations was last built. */
   cancellationsBuiltAt: MonotonicTime;
 }
 
-/** No records yet. */
+/** Returns a state without records. */
 export const newRecordState = (startedAt: MonotonicTime): RecordState => ({
   pages: new Map(),
   atomicPageGroups: [],
--- a/src/core/state/scheduling-state.ts
+++ b/src/core/state/scheduling-state.ts
@@ -1,27 +1,27 @@
-/** @file What scheduling cycles keep from one to the next. */
+/** @file State that scheduling cycles keep from one cycle to the next. */
 import type { Duration, MonotonicTime } from '../model/time.js';
 
-/** The gang that has waited longest for capacity, and the machines that are drained for it. */
+/** The gang that has waited longest for capacity, and the machines being drained for it. */
 interface StarvedGang {
   readonly job: string;
   machines: ReadonlySet<string>;
-  /** It has waited so long that it is scheduled before all but production jobs. */
+  /** True if the gang has waited so long that only production jobs are scheduled before it. */
   readonly prioritized: boolean;
 }
 
 /** The scheduler's own state. */
 export interface SchedulingState {
-  /** Something has changed that a cycle may act on. */
+  /** True if something has changed that a cycle may act on. */
   cycleNeeded: boolean;
   lastCycleAt: MonotonicTime;
-  /** Moving average, measured by the caller: the core reads no clock. */
+  /** Moving average, measured by the caller because the core reads no clock. */
   averageCycleDuration: Duration;
   starvedGang: StarvedGang | null;
-  /** Some active job has a task that takes most of a machine. */
+  /** True if an active job has a task that takes most of a machine. */
   wholeMachineNeeded: boolean;
 }
 
-/** No cycle has run yet. */
+/** Returns the state before the first cycle. */
 export const newSchedulingState = (startedAt: MonotonicTime): SchedulingState => ({
   cycleNeeded: true,
   lastCycleAt: startedAt,
--- a/src/core/state/team-quotas.ts
+++ b/src/core/state/team-quotas.ts
@@ -1,20 +1,20 @@
-/** @file What each team's tasks hold, against the team's quota. */
+/** @file Resource usage of each team's tasks, compared with the team's quota. */
 import type { JobSpec } from '../model/job.js';
 import type { Team } from '../model/cluster-config.js';
 
-/** Fractions of CPUs and GPUs add up with rounding errors. */
+/** Tolerance of comparisons, because fractions of CPUs and GPUs add up with rounding errors. */
 const EPSILON = 1e-6;
 
 /** Whether usage is within a quota; 0 means no quota. */
 const isWithinQuota = (usage: number, quota: number): boolean => quota <= 0 || usage <= quota + EPSILON;
 
-/** What a team's tasks may hold on any machine, by their assignments. */
+/** Resources that a team's tasks may use on all machines, according to their assignments. */
 export interface ResourceUsage {
   cpus: number;
   gpus: number;
 }
 
-/** CPU and GPU usage of all teams. Every assignment acquires once and releases once when it ends. */
+/** CPU and GPU usage of all teams. Each assignment acquires its resources once and releases them once when it ends. */
 export class TeamQuotas {
   private readonly usage = new Map<string, ResourceUsage>();
   private readonly teams: ReadonlyMap<string, Team>;
@@ -44,7 +44,7 @@
     usage.gpus -= spec.gpus;
   }
 
-  /** Whether `count` more tasks of the job stay within the team's quota. Teams that are not configured have none. */
+  /** Whether `count` more tasks of the job fit the team's quota. A team that is not configured may run no tasks. */
   allows(spec: JobSpec, count = 1): boolean {
     const team = this.teams.get(spec.team);
     if (team === undefined) return false;
@@ -56,7 +56,7 @@
   }
 }
 
-/** Whether a job as submitted could ever run within its team's quota: an array's tasks may run one by one. */
+/** Whether a submitted job could ever run within its team's quota. Tasks of an array may run one at a time. */
 export function fitsQuota(spec: JobSpec, teams: readonly Team[]): boolean {
   const team = teams.find((team) => team.name === spec.team);
   if (team === undefined) return false;
