--- a/src/core/machines/free-resources.ts
+++ b/src/core/machines/free-resources.ts
@@ -1,6 +1,6 @@
 /**
- * @file Which machines take tasks now, and what capacity they have. It owns `Machine.resources`, which others only reset
- * to null after a change of what the machine holds.
+ * @file Which machines can take tasks now, and their free capacity. It owns `Machine.resources`; other modules only
+ * reset it to null after a change that affects it.
  */
 import type { Machine } from '../model/machine.js';
 import { type Resources, copyResources, subtractResources } from '../model/resources.js';
@@ -14,14 +14,14 @@
   return (
     hasCurrentAgent(machine) &&
     isInService(machine) &&
-    // Unless a heartbeat is acknowledged before then, the worker begins a new agent epoch, and what it holds is gone.
+    // Unless a heartbeat is acknowledged before the lease expires, the worker begins a new agent epoch without tasks.
     now < leaseExpiry(state, machine) &&
     !isSuspected(state.config, machine, now) &&
     state.machines.types.has(machine.type)
   );
 }
 
-/** Whether the worker has shown this term's fencing token in an agent epoch that has not expired. */
+/** Whether the worker has reported this term's fencing token and its agent epoch has not expired. */
 const hasCurrentAgent = (machine: Machine): boolean =>
   machine.fenced && machine.agentEpoch !== 0 && machine.agentEpoch > machine.lastExpiredEpoch;
 
@@ -32,19 +32,19 @@
   machine.instanceState !== 'failed' &&
   machine.unreachableSince === null;
 
-/** A machine's capacity: what is free, and what will be free once the tasks being stopped have ended. */
+/** Free resources of a machine: now (`free`), and once the tasks being stopped have ended (`projected`). */
 interface MachineResources {
   readonly free: Readonly<Resources>;
   readonly projected: Readonly<Resources>;
 }
 
-/** The machine's capacity, computed again only after a change there. */
+/** Returns the machine's free resources, computed again only after a change on the machine. */
 export function resourcesOf(state: ClusterState, machine: Machine): MachineResources {
   machine.resources ??= computeResources(state, machine);
   return machine.resources;
 }
 
-/** What neither an assignment nor a reported task takes. */
+/** Returns the resources that neither an assignment nor a reported task takes. */
 export const freeResourcesOf = (state: ClusterState, machine: Machine): Readonly<Resources> =>
   resourcesOf(state, machine).free;
 
@@ -68,7 +68,7 @@
 
 const noResources = (): Resources => ({ cpus: 0, gpus: 0, memory: 0 });
 
-/** Tasks that are reported without an assignment of that attempt take capacity too. */
+/** Subtracts the resources of tasks that are reported without an assignment of that attempt. */
 function subtractOrphanedTasks(
   state: ClusterState,
   machine: Machine,
--- a/src/core/machines/image-cache.ts
+++ b/src/core/machines/image-cache.ts
@@ -1,10 +1,10 @@
-/** @file Which images a machine has cached, as far as the leader knows: it owns `Machine.cachedImages`. */
+/** @file The leader's model of the images cached on each machine. It owns `Machine.cachedImages`. */
 import type { JobSpec } from '../model/job.js';
 import type { Machine } from '../model/machine.js';
 import type { MonotonicTime } from '../model/time.js';
 import type { ClusterState } from '../state/cluster-state.js';
 
-/** Notes that a machine has an image. The cache is bounded: images that were used longest ago are evicted. */
+/** Records that a machine has an image. The cache is bounded: the least recently used images are evicted. */
 export function recordImageUse(
   state: ClusterState,
   machine: Machine,
@@ -20,7 +20,7 @@
   evictImages(machine, state.machines.types.get(machine.type)?.cacheGb ?? Infinity, now);
 }
 
-/** Evicts until the cache fits; the last image stays, whatever its size. */
+/** Evicts images until the rest fit into the cache. The last image stays, whatever its size. */
 function evictImages({ cachedImages }: Machine, cacheGb: number, now: MonotonicTime): void {
   let usedGb = 0;
   for (const { gb } of cachedImages.values()) usedGb += gb;
@@ -32,7 +32,7 @@
   }
 }
 
-/** The image used longest ago, the first of equals; null: all were used later than now. */
+/** Returns the least recently used image, the first of equals, or null if all were used later than `now`. */
 function leastRecentlyUsed(images: Machine['cachedImages'], now: MonotonicTime): string | null {
   let oldest: string | null = null;
   let oldestUseAt = now + 1n;
--- a/src/core/machines/machine-registry.ts
+++ b/src/core/machines/machine-registry.ts
@@ -1,9 +1,9 @@
-/** @file Adds machines to those that the partition's leader knows. */
+/** @file Adds machines to the leader's table. */
 import type { Machine } from '../model/machine.js';
 import type { MonotonicTime } from '../model/time.js';
 import type { ClusterState } from '../state/cluster-state.js';
 
-/** The machine of that name, added when it is not known yet. */
+/** Returns the machine with that name, and adds it if it is not in the table. */
 export function getOrAddMachine(state: ClusterState, name: string, now: MonotonicTime): Machine {
   const existing = state.machines.byName.get(name);
   if (existing !== undefined) return existing;
@@ -16,7 +16,7 @@
   return machine;
 }
 
-/** A machine of which nothing is known: a previous leader may have acknowledged its heartbeats until its deadline. */
+/** A machine of which nothing is known. A previous leader may have acknowledged its heartbeats until its deadline. */
 const newMachine = (name: string, previousLeadersDeadline: MonotonicTime, now: MonotonicTime): Machine => ({
   name,
   endpoint: '',
