--- a/src/core/records/chunks.ts
+++ b/src/core/records/chunks.ts
@@ -1,18 +1,18 @@
 /**
- * @file Chunks: runs of a job's tasks that are recorded together. It owns which chunk a task belongs to and the form in
- * which a chunk is written; changes of chunks are queued by record-changes.ts.
+ * @file Chunks: ranges of a job's tasks that are recorded together. It owns the mapping from tasks to chunks and the
+ * record that is written for a chunk; record-changes.ts queues changes of chunks.
  */
 import type { Assignment } from '../model/assignment.js';
 import type { Job } from '../model/job.js';
 import type { ChunkRecord, TaskChunk } from '../model/records.js';
 
-/** Tasks per chunk: a whole chunk of assignments, with the longest names, fits a page of the state store. */
+/** Tasks per chunk. A full chunk of assignments with the longest names fits into a page of the state store. */
 export const CHUNK_TASKS = 40;
 
-/** Index of the chunk that a task belongs to. */
+/** Returns the index of the chunk to which a task belongs. */
 export const chunkIndexOf = (taskIndex: number): number => Math.floor(taskIndex / CHUNK_TASKS);
 
-/** A chunk without assignments. */
+/** Returns a chunk without assignments. */
 export const newChunk = (
   jobId: string,
   index: number,
@@ -30,7 +30,7 @@
   cachedRecord: null,
 });
 
-/** The chunk that records a task, created when it is first needed. */
+/** Returns the chunk that records a task, and creates it if it is missing. */
 export function getOrCreateChunk(job: Job, taskIndex: number): TaskChunk {
   const index = chunkIndexOf(taskIndex);
   let chunk = job.chunks.get(index);
@@ -41,7 +41,7 @@
   return chunk;
 }
 
-/** A chunk as it is to be written, built again only after a change. */
+/** Returns the record to write for a chunk, built again only after a change. */
 export function chunkRecordOf(chunk: TaskChunk): ChunkRecord {
   chunk.cachedRecord ??= {
     highestAttempt: chunk.highestAttempt,
@@ -57,9 +57,9 @@
   return chunk.cachedRecord;
 }
 
-/** Whether the chunk has changes that are not committed. */
+/** Whether the chunk has uncommitted changes. */
 export const hasUncommittedChanges = (chunk: TaskChunk): boolean => chunk.version > chunk.committedVersion;
 
-/** Whether the record that holds the assignment is committed. */
+/** Whether the assignment is committed. */
 export const isAssignmentCommitted = (job: Job, assignment: Assignment): boolean =>
   getOrCreateChunk(job, assignment.taskIndex).committedVersion >= assignment.recordVersion;
--- a/src/core/records/page-splitting.ts
+++ b/src/core/records/page-splitting.ts
@@ -1,6 +1,6 @@
 /**
- * @file Pages that were written under larger limits of the state store hold more than may be written now. They are split
- * when the records are loaded.
+ * @file Splits pages when the records are loaded: a page written under larger limits of the state store may hold more
+ * than the present limits allow.
  */
 import type { MonotonicTime } from '../model/time.js';
 import type { RecordPage } from '../model/records.js';
@@ -10,8 +10,8 @@
 import { addNewPage, addToPage, removeFromPage } from './record-pages.js';
 
 /**
- * Distributes the chunks of oversized pages over further pages. A page and those split off it are written in one
- * transaction, so that no assignment is ever unrecorded.
+ * Distributes the chunks of oversized pages over additional pages. A page and the pages split off from it are written
+ * in one transaction, so that no assignment is ever unrecorded.
  */
 export function splitOversizedPages(state: ClusterState, now: MonotonicTime): void {
   const capacity = pageCapacityBytes(state.config);
@@ -27,7 +27,7 @@
   }
 }
 
-/** Moves what does not fit to new pages; returns the page with those. */
+/** Moves the chunks that do not fit to new pages. Returns the page, followed by the new pages. */
 function splitPage(state: ClusterState, page: RecordPage): RecordPage[] {
   const capacity = pageCapacityBytes(state.config);
   const maxChunks = maxChunksPerPage(state.config);
--- a/src/core/records/record-changes.ts
+++ b/src/core/records/record-changes.ts
@@ -1,6 +1,6 @@
 /**
- * @file Changes that are not committed yet. It owns the version counter, the dirty pages and the urgent ones among them;
- * it must never write a page by itself: transactions are built in src/core/persistence.
+ * @file Uncommitted changes. It owns the version counter, the dirty pages and the urgent pages among them. It must
+ * never write a page itself: src/core/persistence builds the transactions.
  */
 import type { Job } from '../model/job.js';
 import type { RecordPage, TaskChunk } from '../model/records.js';
@@ -11,9 +11,9 @@
 import { getOrAssignPage } from './record-pages.js';
 
 /**
- * Records that a chunk has changed. What a task or a user waits for is urgent: a new assignment, or the last result of a
- * job. An ended assignment may wait to be committed with others, since whoever reads the old record only takes more
- * tasks to be running than are.
+ * Records that a chunk has changed. A change for which a task or a user is waiting is urgent: a new assignment, or the
+ * last result of a job. An ended assignment may wait and be committed with other changes, because a reader of the old
+ * record only assumes that more tasks are running than really are.
  */
 export function markChunkChanged(
   state: ClusterState,
@@ -30,14 +30,14 @@
   if (urgent) records.urgentPages.add(page.id);
 }
 
-/** Records that a page has to be written. */
+/** Records that a page must be written. */
 export function markPageChanged(records: RecordState, page: RecordPage, now: MonotonicTime): void {
   records.version += 1;
   page.version = records.version;
   if (!records.dirtyPages.has(page.id)) records.dirtyPages.set(page.id, now);
 }
 
-/** Makes a job's uncommitted changes urgent: its user sees it done only after they are committed. */
+/** Makes a job's uncommitted changes urgent, because its user sees the job as done only after they are committed. */
 export function markJobUrgent(records: RecordState, job: Job): void {
   for (const chunk of job.chunks.values())
     if (hasUncommittedChanges(chunk) && chunk.page !== null) records.urgentPages.add(chunk.page.id);
@@ -50,7 +50,7 @@
   return false;
 }
 
-/** Open jobs with assignments in the page that are not committed yet. */
+/** Returns the open jobs that have uncommitted assignments in the page. */
 export function jobsStartingInPage(state: ClusterState, pageId: number): Job[] {
   const starting: Job[] = [];
   for (const chunk of state.records.pages.get(pageId)?.chunks ?? []) {
@@ -68,8 +68,8 @@
 }
 
 /**
- * Records that a page was committed as it was at `version`, with the chunks that it then held. What has changed since
- * stays dirty from the time at which the page first was, and may be urgent in its turn.
+ * Records that a page was committed in its state at `version`, with the chunks that it held then. If it has changed
+ * since, the page stays dirty, still with the time at which it first became dirty, and may be urgent again.
  */
 export function markPageCommitted(
   state: ClusterState,
@@ -88,7 +88,7 @@
   if (isStillUrgent(state, page)) urgentPages.add(page.id);
 }
 
-/** Whether a task or a user waits for what changed in the page while the transaction was under way. */
+/** Whether a task or a user is waiting for a change that was made to the page while the transaction was in flight. */
 function isStillUrgent(state: ClusterState, page: RecordPage): boolean {
   if (jobsStartingInPage(state, page.id).length > 0) return true;
   for (const chunk of page.chunks)
--- a/src/core/records/record-pages.ts
+++ b/src/core/records/record-pages.ts
@@ -1,7 +1,7 @@
 /**
- * @file Pages: keys of the state store that each hold the chunks of many jobs, so that the many small changes of many
- * jobs cost few of its operations. It owns the table of pages and their contents. A chunk never leaves its page before
- * its job is finished, other than by page-splitting.ts.
+ * @file Pages: keys of the state store. Each page holds chunks of many jobs, so that many small changes need few
+ * operations of the state store. It owns the table of pages and their contents. A chunk leaves its page only after its
+ * job is finished, except when page-splitting.ts moves it.
  */
 import type { Job } from '../model/job.js';
 import type { ChunkRecord, PagePool, RecordPage, TaskChunk, PageEntry } from '../model/records.js';
@@ -10,10 +10,10 @@
 import { isInAtomicGroup } from './atomic-page-groups.js';
 import { maxEntryBytes, maxChunksPerPage, pageCapacityBytes, reservedBytesOf } from './page-size.js';
 
-/** Services stay for hours and hardly change: in one page with arrays they would be written again and again. */
+/** Services run for hours and hardly change. In a page shared with arrays they would be rewritten again and again. */
 export const poolOf = (job: Job): PagePool => (job.spec.kind === 'service' ? 'service' : 'batch');
 
-/** A page without chunks, added to the table. */
+/** Adds a page without chunks to the table and returns it. */
 export function addPage(records: RecordState, id: number, pool: PagePool, modRevision: number): RecordPage {
   const page: RecordPage = {
     id,
@@ -28,14 +28,14 @@
   return page;
 }
 
-/** A page with the lowest free number, whose key does not exist yet. */
+/** Adds a page with the lowest free number, whose key does not exist yet, and returns it. */
 export function addNewPage(records: RecordState, pool: PagePool): RecordPage {
   let id = 0;
   while (records.pages.has(id)) id += 1;
   return addPage(records, id, pool, 0);
 }
 
-/** The page that holds a chunk, chosen when the chunk is first recorded. */
+/** Returns the page that holds a chunk. The page is chosen when the chunk is first recorded. */
 export function getOrAssignPage(state: ClusterState, job: Job, chunk: TaskChunk): RecordPage {
   if (chunk.page !== null) return chunk.page;
   const pool = poolOf(job);
@@ -46,7 +46,10 @@
   return page;
 }
 
-/** The fullest page with enough free bytes: the fewer pages are written, the sooner each is. An empty page can change its pool. */
+/**
+ * Returns the fullest page that has room for the bytes and another chunk, or null if there is none: the fewer pages are
+ * written, the sooner each is written. An empty page can change its pool.
+ */
 function fullestPageThatFits(state: ClusterState, pool: PagePool, neededBytes: number): RecordPage | null {
   const capacity = pageCapacityBytes(state.config);
   const maxChunks = maxChunksPerPage(state.config);
@@ -63,14 +66,14 @@
   return fullest;
 }
 
-/** Adds a chunk that is in no page. */
+/** Adds a chunk that is not in any page. */
 export function addToPage(page: RecordPage, chunk: TaskChunk): void {
   page.chunks.add(chunk);
   page.reservedBytes = null;
   chunk.page = page;
 }
 
-/** Removes a chunk that needs no record any more; the page's next write leaves it out. */
+/** Removes a chunk that no longer needs a record from its page. The next write of the page omits it. */
 export function removeFromPage(chunk: TaskChunk): void {
   if (chunk.page === null) return;
   chunk.page.chunks.delete(chunk);
@@ -78,13 +81,13 @@
   chunk.page = null;
 }
 
-/** Once a job is finished, chunks without assignments need no record: the job's own key says how it ended. */
+/** Removes a finished job's chunks without assignments from their pages: the job's own key records its final status. */
 export function releaseFinishedChunks(job: Job): void {
   if (job.status === 'open') return;
   for (const chunk of job.chunks.values()) if (chunk.assignments.size === 0) removeFromPage(chunk);
 }
 
-/** The entries of a page as they are to be written. */
+/** Returns the entries of a page as they will be written. */
 export function pageEntriesOf(page: RecordPage, recordOf: (chunk: TaskChunk) => ChunkRecord): PageEntry[] {
   return [...page.chunks].map((chunk) => ({
     jobId: chunk.jobId,
