--- a/src/core/assignments/assignments.ts
+++ b/src/core/assignments/assignments.ts
@@ -1,6 +1,6 @@
 /**
- * @file The life of an assignment: created, restored from its record, stopped, ended on proof. It owns the bookkeeping of
- * assignments in chunks, jobs, machines and quotas. It must never end an assignment whose task may still be running.
+ * @file Life cycle of assignments: creation, restoration from records, stop, and end on proof. It owns the bookkeeping
+ * of assignments in chunks, jobs, machines and quotas. It must never end an assignment whose task may still be running.
  */
 import { type Assignment, taskKey } from '../model/assignment.js';
 import type { LogFields } from '../model/effects.js';
@@ -19,10 +19,10 @@
 import { isOverloaded } from '../state/overload.js';
 import { requestCompletionIfAllDone } from './job-completion.js';
 
-/** Stands for a heartbeat before this term: a previous leader may have sent the start command in any answer. */
+/** Represents a heartbeat before this term: a previous leader may have sent the start command in any answer. */
 const SENT_BEFORE_TERM = 0;
 
-/** Assigns a task to a machine; nothing is sent before the assignment is committed. */
+/** Assigns a task to a machine. No command is sent before the assignment is committed. */
 export function assignTask(
   state: ClusterState,
   job: Job,
@@ -43,7 +43,7 @@
   return assignment;
 }
 
-/** Restores a recorded assignment when a term begins. Only proof that the task is not running ends it. */
+/** Restores a recorded assignment at the beginning of a term. It ends only on proof that the task is not running. */
 export function restoreAssignment(
   state: ClusterState,
   job: Job,
@@ -103,7 +103,7 @@
   machine.resources = null;
 }
 
-/** Ends an assignment on proof that the task is not on the machine and cannot start there. */
+/** Ends an assignment. The caller must have proof that the task is not on the machine and cannot start there. */
 export function endAssignment(
   state: ClusterState,
   assignment: Assignment,
@@ -145,11 +145,14 @@
       }),
 });
 
-/** An assignment of this term whose start command was never sent can end at once: nobody else could have sent it. */
+/**
+ * Whether the start command of an assignment was never sent. Such an assignment was made in this term and can end at
+ * once, because no other leader could have sent the command.
+ */
 export const startNeverSent = (state: ClusterState, assignment: Assignment): boolean =>
   assignment.startSentInSequence === null && !startMayStillArrive(state.commands, assignment);
 
-/** Requests the stop of a task; if its start command was never sent, its assignment ends at once. */
+/** Requests the stop of a task. If its start command was never sent, the assignment ends at once. */
 export function stopAssignment(
   state: ClusterState,
   assignment: Assignment,
@@ -167,7 +170,7 @@
   if (machine === undefined) return;
   machine.resources = null;
   if (machine.agentEpoch !== assignment.agentEpoch || !machine.fenced) return;
-  // The answer to the worker's next heartbeat carries the command too.
+  // The answer to the worker's next heartbeat also carries the command.
   if (!isOverloaded(state.term)) sendStop(state, machine, assignment, gracePeriodS);
 }
 
@@ -196,14 +199,14 @@
   for (const assignment of assignmentsOf(job)) stopAssignment(state, assignment, gracePeriodS, reason, now);
 }
 
-/** All assignments of a job's tasks. */
+/** Returns all assignments of a job's tasks. */
 export function assignmentsOf(job: Job): Assignment[] {
   const assignments: Assignment[] = [];
   for (const chunk of job.chunks.values()) assignments.push(...chunk.assignments.values());
   return assignments;
 }
 
-/** How many of a job's tasks are assigned in each zone. */
+/** Returns the number of a job's assigned tasks by zone. */
 export function assignmentsByZone(job: Job): Map<string, number> {
   const countByZone = new Map<string, number>();
   for (const chunk of job.chunks.values())
--- a/src/core/assignments/job-completion.ts
+++ b/src/core/assignments/job-completion.ts
@@ -1,11 +1,11 @@
-/** @file Completion of jobs: when all results are in, and for a gang, when the first is. */
+/** @file Completion of jobs: once every task has a result, or, for a gang, once the first task has one. */
 import type { Job } from '../model/job.js';
 import type { MonotonicTime } from '../model/time.js';
 import { getOrCreateChunk } from '../records/chunks.js';
 import { markChunkChanged, markJobUrgent } from '../records/record-changes.js';
 import type { ClusterState } from '../state/cluster-state.js';
 
-/** Queues the job to be committed as done after all its results. Services are never done. */
+/** Queues the job to be committed as done after all its results are committed. Services are never done. */
 function requestCompletion(state: ClusterState, job: Job, now: MonotonicTime): void {
   if (job.status !== 'open' || job.completionRequested || job.spec.kind === 'service') return;
   job.completionRequested = true;
@@ -13,14 +13,14 @@
   markJobUrgent(state.records, job);
 }
 
-/** Requests completion once every task of the job has its result. */
+/** Requests completion if every task of the job has a result. */
 export function requestCompletionIfAllDone(state: ClusterState, job: Job, now: MonotonicTime): void {
   if (job.completedCount === job.spec.taskCount) requestCompletion(state, job, now);
 }
 
 /**
- * A gang's tasks complete together: once one is done, all are, also one whose machine never came to report it. Without
- * this a gang whose last member was lost with its machine waited for ever, neither done nor assigned again.
+ * Completes a gang: once one task is done, all are done, including a task whose machine never reported its result.
+ * Without this, a gang whose last task was lost with its machine waited forever, neither done nor assigned again.
  */
 export function completeGang(state: ClusterState, job: Job, now: MonotonicTime): void {
   for (const taskIndex of [...job.unassignedTasks]) {
