--- a/src/core/persistence/cancellations.ts
+++ b/src/core/persistence/cancellations.ts
@@ -1,20 +1,21 @@
 /**
- * @file Transactions that record cancellations through a dependency. They are apart from all others: a user may cancel
- * one of the jobs at the same time, and the assignments of other jobs must not be rejected together with it.
+ * @file Transactions that record cancellations through a dependency. They are separate from all other transactions,
+ * because a user may cancel one of the jobs at the same time, and a rejected transaction would then reject the
+ * assignments of other jobs too.
  */
 import { seconds, type MonotonicTime } from '../model/time.js';
 import type { ClusterState } from '../state/cluster-state.js';
 import type { RecordState } from '../state/record-state.js';
 import type { Transaction } from '../model/transaction.js';
 
-/** However much else there is to commit, cancelled dependents are recorded this often. */
+/** How often cancelled dependents are recorded, regardless of how many other changes wait for a commit. */
 const CANCELLATION_INTERVAL = seconds(5);
 
-/** Whether cancellations come before everything else now. */
+/** Whether cancellations must be committed before everything else. */
 export const isCancellationOverdue = (records: RecordState, now: MonotonicTime): boolean =>
   now - records.cancellationsBuiltAt >= CANCELLATION_INTERVAL;
 
-/** Records cancelled dependents, as many as one transaction takes; null: there are none. */
+/** Returns a transaction with as many cancelled dependents as it can hold, or null if there are none. */
 export function buildCancellations(state: ClusterState, now: MonotonicTime): Transaction | null {
   const { records } = state;
   if (records.unrecordedCancellations.size === 0) return null;
--- a/src/core/persistence/commits.ts
+++ b/src/core/persistence/commits.ts
@@ -1,4 +1,4 @@
-/** @file What follows from a committed transaction: for its pages, its cancellations, and the jobs that it completes. */
+/** @file Applies a committed transaction to the state: its pages, its cancellations and the jobs that it completes. */
 import type { Job } from '../model/job.js';
 import type { Timestamp } from '../model/time.js';
 import { onPagesCommitted } from '../records/atomic-page-groups.js';
@@ -7,7 +7,7 @@
 import { finishJob } from './finished-jobs.js';
 import type { Transaction } from '../model/transaction.js';
 
-/** Applies a transaction that was committed at a revision of the state store. */
+/** Applies a transaction that was committed at the given revision of the state store. */
 export function onTransactionCommitted(
   state: ClusterState,
   transaction: Transaction,
@@ -34,7 +34,7 @@
   }
 }
 
-/** The watch may have delivered a later revision of the job already. */
+/** Raises the job's mod revision, but never lowers it: the watch may already have delivered a later one. */
 function advanceModRevision(job: Job | undefined, modRevision: number): void {
   if (job !== undefined) job.modRevision = Math.max(job.modRevision, modRevision);
 }
--- a/src/core/persistence/finished-jobs.ts
+++ b/src/core/persistence/finished-jobs.ts
@@ -1,4 +1,4 @@
-/** @file Jobs that have finished: how they leave the queues, and when they leave memory. */
+/** @file Finished jobs: how they leave the queues and when they are evicted from memory. */
 import { onJobFinished } from '../jobs/dependencies.js';
 import type { Job, JobStatus } from '../model/job.js';
 import { seconds, type MonotonicTime, type Timestamp } from '../model/time.js';
@@ -6,10 +6,10 @@
 import type { ClusterState } from '../state/cluster-state.js';
 import { markJobFinished } from '../state/job-table.js';
 
-/** The demand forecast looks at what was submitted recently, finished or not. */
+/** How long finished jobs stay in memory, because the demand forecast uses recent submissions, finished or not. */
 const FINISHED_JOB_RETENTION = seconds(120);
 
-/** Applies a job's status as recorded: the job leaves the queues, and its dependents become ready or cancelled. */
+/** Applies a job's recorded status: the job leaves the queues, and its dependents become ready or cancelled. */
 export function finishJob(state: ClusterState, job: Job, status: JobStatus, now: Timestamp): void {
   markJobFinished(state.jobs, job, status, now.monotonic);
   releaseFinishedChunks(job);
@@ -17,8 +17,8 @@
 }
 
 /**
- * Evicts jobs that have been finished for a while and of which nothing is assigned any more. What a worker still reports
- * of them is answered as for any job that is not open: its tasks are stopped, its results forgotten.
+ * Evicts jobs that finished some time ago and have no assignments left. If a worker still reports tasks of such a job,
+ * they are handled as for any job that is not open: running tasks are stopped, and results are forgotten.
  */
 export function evictFinishedJobs(state: ClusterState, now: MonotonicTime): void {
   for (const [id, finishedAt] of state.jobs.finished) {
--- a/src/core/persistence/job-records.ts
+++ b/src/core/persistence/job-records.ts
@@ -1,4 +1,4 @@
-/** @file Records of jobs as they are read when a term begins, and as the watch of the state store delivers them. */
+/** @file Applies records of jobs: those read at the beginning of a term and those delivered by the watch. */
 import { stopAllAssignments } from '../assignments/assignments.js';
 import { onJobFinished, registerJob } from '../jobs/dependencies.js';
 import { newJob, type Job, type JobRecord } from '../model/job.js';
@@ -7,7 +7,7 @@
 import { emitLog } from '../state/log-effects.js';
 import { finishJob } from './finished-jobs.js';
 
-/** Applies a job's record: a new job is registered; a cancellation stops what may be running. */
+/** Applies a job's record. Registers a new job; for a cancellation, stops all tasks that may be running. */
 export function onJobChanged(
   state: ClusterState,
   id: string,
--- a/src/core/persistence/recovery.ts
+++ b/src/core/persistence/recovery.ts
@@ -1,6 +1,6 @@
 /**
- * @file Pages of records as they are read when a term begins. Their assignments may be running until the opposite is
- * proven, whoever sent the start commands.
+ * @file Restores pages of records at the beginning of a term. The tasks of their assignments may be running until the
+ * opposite is proven, no matter which leader sent the start commands.
  */
 import { restoreAssignment, stopAllAssignments } from '../assignments/assignments.js';
 import { requestCompletionIfAllDone } from '../assignments/job-completion.js';
@@ -11,7 +11,7 @@
 import { addPage, poolOf, addToPage } from '../records/record-pages.js';
 import type { ClusterState } from '../state/cluster-state.js';
 
-/** Restores a page. All jobs are read before any page. */
+/** Restores a page. All jobs are loaded before any page. */
 export function onPageLoaded(
   state: ClusterState,
   id: number,
@@ -33,7 +33,7 @@
   entry: PageEntry,
   now: MonotonicTime,
 ): void {
-  // What a page still holds of a finished job without assignments is of no more use.
+  // An entry of a finished job is not needed any more if it has no assignments.
   if (job.status !== 'open' && entry.record.assignments.length === 0) return;
   const chunk = restoreChunk(page, job, entry);
   for (const record of entry.record.assignments) restoreAssignment(state, job, chunk, record, now);
@@ -42,7 +42,7 @@
   requestCompletionIfAllDone(state, job, now);
 }
 
-/** Adds the chunk with its results to the job and the page. */
+/** Adds the chunk with its results to the job and the page, and returns it. */
 function restoreChunk(page: RecordPage, job: Job, { chunkIndex, record }: PageEntry): TaskChunk {
   const chunk = newChunk(job.spec.id, chunkIndex, record.highestAttempt, record.completedTasks);
   addToPage(page, chunk);
--- a/src/core/persistence/transaction-builder.ts
+++ b/src/core/persistence/transaction-builder.ts
@@ -1,6 +1,6 @@
 /**
- * @file Chooses what the next transaction commits. It only reads the dirty state: what a transaction holds stays dirty
- * until commits.ts applies its commit, so that a lost one is simply built again.
+ * @file Builds the next transaction. It only reads the dirty state: changes in a transaction stay dirty until
+ * commits.ts applies its commit, so that a lost transaction is simply built again.
  */
 import type { Job } from '../model/job.js';
 import { seconds, type Duration, type MonotonicTime } from '../model/time.js';
@@ -11,13 +11,13 @@
 import { buildCancellations, isCancellationOverdue } from './cancellations.js';
 import type { PageWrite, Transaction } from '../model/transaction.js';
 
-/** The state store takes this many conditions for each operation that it allows in a transaction. */
+/** Number of compare conditions that the state store accepts for each operation that it allows in a transaction. */
 const CONDITIONS_PER_OPERATION = 4;
-/** The condition on the leader key. */
+/** Number of conditions on the leader key. */
 const LEADER_CONDITIONS = 1;
 const MIN_BATCHING_DELAY = seconds(1);
 
-/** A transaction under construction, with the limits of the state store. */
+/** A transaction under construction, with the limits set by the state store. */
 interface Draft {
   readonly maxOperations: number;
   readonly maxConditions: number;
@@ -26,7 +26,7 @@
   readonly completedJobs: Set<string>;
 }
 
-/** The next transaction, or null when nothing is to be committed yet. */
+/** Returns the next transaction, or null if there is nothing to commit yet. */
 export function nextTransaction(state: ClusterState, now: MonotonicTime): Transaction | null {
   const atomicGroup = state.records.atomicPageGroups[0];
   if (atomicGroup !== undefined) return atomicGroupTransaction(state, atomicGroup);
@@ -35,8 +35,8 @@
     if (overdue !== null) return overdue;
   }
   const draft = newDraft(state);
-  // A job must not be committed as done ahead of the results that make it so. Jobs whose results are committed come
-  // first: after the pages they would wait as long as pages go on changing.
+  // A job must not be committed as done before its results are committed. Jobs whose results are already committed come
+  // first: placed after the pages, they would wait as long as pages keep changing.
   addCompletedJobs(state, draft, draft.maxOperations / 2);
   addPages(state, draft, pagesToCommit(state, now));
   addCompletedJobs(state, draft, draft.maxOperations);
@@ -63,10 +63,10 @@
 
 const operationsOf = (draft: Draft): number => draft.pageIds.size + draft.completedJobs.size;
 
-/** Conditions beside the leader's: one for each page and each job. */
+/** Returns the number of conditions without that on the leader key: one for each page and each job. */
 const conditionsOf = (draft: Draft): number => draft.pageIds.size + draft.jobConditions.size;
 
-/** Commits a group of pages that chunks have moved between. */
+/** Returns a transaction for a group of pages between which chunks have moved. */
 function atomicGroupTransaction(state: ClusterState, pageIds: readonly number[]): Transaction {
   const jobConditions = new Map<string, number>();
   for (const id of pageIds) addConditions(jobConditions, jobsStartingInPage(state, id));
@@ -79,7 +79,7 @@
   };
 }
 
-/** Urgent pages, then those that are dirty for long enough, oldest first. */
+/** Returns the urgent pages, then the pages that have been dirty for the batching delay, oldest first. */
 function pagesToCommit(state: ClusterState, now: MonotonicTime): number[] {
   const { urgentPages, dirtyPages } = state.records;
   const pageIds = [...urgentPages];
@@ -90,16 +90,16 @@
 }
 
 /**
- * Ended assignments are held back this long to be committed together: nobody waits for them, and each write of a page
- * costs an operation. Where more pages change than fit into one transaction they are held back longer, so that what is
- * waited for does not queue behind them.
+ * Returns how long ended assignments are delayed so that they are committed together: no task or user waits for them,
+ * and each write of a page costs an operation. If more pages change than fit into one transaction, the delay is longer,
+ * so that urgent changes do not queue behind them.
  */
 function batchingDelay(state: ClusterState): Duration {
   const transactions = Math.ceil(state.records.dirtyPages.size / state.config.maxTransactionOperations);
   return MIN_BATCHING_DELAY * BigInt(Math.max(1, transactions));
 }
 
-/** Adds pages while operations are left; one whose starting jobs need too many conditions is left for later. */
+/** Adds pages while operations remain. Skips a page for now if its starting jobs need too many conditions. */
 function addPages(state: ClusterState, draft: Draft, pageIds: readonly number[]): void {
   for (const id of pageIds) {
     if (operationsOf(draft) >= draft.maxOperations) return;
@@ -110,7 +110,7 @@
   }
 }
 
-/** Adds jobs that are done, up to `maxOperations` operations in all. */
+/** Adds completed jobs until the transaction has `maxOperations` operations in total. */
 function addCompletedJobs(state: ClusterState, draft: Draft, maxOperations: number): void {
   for (const id of state.records.jobsToComplete.keys()) {
     if (operationsOf(draft) >= maxOperations || conditionsOf(draft) >= draft.maxConditions) return;
