--- a/src/core/cluster-scheduler.ts
+++ b/src/core/cluster-scheduler.ts
@@ -1,7 +1,7 @@
 /**
- * @file The leader of a partition: the one place where events become effects. It owns the cluster state and the order
- * of handlers within an event; what an event means is decided by the modules that it calls. It does no input or output
- * and reads no clock: each call brings its own time.
+ * @file The scheduler of a partition's leader, which turns events into effects. It owns the cluster state and the order
+ * of handlers within an event; the modules that it calls implement the handling. It performs no input or output and
+ * reads no clock: each call passes the time.
  */
 import { onScaleInAnswered } from './capacity/scale-in-requests.js';
 import { onScaleOutAnswered, onScaleOutStarted } from './capacity/scale-out-requests.js';
@@ -38,7 +38,7 @@
   recordEventLoopLag,
 } from './state/term-state.js';
 
-/** The leader of a partition during one term: all that it knows, and what follows from each event. */
+/** The scheduler of a partition during one leadership term: its state, and the handling of each event. */
 export class ClusterScheduler {
   readonly state: ClusterState;
   private readonly maintenance: PeriodicMaintenance;
@@ -53,17 +53,17 @@
     this.maintenance = new PeriodicMaintenance(this.state);
   }
 
-  /** Handles an event, and runs a scheduling cycle if one is needed and due. Returns what is to be done outside. */
+  /** Handles an event and runs a scheduling cycle if one is needed and due. Returns the effects for the caller. */
   handle(event: Event, now: Timestamp): Effect[] {
     this.dispatch(event, now);
-    // While records are loaded each page changes what the next cycle would see: one after the last is enough.
+    // While records are loaded, each page changes the input of the next cycle, so one cycle after the last is enough.
     if (event.kind !== 'page-loaded' && this.isCycleDue(now)) runSchedulingCycle(this.state, now);
     const { effects } = this.state;
     this.state.effects = [];
     return effects;
   }
 
-  /** Records how long an event with a scheduling cycle took to handle: the core itself reads no clock. */
+  /** Records how long the caller took to handle an event with a scheduling cycle: the core itself reads no clock. */
   recordCycleDuration(duration: Duration): void {
     const { scheduling } = this.state;
     scheduling.averageCycleDuration = (scheduling.averageCycleDuration + duration) / 2n;
@@ -74,12 +74,12 @@
     recordEventLoopLag(this.state.term, lag);
   }
 
-  /** The commands for the answer to a heartbeat that was just handled. */
+  /** Returns the commands for the answer to a heartbeat that was just handled. */
   answerHeartbeat(heartbeat: Heartbeat, now: Timestamp): WorkerCommand[] {
     return commandsForHeartbeat(this.state, heartbeat, now);
   }
 
-  /** The next changes to commit, or null when there are none. */
+  /** Returns the next transaction to commit, or null if there is none. */
   nextTransaction(now: Timestamp): Transaction | null {
     return nextTransaction(this.state, now.monotonic);
   }
@@ -93,7 +93,7 @@
     );
   }
 
-  // One case for each kind of event, each a single call: a table would lose the check that none is missing.
+  // One case with a plain call for each kind of event. A table of handlers would lose the check that none is missing.
   // eslint-disable-next-line complexity
   private dispatch(event: Event, now: Timestamp): void {
     const { state } = this;
--- a/src/core/periodic/maintenance.ts
+++ b/src/core/periodic/maintenance.ts
@@ -1,6 +1,6 @@
 /**
- * @file What only the passing of time changes: lease expiry, failure detection, fencing, advances of the token, fleet
- * sizing. It owns the times of the last runs; the work itself belongs to the modules that it calls.
+ * @file Periodic work: lease expiry, failure detection, fencing, advances of the fencing token and fleet sizing. It
+ * owns the times of the last runs; the modules that it calls do the work.
  */
 import { sizeFleet } from '../capacity/fleet-sizing.js';
 import { logFleetSummary } from '../capacity/fleet-summary.js';
@@ -18,22 +18,22 @@
 import { mayStartTasks } from '../state/leadership-timing.js';
 import { isOverloaded } from '../state/overload.js';
 
-/** Each sweep walks all machines, so that it runs a few times a second at most. */
+/** Shortest time between two sweeps. Each sweep visits all machines, so it runs at most a few times per second. */
 const SWEEP_INTERVAL = seconds(0.4);
 
-/** How often slow changes are looked at. */
+/** How often slow changes are checked. */
 const SLOW_CHECK_INTERVAL = seconds(1);
 
 /** How often the fleet is sized. */
 const FLEET_SIZING_INTERVAL = seconds(2);
 
-/** How often the fleet is sized in an overloaded process: after everything else, but not never. */
+/** How often an overloaded process sizes the fleet: after all other work, but still regularly. */
 const OVERLOADED_FLEET_SIZING_INTERVAL = seconds(6);
 
-/** How often the fleet is summed up in the log. */
+/** How often a summary of the fleet is logged. */
 const FLEET_SUMMARY_INTERVAL = seconds(10);
 
-/** Runs periodic work when it is due. */
+/** Runs each kind of periodic work when it is due. */
 export class PeriodicMaintenance {
   private sweptAt: MonotonicTime = 0n;
   private slowChecksAt: MonotonicTime = 0n;
@@ -42,7 +42,7 @@
 
   constructor(private readonly state: ClusterState) {}
 
-  /** Does what is due, in a fixed order. */
+  /** Runs the work that is due, in a fixed order. */
   run(now: Timestamp): void {
     if (now.monotonic - this.sweptAt >= SWEEP_INTERVAL) this.sweep(now);
     requestTokenAdvance(this.state, now);
@@ -54,8 +54,8 @@
 
   private sweep(now: Timestamp): void {
     this.sweptAt = now.monotonic;
-    // After a pause of the process every worker looks unresponsive: nothing is concluded before the state store has
-    // confirmed the leadership again.
+    // After a pause of the process every worker looks unresponsive, so failures are not detected before the state store
+    // has confirmed the leadership again.
     if (this.mayStartTasks(now)) this.detectFailures(now);
     if (now.monotonic - this.fleetSummaryAt >= FLEET_SUMMARY_INTERVAL) {
       this.fleetSummaryAt = now.monotonic;
@@ -78,7 +78,7 @@
   private runSlowChecks(now: Timestamp): void {
     const { state } = this;
     this.slowChecksAt = now.monotonic;
-    // Retry delays end, machines become suspected, pending work becomes urgent: none of that is an event.
+    // No event reports that a retry delay ended, a machine became suspected or pending work became urgent.
     state.scheduling.cycleNeeded = state.scheduling.cycleNeeded || state.jobs.pending.size > 0;
     evictFinishedJobs(state, now.monotonic);
     logMissedDeadlines(state, now);
