--- a/src/core/assignments/assignments.ts
+++ b/src/core/assignments/assignments.ts
@@ -43,7 +43,7 @@
   return assignment;
 }
 
-/** Restores a recorded assignment at the beginning of a term. It ends only on proof that the task is not running. */
+/** Restores a recorded assignment at the beginning of a term. Only proof that the task is not running ends it. */
 export function restoreAssignment(
   state: ClusterState,
   job: Job,
--- a/src/core/persistence/recovery.ts
+++ b/src/core/persistence/recovery.ts
@@ -33,7 +33,7 @@
   entry: PageEntry,
   now: MonotonicTime,
 ): void {
-  // An entry of a finished job is not needed any more if it has no assignments.
+  // The entry of a finished job is no longer needed if it has no assignments.
   if (job.status !== 'open' && entry.record.assignments.length === 0) return;
   const chunk = restoreChunk(page, job, entry);
   for (const record of entry.record.assignments) restoreAssignment(state, job, chunk, record, now);
--- a/src/core/state/job-table.ts
+++ b/src/core/state/job-table.ts
@@ -1,6 +1,6 @@
 /**
  * @file The leader's table of jobs: which are active, pending or finished, and what they wait for. It owns the sets of
- * jobs; it must never change records or machines.
+ * jobs; it must never access records or machines.
  */
 import type { ClusterConfig } from '../model/cluster-config.js';
 import type { Job, JobStatus } from '../model/job.js';
