--- a/src/core/scheduling/candidates.ts
+++ b/src/core/scheduling/candidates.ts
@@ -19,7 +19,7 @@
   readonly projected: Resources;
   taskCount: number;
   /** Images being fetched there, by name, with the gigabytes that are at least still to come. */
-  readonly imagePulls: Map<string, number>;
+  readonly imageFetches: Map<string, number>;
 }
 
 /** The machines that may take tasks now, with their capacity. */
@@ -36,20 +36,20 @@
       free: copyResources(free),
       projected: copyResources(projected),
       taskCount: machine.assignments.size,
-      imagePulls: imagePullsOn(state, machine, type, now),
+      imageFetches: imageFetchesOn(state, machine, type, now),
     });
   }
   return candidates;
 }
 
 /** What a machine is fetching, by the assignments on it that wait for an image. */
-function imagePullsOn(
+function imageFetchesOn(
   state: ClusterState,
   machine: Machine,
   type: MachineType,
   now: Timestamp,
 ): Map<string, number> {
-  const pulls = new Map<string, number>();
+  const fetches = new Map<string, number>();
   for (const assignment of machine.assignments.values()) {
     if (assignment.phase !== 'assigned' && assignment.phase !== 'fetching') continue;
     const job = state.jobs.byId.get(assignment.jobId);
@@ -57,9 +57,9 @@
     const { image, imageGb } = job.spec;
     const fetchedGb = toSeconds(now.monotonic - assignment.createdAt) * type.fetchGbPerS;
     const remainingGb = Math.max(0, imageGb - fetchedGb);
-    pulls.set(image, Math.min(pulls.get(image) ?? Infinity, remainingGb));
+    fetches.set(image, Math.min(fetches.get(image) ?? Infinity, remainingGb));
   }
-  return pulls;
+  return fetches;
 }
 
 /** Reserves capacity for one task that starts on the candidate, and its image pull. */
@@ -67,8 +67,8 @@
   subtractResources(candidate.free, spec);
   subtractResources(candidate.projected, spec);
   candidate.taskCount += 1;
-  if (!candidate.machine.cachedImages.has(spec.image) && !candidate.imagePulls.has(spec.image))
-    candidate.imagePulls.set(spec.image, spec.imageGb);
+  if (!candidate.machine.cachedImages.has(spec.image) && !candidate.imageFetches.has(spec.image))
+    candidate.imageFetches.set(spec.image, spec.imageGb);
 }
 
 /** A candidate on which a plan can reserve without effect on the cycle. */
@@ -76,5 +76,5 @@
   ...candidate,
   free: copyResources(candidate.free),
   projected: copyResources(candidate.projected),
-  imagePulls: new Map(candidate.imagePulls),
+  imageFetches: new Map(candidate.imageFetches),
 });
--- a/src/core/scheduling/scoring.ts
+++ b/src/core/scheduling/scoring.ts
@@ -52,9 +52,9 @@
 export function imageFetchDelay(spec: JobSpec, candidate: Candidate, settings: OperatorSettings): number {
   if (candidate.machine.cachedImages.has(spec.image)) return 0;
   const bandwidth = Math.max(settings.bandwidth ?? candidate.type.fetchGbPerS, EPSILON);
-  const remainingGb = candidate.imagePulls.get(spec.image);
-  const concurrentPulls = candidate.imagePulls.size + (remainingGb === undefined ? 1 : 0);
-  return ((remainingGb ?? spec.imageGb) * concurrentPulls) / bandwidth;
+  const remainingGb = candidate.imageFetches.get(spec.image);
+  const concurrentFetches = candidate.imageFetches.size + (remainingGb === undefined ? 1 : 0);
+  return ((remainingGb ?? spec.imageGb) * concurrentFetches) / bandwidth;
 }
 
 /** Seconds that running a task of the job on the candidate costs: Ω of eq. (3) and Algorithm 2. */
