--- a/src/core/capacity/expected-slots.ts
+++ b/src/core/capacity/expected-machines.ts
@@ -9,67 +9,72 @@
 import type { MachineKind } from './machine-kind.js';
 
 /** A machine that exists, is booting, or is to be requested. */
-export interface Slot extends MachineKind {
+export interface ExpectedMachine extends MachineKind {
   /** What planned tasks leave free. */
   readonly free: Resources;
 }
 
 /** Slots of all usable machines, then of those that are booting, then of those requested. */
-export function expectedSlots(state: ClusterState, now: Timestamp): Slot[] {
-  const slots: Slot[] = [];
+export function expectedMachines(state: ClusterState, now: Timestamp): ExpectedMachine[] {
+  const expected: ExpectedMachine[] = [];
   for (const machine of state.machines.byName.values()) {
     if (!isUsable(state, machine, now.monotonic) || isZoneUnavailable(state, machine.zone)) continue;
     const { type, zone, spot } = machine;
-    slots.push({ type, zone, spot, free: copyResources(resourcesOf(state, machine).projected) });
+    expected.push({ type, zone, spot, free: copyResources(resourcesOf(state, machine).projected) });
   }
-  for (const kind of state.machines.booting.values()) addEmptySlots(state, slots, kind, 1);
+  for (const kind of state.machines.booting.values()) addEmptyMachines(state, expected, kind, 1);
   for (const { request } of state.scaling.pending.values())
-    addEmptySlots(state, slots, request, request.count);
-  return slots;
+    addEmptyMachines(state, expected, request, request.count);
+  return expected;
 }
 
-function addEmptySlots(state: ClusterState, slots: Slot[], kind: MachineKind, count: number): void {
+function addEmptyMachines(
+  state: ClusterState,
+  expected: ExpectedMachine[],
+  kind: MachineKind,
+  count: number,
+): void {
   const type = state.machines.types.get(kind.type);
   if (type === undefined) return;
   for (let n = 0; n < count; n++)
-    slots.push({ type: kind.type, zone: kind.zone, spot: kind.spot, free: copyResources(type) });
+    expected.push({ type: kind.type, zone: kind.zone, spot: kind.spot, free: copyResources(type) });
 }
 
 /**
  * Finds slots that fit a task of a job, first to last. Where the allowed zones do not depend on the job's other tasks, a
  * slot that did not fit once never will, and none is looked at twice.
  */
-export class SlotFinder {
+export class ExpectedMachineFinder {
   private next = 0;
   private readonly zonesAreFixed: boolean;
 
   constructor(
     private readonly job: Job,
-    private readonly slots: readonly Slot[],
+    private readonly machines: readonly ExpectedMachine[],
     private readonly assignedByZone: ReadonlyMap<string, number>,
   ) {
     this.zonesAreFixed = !job.spec.singleZone && !job.spec.spreadAcrossZones;
   }
 
   /** A slot with capacity for one more task; the same one is found again until it is full. */
-  find(): Slot | undefined {
-    for (let index = this.zonesAreFixed ? this.next : 0; index < this.slots.length; index++) {
-      const slot = this.slots[index];
-      if (slot === undefined || !this.isSuitable(slot)) continue;
+  find(): ExpectedMachine | undefined {
+    for (let index = this.zonesAreFixed ? this.next : 0; index < this.machines.length; index++) {
+      const machine = this.machines[index];
+      if (machine === undefined || !this.isSuitable(machine)) continue;
       this.next = index;
-      return slot;
+      return machine;
     }
-    this.next = this.slots.length;
+    this.next = this.machines.length;
     return undefined;
   }
 
-  private isSuitable(slot: Slot): boolean {
+  private isSuitable(machine: ExpectedMachine): boolean {
     const { spec } = this.job;
     return (
-      fits(spec, slot.free) &&
-      (!slot.spot || spec.allowSpot) &&
-      (spec.machineTypes === null || spec.machineTypes.includes(slot.type)) &&
-      isZoneAllowed(this.job, slot.zone, this.assignedByZone)
+      fits(spec, machine.free) &&
+      (!machine.spot || spec.allowSpot) &&
+      (spec.machineTypes === null || spec.machineTypes.includes(machine.type)) &&
+      isZoneAllowed(this.job, machine.zone, this.assignedByZone)
     );
   }
 }
--- a/src/core/capacity/machine-choice.ts
+++ b/src/core/capacity/machine-choice.ts
@@ -7,7 +7,7 @@
 import { isZoneAllowed } from '../scheduling/placement-constraints.js';
 import { isZoneUnavailable } from '../scheduling/zone-availability.js';
 import type { ClusterState } from '../state/cluster-state.js';
-import type { Slot } from './expected-slots.js';
+import type { ExpectedMachine } from './expected-machines.js';
 import { type MachineKind, machineKindKey } from './machine-kind.js';
 import { wasRecentlyRefused } from './scale-out-requests.js';
 
@@ -35,7 +35,11 @@
    * Adds the best machine for a task of the job and returns it as a slot; null: no kind will do. The cheapest is the
    * best, where a job may use spot machines these too, but no kind that the cloud has just refused.
    */
-  add(job: Job, types: readonly MachineType[], assignedByZone: ReadonlyMap<string, number>): Slot | null {
+  add(
+    job: Job,
+    types: readonly MachineType[],
+    assignedByZone: ReadonlyMap<string, number>,
+  ): ExpectedMachine | null {
     const best = this.optionsFor(job, types, assignedByZone).sort(byPrice)[0];
     if (best === undefined) return null;
     const key = machineKindKey(best.kind);
--- a/src/core/capacity/scale-out-planning.ts
+++ b/src/core/capacity/scale-out-planning.ts
@@ -10,7 +10,7 @@
 import { type Timestamp, toSeconds } from '../model/time.js';
 import type { ClusterState } from '../state/cluster-state.js';
 import { forecastDemand } from './demand-forecast.js';
-import { type Slot, SlotFinder, expectedSlots } from './expected-slots.js';
+import { type ExpectedMachine, ExpectedMachineFinder, expectedMachines } from './expected-machines.js';
 import { RequestedMachines } from './machine-choice.js';
 import { type Turnover, expectedTurnovers, slotsNeeded, turnoversFor } from './task-turnover.js';
 import { usedShare } from './utilization.js';
@@ -35,7 +35,7 @@
 }
 
 class ScaleOutPlan {
-  private readonly slots: Slot[];
+  private readonly expectedMachines: ExpectedMachine[];
   private readonly turnovers: readonly Turnover[];
   private readonly requested: RequestedMachines;
   private newMachines = 0;
@@ -44,7 +44,7 @@
     private readonly state: ClusterState,
     private readonly now: Timestamp,
   ) {
-    this.slots = expectedSlots(state, now);
+    this.expectedMachines = expectedMachines(state, now);
     this.turnovers = expectedTurnovers(state, now);
     this.requested = new RequestedMachines(state, now);
   }
@@ -63,18 +63,18 @@
     const assignedByZone = assignmentsByZone(job);
     const types = allowedTypes(state, job);
     const needed = slotsNeeded(state, job, shortestBootSeconds(types), now);
-    const finder = new SlotFinder(job, this.slots, assignedByZone);
+    const finder = new ExpectedMachineFinder(job, this.expectedMachines, assignedByZone);
     const turnovers = turnoversFor(state, job, this.turnovers, now);
     for (let task = 0; task < needed && !this.isFull; task++) {
       if (!state.jobs.quotas.allows(job.spec, task + 1)) return;
-      let slot = finder.find();
-      if (slot === undefined) {
+      let machine = finder.find();
+      if (machine === undefined) {
         if (takeNext(turnovers)) continue;
-        slot = this.addMachine(job, types, assignedByZone);
-        if (slot === undefined) return;
+        machine = this.addMachine(job, types, assignedByZone);
+        if (machine === undefined) return;
       }
-      subtractResources(slot.free, job.spec);
-      assignedByZone.set(slot.zone, (assignedByZone.get(slot.zone) ?? 0) + 1);
+      subtractResources(machine.free, job.spec);
+      assignedByZone.set(machine.zone, (assignedByZone.get(machine.zone) ?? 0) + 1);
     }
   }
 
@@ -83,9 +83,9 @@
     const { arriving, finishing, sampleJob } = forecastDemand(this.state, this.now);
     if (sampleJob === null || arriving <= finishing) return;
     const types = allowedTypes(this.state, sampleJob);
-    const lacking = Math.floor(arriving - finishing - this.freeMachines());
+    const shortfall = Math.floor(arriving - finishing - this.freeCapacityInMachines());
     const limit = MAX_NEW_MACHINES_PER_ROUND - this.newMachines;
-    for (let n = Math.min(limit, lacking); n > 0; n--)
+    for (let n = Math.min(limit, shortfall); n > 0; n--)
       if (this.requested.add(sampleJob, types, new Map()) === null) return;
   }
 
@@ -93,20 +93,20 @@
     job: Job,
     types: readonly MachineType[],
     assignedByZone: ReadonlyMap<string, number>,
-  ): Slot | undefined {
-    const slot = this.requested.add(job, types, assignedByZone);
-    if (slot === null) return undefined;
+  ): ExpectedMachine | undefined {
+    const machine = this.requested.add(job, types, assignedByZone);
+    if (machine === null) return undefined;
     this.newMachines += 1;
-    this.slots.push(slot);
-    return slot;
+    this.expectedMachines.push(machine);
+    return machine;
   }
 
   /** What is free on all slots, in whole machines. */
-  private freeMachines(): number {
+  private freeCapacityInMachines(): number {
     let free = 0;
-    for (const slot of this.slots) {
-      const type = this.state.machines.types.get(slot.type);
-      if (type !== undefined) free += Math.max(0, 1 - usedShare(type, slot.free));
+    for (const machine of this.expectedMachines) {
+      const type = this.state.machines.types.get(machine.type);
+      if (type !== undefined) free += Math.max(0, 1 - usedShare(type, machine.free));
     }
     return free;
   }
