--- a/src/core/capacity/task-turnover.ts
+++ b/src/core/capacity/capacity-reuse.ts
@@ -14,26 +14,26 @@
 const MAX_WAIT_SHARE = 0.3;
 
 /** Capacity that a running array task leaves when it finishes. */
-export interface Turnover extends MachineKind {
+export interface FinishingTask extends MachineKind {
   readonly remainingS: number;
   readonly job: Job;
   /** A pending task is planned to follow. */
-  taken: boolean;
+  claimed: boolean;
 }
 
 /** How many of a job's pending tasks need capacity of their own; the rest can follow them before the deadline. */
-export function slotsNeeded(state: ClusterState, job: Job, bootS: number, now: Timestamp): number {
+export function tasksNeedingCapacity(state: ClusterState, job: Job, bootS: number, now: Timestamp): number {
   const pending = job.unassignedTasks.size;
   if (job.spec.kind !== 'array') return pending;
   const estimateS = Math.max(estimatedSeconds(state, job), 1);
   const untilEndS = startDeadline(state, job) + estimateS - now.wall.getTime() / 1000 - bootS;
-  const tasksPerSlot = Math.max(1, Math.floor(Math.max(untilEndS, bootS) / estimateS));
-  return Math.ceil(pending / tasksPerSlot);
+  const tasksInSequence = Math.max(1, Math.floor(Math.max(untilEndS, bootS) / estimateS));
+  return Math.ceil(pending / tasksInSequence);
 }
 
 /** Capacity that running array tasks will leave, soonest first. */
-export function expectedTurnovers(state: ClusterState, now: Timestamp): Turnover[] {
-  const turnovers: Turnover[] = [];
+export function finishingTasks(state: ClusterState, now: Timestamp): FinishingTask[] {
+  const finishing: FinishingTask[] = [];
   for (const machine of state.machines.byName.values()) {
     if (!isUsable(state, machine, now.monotonic)) continue;
     const { type, zone, spot } = machine;
@@ -42,35 +42,35 @@
       if (job?.spec.kind !== 'array' || runningSince === null || stopRequest !== null) continue;
       const ranForS = toSeconds(now.monotonic - runningSince);
       const remainingS = Math.max(estimatedSeconds(state, job) - ranForS, 1);
-      turnovers.push({ type, zone, spot, remainingS, job, taken: false });
+      finishing.push({ type, zone, spot, remainingS, job, claimed: false });
     }
   }
-  return turnovers.sort((a, b) => a.remainingS - b.remainingS);
+  return finishing.sort((a, b) => a.remainingS - b.remainingS);
 }
 
 /** Turnovers that the job's tasks can wait for, soonest first. Each serves one task in a round of fleet sizing. */
-export function* turnoversFor(
+export function* finishingTasksFor(
   state: ClusterState,
   job: Job,
-  turnovers: readonly Turnover[],
+  finishing: readonly FinishingTask[],
   now: Timestamp,
-): Generator<Turnover> {
+): Generator<FinishingTask> {
   if (job.spec.kind !== 'array') return;
   const maxWaitS = (startDeadline(state, job) - now.wall.getTime() / 1000) * MAX_WAIT_SHARE;
-  for (const turnover of turnovers) {
-    if (turnover.remainingS > maxWaitS) return;
-    if (!turnover.taken && canFollow(job, turnover)) yield turnover;
+  for (const task of finishing) {
+    if (task.remainingS > maxWaitS) return;
+    if (!task.claimed && canFollow(job, task)) yield task;
   }
 }
 
-function canFollow({ spec }: Job, turnover: Turnover): boolean {
-  const left = turnover.job.spec;
+function canFollow({ spec }: Job, task: FinishingTask): boolean {
+  const finishingSpec = task.job.spec;
   return (
-    left.gpus >= spec.gpus &&
-    left.cpus >= spec.cpus - RESOURCE_EPSILON &&
-    left.memory >= spec.memory - RESOURCE_EPSILON &&
-    (!turnover.spot || spec.allowSpot) &&
-    (spec.machineTypes === null || spec.machineTypes.includes(turnover.type)) &&
-    (spec.zone === null || spec.zone === turnover.zone)
+    finishingSpec.gpus >= spec.gpus &&
+    finishingSpec.cpus >= spec.cpus - RESOURCE_EPSILON &&
+    finishingSpec.memory >= spec.memory - RESOURCE_EPSILON &&
+    (!task.spot || spec.allowSpot) &&
+    (spec.machineTypes === null || spec.machineTypes.includes(task.type)) &&
+    (spec.zone === null || spec.zone === task.zone)
   );
 }
--- a/src/core/capacity/scale-out-planning.ts
+++ b/src/core/capacity/scale-out-planning.ts
@@ -12,7 +12,12 @@
 import { forecastDemand } from './demand-forecast.js';
 import { type ExpectedMachine, ExpectedMachineFinder, expectedMachines } from './expected-machines.js';
 import { RequestedMachines } from './machine-choice.js';
-import { type Turnover, expectedTurnovers, slotsNeeded, turnoversFor } from './task-turnover.js';
+import {
+  type FinishingTask,
+  finishingTasks,
+  tasksNeedingCapacity,
+  finishingTasksFor,
+} from './capacity-reuse.js';
 import { usedShare } from './utilization.js';
 
 /** New machines requested in one round: the answers come before the next. */
@@ -36,7 +41,7 @@
 
 class ScaleOutPlan {
   private readonly expectedMachines: ExpectedMachine[];
-  private readonly turnovers: readonly Turnover[];
+  private readonly finishingTasks: readonly FinishingTask[];
   private readonly requested: RequestedMachines;
   private newMachines = 0;
 
@@ -45,7 +50,7 @@
     private readonly now: Timestamp,
   ) {
     this.expectedMachines = expectedMachines(state, now);
-    this.turnovers = expectedTurnovers(state, now);
+    this.finishingTasks = finishingTasks(state, now);
     this.requested = new RequestedMachines(state, now);
   }
 
@@ -62,14 +67,14 @@
     const { state, now } = this;
     const assignedByZone = assignmentsByZone(job);
     const types = allowedTypes(state, job);
-    const needed = slotsNeeded(state, job, shortestBootSeconds(types), now);
+    const needed = tasksNeedingCapacity(state, job, shortestBootSeconds(types), now);
     const finder = new ExpectedMachineFinder(job, this.expectedMachines, assignedByZone);
-    const turnovers = turnoversFor(state, job, this.turnovers, now);
+    const reusable = finishingTasksFor(state, job, this.finishingTasks, now);
     for (let task = 0; task < needed && !this.isFull; task++) {
       if (!state.jobs.quotas.allows(job.spec, task + 1)) return;
       let machine = finder.find();
       if (machine === undefined) {
-        if (takeNext(turnovers)) continue;
+        if (claimNext(reusable)) continue;
         machine = this.addMachine(job, types, assignedByZone);
         if (machine === undefined) return;
       }
@@ -113,10 +118,10 @@
 }
 
 /** Has a pending task follow on the next turnover, if there is one. */
-function takeNext(turnovers: Generator<Turnover>): boolean {
-  const next = turnovers.next();
+function claimNext(reusable: Generator<FinishingTask>): boolean {
+  const next = reusable.next();
   if (next.done === true) return false;
-  next.value.taken = true;
+  next.value.claimed = true;
   return true;
 }
 
