--- a/src/core/scheduling/task-scheduling.ts
+++ b/src/core/scheduling/task-scheduling.ts
@@ -17,8 +17,8 @@
 import { preemptFor } from './preemption.js';
 import { type ScoredCandidate, type TieBreaker, pickBest, scoreCandidate, updateScore } from './scoring.js';
 import {
-  WHOLE_MACHINES_KEPT,
-  keepMachinesWhole,
+  EMPTY_MACHINES_KEPT,
+  excludeEmptyMachines,
   leastFailedCandidates,
   preferSchedulable,
   spreadReplicas,
@@ -26,7 +26,7 @@
 } from './tie-breaking.js';
 
 /** Below this many machines none are kept whole: they would be an eighth of the fleet or more. */
-const MIN_FLEET_TO_KEEP_WHOLE = WHOLE_MACHINES_KEPT * 8;
+const MIN_FLEET_TO_KEEP_EMPTY_MACHINES = EMPTY_MACHINES_KEPT * 8;
 
 /** A job whose tasks are being assigned, with the machines that still fit one. */
 interface TaskPlacement {
@@ -43,7 +43,7 @@
     job.pendingReason = QUOTA_EXCEEDED;
     return;
   }
-  const feasible = feasibleUnlessKeptWhole(cycle, job);
+  const feasible = taskCandidates(cycle, job);
   if (feasible.length === 0) {
     job.pendingReason = NO_CAPACITY;
     return;
@@ -63,15 +63,15 @@
   }
 }
 
-function feasibleUnlessKeptWhole(cycle: SchedulingCycle, job: Job): Candidate[] {
+function taskCandidates(cycle: SchedulingCycle, job: Job): Candidate[] {
   const { state, candidates, now } = cycle;
   const feasible = feasibleCandidates(cycle, job);
   if (
     feasible.length > 0 &&
-    candidates.length >= MIN_FLEET_TO_KEEP_WHOLE &&
+    candidates.length >= MIN_FLEET_TO_KEEP_EMPTY_MACHINES &&
     hasDeadlineSlack(state, job, now)
   )
-    keepMachinesWhole(feasible, candidates);
+    excludeEmptyMachines(feasible, candidates);
   return feasible;
 }
 
--- a/src/core/scheduling/tie-breaking.ts
+++ b/src/core/scheduling/tie-breaking.ts
@@ -6,19 +6,19 @@
 import type { ScoredCandidate } from './scoring.js';
 
 /** Empty machines that jobs with deadline slack leave whole, for jobs with less time. */
-export const WHOLE_MACHINES_KEPT = 2;
+export const EMPTY_MACHINES_KEPT = 2;
 
 /** Takes the empty machines out of the feasible ones, in place, while there are few empty machines. */
-export function keepMachinesWhole(feasible: Candidate[], candidates: readonly Candidate[]): void {
+export function excludeEmptyMachines(feasible: Candidate[], candidates: readonly Candidate[]): void {
   let emptyCount = 0;
   for (const candidate of candidates) if (candidate.taskCount === 0) emptyCount += 1;
-  if (emptyCount > WHOLE_MACHINES_KEPT) return;
+  if (emptyCount > EMPTY_MACHINES_KEPT) return;
   for (let index = feasible.length - 1; index >= 0; index--)
     if (feasible[index]?.taskCount === 0) feasible.splice(index, 1);
 }
 
 /** Ranks that put a machine after all others of its kind. */
-const LAST = 2;
+const LAST_RANK = 2;
 
 /**
  * Ranks equally good machines, the lowest first: jobs that may run on spot instances go there, and replicas go where
@@ -26,13 +26,13 @@
  * While some job needs most of a machine, small tasks go beside others and leave whole machines free.
  */
 export function tieBreakScore(state: ClusterState, job: Job, candidate: Candidate): number {
-  const breaksWholeMachine =
+  const occupiesEmptyMachine =
     candidate.taskCount === 0 &&
     state.scheduling.wholeMachineNeeded &&
-    !takesMostOfMachine(job, candidate.type);
-  const wholeMachineScore = breaksWholeMachine ? 1 : 0;
-  if (job.spec.allowSpot) return (candidate.machine.spot ? 0 : LAST) + wholeMachineScore;
-  if (job.spec.kind !== 'service') return wholeMachineScore;
+    !needsMostOfMachine(job, candidate.type);
+  const emptyMachinePenalty = occupiesEmptyMachine ? 1 : 0;
+  if (job.spec.allowSpot) return (candidate.machine.spot ? 0 : LAST_RANK) + emptyMachinePenalty;
+  if (job.spec.kind !== 'service') return emptyMachinePenalty;
   return replicaScore(state, job, candidate);
 }
 
@@ -40,14 +40,14 @@
   let replicaCount = 0;
   for (const assignment of machine.assignments.values()) {
     // Two replicas of one service on a machine are lost together.
-    if (assignment.jobId === job.spec.id) return LAST;
+    if (assignment.jobId === job.spec.id) return LAST_RANK;
     if (state.jobs.byId.get(assignment.jobId)?.spec.kind === 'service') replicaCount += 1;
   }
   return 1 / (1 + replicaCount);
 }
 
 /** Whether two tasks of the job do not fit one machine of the type. */
-const takesMostOfMachine = ({ spec }: Job, type: MachineType): boolean =>
+const needsMostOfMachine = ({ spec }: Job, type: MachineType): boolean =>
   spec.gpus * 2 > type.gpus || spec.cpus * 2 > type.cpus || spec.memory * 2 > type.memory;
 
 /** Whether some active job needs most of a machine for a task. */
@@ -55,7 +55,7 @@
   for (const id of state.jobs.active) {
     const job = state.jobs.byId.get(id);
     if (job === undefined) continue;
-    for (const type of state.machines.types.values()) if (takesMostOfMachine(job, type)) return true;
+    for (const type of state.machines.types.values()) if (needsMostOfMachine(job, type)) return true;
   }
   return false;
 }
