--- a/src/core/scheduling/preemption-plan.ts
+++ b/src/core/scheduling/preemption-plan.ts
@@ -23,41 +23,41 @@
   const reservations: Reservation[] = [];
   const victims = new Set<Assignment>();
   // Each machine's offer is computed once, and again only after one of its own was taken.
-  const offers = candidates.map((candidate) => cheapestOn(cycle, job, candidate, victims));
+  const options = candidates.map((candidate) => cheapestReservation(cycle, job, candidate, victims));
   while (reservations.length < taskCount && state.jobs.quotas.allows(job.spec, reservations.length + 1)) {
-    const index = indexOfCheapest(offers, job, tasksByZone);
-    const offer = offers[index];
-    if (offer === undefined || offer === null) break;
-    const { zone } = offer.candidate.machine;
-    reserve(state, job, offer);
-    for (const assignment of offer.victims) victims.add(assignment);
+    const index = indexOfCheapest(options, job, tasksByZone);
+    const option = options[index];
+    if (option === undefined || option === null) break;
+    const { zone } = option.candidate.machine;
+    reserve(state, job, option);
+    for (const assignment of option.victims) victims.add(assignment);
     tasksByZone.set(zone, (tasksByZone.get(zone) ?? 0) + 1);
-    reservations.push(offer);
-    offers[index] = cheapestOn(cycle, job, offer.candidate, victims);
+    reservations.push(option);
+    options[index] = cheapestReservation(cycle, job, option.candidate, victims);
   }
   return reservations;
 }
 
 /** The first of the cheapest offers in zones that the job may use; -1: there is none. */
 function indexOfCheapest(
-  offers: readonly (Reservation | null)[],
+  options: readonly (Reservation | null)[],
   job: Job,
   tasksByZone: ReadonlyMap<string, number>,
 ): number {
   let cheapest = -1;
   let lowestCost = Infinity;
-  for (let index = 0; index < offers.length; index++) {
-    const offer = offers[index];
-    if (offer === null || offer === undefined || (cheapest >= 0 && offer.cost >= lowestCost)) continue;
-    if (!isZoneAllowed(job, offer.candidate.machine.zone, tasksByZone)) continue;
+  for (let index = 0; index < options.length; index++) {
+    const option = options[index];
+    if (option === null || option === undefined || (cheapest >= 0 && option.cost >= lowestCost)) continue;
+    if (!isZoneAllowed(job, option.candidate.machine.zone, tasksByZone)) continue;
     cheapest = index;
-    lowestCost = offer.cost;
+    lowestCost = option.cost;
   }
   return cheapest;
 }
 
 /** Capacity for one task on the candidate, where possible without victims; null: not even with all that it may stop. */
-function cheapestOn(
+function cheapestReservation(
   cycle: SchedulingCycle,
   job: Job,
   candidate: Candidate,
