--- a/src/core/scheduling/cycle-context.ts
+++ b/src/core/scheduling/cycle-context.ts
@@ -17,7 +17,7 @@
   /** The lowest priority of a running task on each machine: a job that is not above it can preempt nothing there. */
   readonly lowestPriority: ReadonlyMap<Machine, number>;
   /** Demands that no machine has free capacity for. */
-  readonly unsatisfiable: ResourceShape[];
+  readonly unsatisfiableShapes: ResourceShape[];
   /** Jobs for which capacity is reserved already. */
   readonly jobsWithReservations: Set<string>;
   /** The first gang for which free capacity is kept together. */
@@ -32,7 +32,7 @@
     now,
     candidates,
     lowestPriority: new Map(candidates.map(({ machine }) => [machine, lowestPriorityOn(state, machine)])),
-    unsatisfiable: [],
+    unsatisfiableShapes: [],
     jobsWithReservations: new Set(),
     gangHoldingCapacity: null,
   };
@@ -54,7 +54,7 @@
  */
 export function feasibleCandidates(cycle: SchedulingCycle, job: Job): Candidate[] {
   const { spec } = job;
-  if (cycle.unsatisfiable.some((shape) => needsAtLeast(spec, shape))) return [];
+  if (cycle.unsatisfiableShapes.some((shape) => needsAtLeast(spec, shape))) return [];
   const feasible: Candidate[] = [];
   let anyHasCapacity = false;
   for (const candidate of cycle.candidates) {
@@ -63,7 +63,7 @@
     if (fits(spec, candidate.projected) && zoneAdmits(cycle.state, job, candidate.machine, cycle.now))
       feasible.push(candidate);
   }
-  if (!anyHasCapacity) cycle.unsatisfiable.push(spec);
+  if (!anyHasCapacity) cycle.unsatisfiableShapes.push(spec);
   return feasible;
 }
 
--- a/src/core/scheduling/cycle-interval.ts
+++ b/src/core/scheduling/cycle-interval.ts
@@ -22,9 +22,9 @@
 export function minCycleInterval(state: ClusterState): Duration {
   // An overloaded process assigns nothing that would be sent in time: heartbeats come first.
   if (isOverloaded(state.term)) return MAX_CYCLE_INTERVAL;
-  const bySize =
+  const intervalBySize =
     INTERVAL_PER_MACHINE * BigInt(Math.max(0, state.machines.byName.size - SMALL_FLEET_MACHINES));
-  const byDuration = state.scheduling.averageCycleDuration * CYCLE_TIME_DIVISOR;
-  const limitedByDuration = byDuration < MAX_CYCLE_INTERVAL ? byDuration : MAX_CYCLE_INTERVAL;
-  return bySize > limitedByDuration ? bySize : limitedByDuration;
+  const intervalByDuration = state.scheduling.averageCycleDuration * CYCLE_TIME_DIVISOR;
+  const limitedByDuration = intervalByDuration < MAX_CYCLE_INTERVAL ? intervalByDuration : MAX_CYCLE_INTERVAL;
+  return intervalBySize > limitedByDuration ? intervalBySize : limitedByDuration;
 }
--- a/src/core/scheduling/displaced-replicas.ts
+++ b/src/core/scheduling/displaced-replicas.ts
@@ -46,8 +46,9 @@
   for (const { job, tasks } of displaced) {
     const tasksByZone = assignmentsByZone(job);
     for (const task of tasks) {
-      const lostZone = assignedZone(job, task);
-      if (lostZone !== null) tasksByZone.set(lostZone, Math.max(0, (tasksByZone.get(lostZone) ?? 0) - 1));
+      const currentZone = assignedZone(job, task);
+      if (currentZone !== null)
+        tasksByZone.set(currentZone, Math.max(0, (tasksByZone.get(currentZone) ?? 0) - 1));
       const candidate = tightestFit(job, candidates, tasksByZone);
       if (candidate === null) break;
       const { zone } = candidate.machine;
--- a/src/core/scheduling/eviction-cost.ts
+++ b/src/core/scheduling/eviction-cost.ts
@@ -5,7 +5,7 @@
 import { schedulingPriority } from './priority.js';
 
 /** Until a task has run so long, stopping it undoes a start that its user has waited for. */
-const SETTLED_S = 30;
+const RECENT_START_S = 30;
 
 /** Seconds of lost work that one step of scheduling priority counts as: priority decides before work does. */
 const SECONDS_PER_PRIORITY = 10_000;
@@ -28,14 +28,14 @@
   const lostSeconds =
     spec.checkpointInterval > 0n ? Math.min(runSeconds, toSeconds(spec.checkpointDuration)) : runSeconds;
   const lostWaitSeconds =
-    runSeconds < SETTLED_S ? toSeconds(now.monotonic - assignment.createdAt) + SETTLED_S : 0;
+    runSeconds < RECENT_START_S ? toSeconds(now.monotonic - assignment.createdAt) + RECENT_START_S : 0;
   const taskSize = Math.max(spec.gpus, spec.cpus / CPUS_PER_GPU);
   const stoppedTasks = spec.kind === 'gang' ? spec.taskCount : 1;
   return (
     (schedulingPriority(job) * SECONDS_PER_PRIORITY +
       lostSeconds +
       lostWaitSeconds +
-      job.preemptionCount * SETTLED_S +
+      job.preemptionCount * RECENT_START_S +
       1) *
     taskSize *
     stoppedTasks
--- a/src/core/scheduling/eviction.ts
+++ b/src/core/scheduling/eviction.ts
@@ -42,13 +42,13 @@
 
 /** Seconds in which the job should start by the objectives of its class; infinite without one that is still in force. */
 function startObjectiveSeconds({ state, now }: SchedulingCycle, job: Job): number {
-  let within = Infinity;
+  let withinSeconds = Infinity;
   for (const objective of state.config.objectives)
     if (objective.kind === 'wait' && objective.class === job.spec.class && objective.threshold !== null)
-      within = Math.min(within, toSeconds(objective.threshold));
-  if (within === Infinity) return Infinity;
-  const inForceSeconds = within + OBJECTIVE_TOLERANCE_S;
+      withinSeconds = Math.min(withinSeconds, toSeconds(objective.threshold));
+  if (withinSeconds === Infinity) return Infinity;
+  const inForceSeconds = withinSeconds + OBJECTIVE_TOLERANCE_S;
   const replicaJustLost =
     job.replicaLostAt !== null && now.monotonic - job.replicaLostAt < seconds(inForceSeconds);
-  return pendingSeconds(job, now) > inForceSeconds && !replicaJustLost ? Infinity : within;
+  return pendingSeconds(job, now) > inForceSeconds && !replicaJustLost ? Infinity : withinSeconds;
 }
--- a/src/core/scheduling/gang-drain-plan.ts
+++ b/src/core/scheduling/gang-drain-plan.ts
@@ -62,16 +62,16 @@
   { job, zone, eligible, free }: GangDrainRequest,
 ): DrainOption[] {
   const { starvedGang } = state.scheduling;
-  const drainingAlready = starvedGang?.job === job.spec.id ? starvedGang.machines : null;
+  const alreadyDraining = starvedGang?.job === job.spec.id ? starvedGang.machines : null;
   const used = new Set(free.map(({ candidate }) => candidate));
   const options: DrainOption[] = [];
   for (const candidate of candidatesIn(zone, eligible)) {
     if (used.has(candidate)) continue;
     const emptySeconds = secondsUntilEmpty(state, candidate.machine, now);
-    const taskCapacity = tasksWhenEmpty(job, candidate);
+    const taskCapacity = taskCapacityWhenEmpty(job, candidate);
     if (emptySeconds === null || taskCapacity === 0) continue;
     // Those chosen before stay chosen, or each cycle would begin anew with others.
-    const isChosen = drainingAlready?.has(candidate.machine.name) === true;
+    const isChosen = alreadyDraining?.has(candidate.machine.name) === true;
     options.push({ candidate, emptySeconds: isChosen ? 0 : emptySeconds, taskCapacity });
   }
   return options.sort(
@@ -82,7 +82,7 @@
 }
 
 /** How many of the job's tasks the machine holds when it is empty. */
-function tasksWhenEmpty({ spec }: Job, { type }: Candidate): number {
+function taskCapacityWhenEmpty({ spec }: Job, { type }: Candidate): number {
   const count = (capacity: number, requested: number): number =>
     requested > 0 ? Math.floor(capacity / requested + RESOURCE_EPSILON) : Infinity;
   return Math.min(
--- a/src/core/scheduling/gang-plan.ts
+++ b/src/core/scheduling/gang-plan.ts
@@ -20,7 +20,7 @@
 import { tieBreakScore } from './tie-breaking.js';
 
 /** Share of the time that a gang's tasks wait for one another by which their image fetches may end apart. */
-const MAX_FETCH_SPREAD = 0.6;
+const MAX_FETCH_SPREAD_SHARE = 0.6;
 
 /** A machine for each task, in the order of the tasks, and the seconds until the last image is there. */
 interface GangPlan {
@@ -70,9 +70,9 @@
   const machines = planTasks(cycle, job, candidates);
   if (machines === null) return null;
   const plan = withLastFetch(machines);
-  const maxSpread = toSeconds(config.gangStartTimeout) * MAX_FETCH_SPREAD;
+  const maxSpreadSeconds = toSeconds(config.gangStartTimeout) * MAX_FETCH_SPREAD_SHARE;
   const isAligned = (machine: Machine): boolean =>
-    plan.lastFetchSeconds - fetchSecondsOn(machine) <= maxSpread;
+    plan.lastFetchSeconds - fetchSecondsOn(machine) <= maxSpreadSeconds;
   if (machines.every(isAligned)) return plan;
   const aligned = planTasks(
     cycle,
@@ -124,13 +124,13 @@
 function taskCapacity(spec: JobSpec, candidates: readonly Candidate[]): number {
   let count = 0;
   for (const { free } of candidates) {
-    count += Math.floor(tasksIn(spec, free) + RESOURCE_EPSILON);
+    count += Math.floor(tasksThatFit(spec, free) + RESOURCE_EPSILON);
     if (count >= spec.taskCount) return count;
   }
   return count;
 }
 
-const tasksIn = (spec: JobSpec, free: Readonly<Resources>): number =>
+const tasksThatFit = (spec: JobSpec, free: Readonly<Resources>): number =>
   Math.min(
     spec.cpus > 0 ? free.cpus / spec.cpus : spec.taskCount,
     spec.gpus > 0 ? free.gpus / spec.gpus : spec.taskCount,
--- a/src/core/scheduling/gang-scheduling.ts
+++ b/src/core/scheduling/gang-scheduling.ts
@@ -10,7 +10,7 @@
 import { planGang } from './gang-plan.js';
 
 /** A gang that has been known for so long may use machines again on which it failed. */
-const FORGET_FAILURES_AFTER = seconds(30);
+const CLEAR_FAILURES_AFTER = seconds(30);
 
 /** Assigns the gang if its previous attempt has ended and there is capacity for all of its tasks. */
 export function scheduleGang(cycle: SchedulingCycle, job: Job): void {
@@ -28,7 +28,7 @@
   const machines = planPreferringSchedulable(cycle, job, feasible);
   if (machines === null) {
     job.pendingReason = NO_GANG_CAPACITY;
-    if (job.failuresByMachine.size > 0 && now.monotonic - job.firstSeenAt > FORGET_FAILURES_AFTER)
+    if (job.failuresByMachine.size > 0 && now.monotonic - job.firstSeenAt > CLEAR_FAILURES_AFTER)
       job.failuresByMachine.clear();
     return;
   }
--- a/src/core/scheduling/scheduling-cycle.ts
+++ b/src/core/scheduling/scheduling-cycle.ts
@@ -29,7 +29,7 @@
   const blocked: Job[] = [];
   for (const job of pendingJobsInOrder(state, now)) {
     // Jobs pending already at the same priority come before replicas that may turn out to be lost.
-    if (anyAbove(unreserved, job)) {
+    if (anyHasHigherPriority(unreserved, job)) {
       reserveForDisplaced(unreserved, cycle.candidates);
       unreserved = [];
     }
@@ -39,7 +39,7 @@
   return blocked;
 }
 
-const anyAbove = (displaced: readonly DisplacedReplicas[], job: Job): boolean =>
+const anyHasHigherPriority = (displaced: readonly DisplacedReplicas[], job: Job): boolean =>
   displaced.some((replicas) => schedulingPriority(replicas.job) > schedulingPriority(job));
 
 /** Updates what depends on the set of active jobs alone, when that has changed. */
--- a/src/core/scheduling/starved-gangs.ts
+++ b/src/core/scheduling/starved-gangs.ts
@@ -25,8 +25,8 @@
 /** Chooses the gang that machines are drained for: of those that lack capacity, the one that has waited longest. */
 export function chooseStarvedGang(state: ClusterState, now: Timestamp): void {
   const longest = longestWaitingGang(state, now);
-  const waited = longest === null ? 0 : pendingSeconds(longest, now);
-  if (longest === null || waited < DRAIN_AFTER_S) {
+  const waitedSeconds = longest === null ? 0 : pendingSeconds(longest, now);
+  if (longest === null || waitedSeconds < DRAIN_AFTER_S) {
     state.scheduling.starvedGang = null;
     return;
   }
@@ -35,7 +35,7 @@
   state.scheduling.starvedGang = {
     job: id,
     machines: previous?.job === id ? previous.machines : new Set<string>(),
-    prioritized: waited >= PRIORITIZE_AFTER_S,
+    prioritized: waitedSeconds >= PRIORITIZE_AFTER_S,
   };
 }
 
