--- a/src/core/capacity/draining.ts
+++ b/src/core/capacity/draining.ts
@@ -13,7 +13,7 @@
 import { usedShare } from './utilization.js';
 
 /** Up to so many machines in use the reserve is a fixed share of them. */
-const FULL_RESERVE_LIMIT = 30;
+const LINEAR_RESERVE_LIMIT = 30;
 
 /** How the reserve grows with larger fleets. */
 const RESERVE_EXPONENT = 0.65;
@@ -52,11 +52,11 @@
   }
   candidates.sort(byDrainOrder);
 
-  const wanted = inUse.count + Math.max(reserveFor(inUse.count, state.settings.reserveShare), 1);
+  const keepCount = inUse.count + Math.max(reserveSize(inUse.count, state.settings.reserveShare), 1);
   // Only a lack of capacity is a reason to keep machines: one job that was pending for another reason kept a whole fleet.
   const capacityLacking = blocked.some(lacksCapacity);
   candidates.forEach(({ machine }, index) => {
-    machine.draining = !capacityLacking && index >= wanted;
+    machine.draining = !capacityLacking && index >= keepCount;
   });
 }
 
@@ -93,9 +93,9 @@
  * Machines kept beyond those in use. The more work there is, the more its ups and downs even out, so that the share
  * that is needed falls with the size of the fleet.
  */
-function reserveFor(inUse: number, reserveShare: number): number {
-  if (inUse <= FULL_RESERVE_LIMIT) return inUse * reserveShare;
-  return FULL_RESERVE_LIMIT * reserveShare * (inUse / FULL_RESERVE_LIMIT) ** RESERVE_EXPONENT;
+function reserveSize(inUse: number, reserveShare: number): number {
+  if (inUse <= LINEAR_RESERVE_LIMIT) return inUse * reserveShare;
+  return LINEAR_RESERVE_LIMIT * reserveShare * (inUse / LINEAR_RESERVE_LIMIT) ** RESERVE_EXPONENT;
 }
 
 function drainEffort(state: ClusterState, machine: Machine, now: Timestamp): number {
--- a/src/core/capacity/machine-release.ts
+++ b/src/core/capacity/machine-release.ts
@@ -13,7 +13,7 @@
 const MAX_MACHINES_PER_SCALE_IN = 100;
 
 /** A machine that can do no work is released after so many leases: a short cut has passed by then. */
-const OUTAGE_LEASES = 2n;
+const MIN_OUTAGE_LEASES = 2n;
 
 /** A machine that has not sent a heartbeat after so many boot times never will. */
 const MAX_BOOT_TIMES = 5n;
@@ -33,8 +33,7 @@
       machine.idleSince = null;
       continue;
     }
-    const reason =
-      uselessnessReason(state, machine, manyAreSuspected, now) ?? idlenessReason(state, machine, now);
+    const reason = unusableReason(state, machine, manyAreSuspected, now) ?? idleReason(state, machine, now);
     if (reason === null) continue;
     const names = namesByReason.get(reason);
     if (names === undefined) namesByReason.set(reason, [machine.name]);
@@ -50,7 +49,7 @@
   return requests;
 }
 
-function idlenessReason(state: ClusterState, machine: Machine, now: Timestamp): string | null {
+function idleReason(state: ClusterState, machine: Machine, now: Timestamp): string | null {
   // Machines of an unavailable zone are idle because of the zone policy: work is to come back to them.
   if (machine.agentEpoch === 0 || isZoneUnavailable(state, machine.zone)) return null;
   machine.idleSince ??= now.monotonic;
@@ -60,7 +59,7 @@
   return machine.draining && machine.fenced && idleLongEnough ? 'idle' : null;
 }
 
-function uselessnessReason(
+function unusableReason(
   state: ClusterState,
   machine: Machine,
   manyAreSuspected: boolean,
@@ -69,22 +68,22 @@
   if (machine.instanceState === 'failed') return 'failed';
   if (machine.agentEpoch > 0 && machine.quarantined) return 'quarantined';
   // When many are suspected together it is more likely the leader that is cut off.
-  if (!manyAreSuspected && isUnreachableForLong(state, machine, now)) return 'unreachable';
-  if (!manyAreSuspected && isUnresponsiveForLong(state, machine, now)) return 'unresponsive';
+  if (!manyAreSuspected && isUnreachableTooLong(state, machine, now)) return 'unreachable';
+  if (!manyAreSuspected && isUnresponsiveTooLong(state, machine, now)) return 'unresponsive';
   return hasBootTimedOut(state, machine, now) ? 'boot timeout' : null;
 }
 
-function isUnreachableForLong(state: ClusterState, machine: Machine, now: Timestamp): boolean {
+function isUnreachableTooLong(state: ClusterState, machine: Machine, now: Timestamp): boolean {
   return (
     machine.unreachableSince !== null &&
-    now.monotonic - machine.unreachableSince > state.config.workerLease * OUTAGE_LEASES
+    now.monotonic - machine.unreachableSince > state.config.workerLease * MIN_OUTAGE_LEASES
   );
 }
 
-function isUnresponsiveForLong(state: ClusterState, machine: Machine, now: Timestamp): boolean {
+function isUnresponsiveTooLong(state: ClusterState, machine: Machine, now: Timestamp): boolean {
   return (
     machine.agentEpoch > 0 &&
-    now.monotonic - machine.lastHeartbeatAt > state.config.workerLease * OUTAGE_LEASES &&
+    now.monotonic - machine.lastHeartbeatAt > state.config.workerLease * MIN_OUTAGE_LEASES &&
     now.monotonic > leaseExpiry(state, machine)
   );
 }
