--- a/src/core/scheduling/candidates.ts
+++ b/src/core/scheduling/candidates.ts
@@ -1,6 +1,6 @@
 /**
- * @file The machines that may take tasks, with their capacity as one scheduling cycle sees it. A cycle reserves on these
- * copies; the machines themselves change only when a task is assigned.
+ * @file The machines that may receive tasks, with the capacity that one scheduling cycle works on. A cycle reserves on
+ * these copies; the machines themselves change only when a task is assigned.
  */
 import { isUsable, resourcesOf } from '../machines/free-resources.js';
 import type { JobSpec } from '../model/job.js';
@@ -9,20 +9,20 @@
 import { type Timestamp, toSeconds } from '../model/time.js';
 import type { ClusterState } from '../state/cluster-state.js';
 
-/** A machine that may take tasks, as one cycle sees it. */
+/** A machine that may receive tasks, with its capacity within one cycle. */
 export interface Candidate {
   readonly machine: Machine;
   readonly type: MachineType;
-  /** Capacity that no assignment and no reported task takes. */
+  /** Capacity that neither an assignment nor a reported task uses. */
   readonly free: Resources;
-  /** Free capacity with that of tasks being stopped, less what is reserved for jobs of higher priority. */
+  /** Free capacity plus that of tasks being stopped, minus what is reserved for jobs of higher priority. */
   readonly projected: Resources;
   taskCount: number;
-  /** Images being fetched there, by name, with the gigabytes that are at least still to come. */
+  /** Images that the machine is fetching, by name, with a lower bound on the remaining gigabytes. */
   readonly imageFetches: Map<string, number>;
 }
 
-/** The machines that may take tasks now, with their capacity. */
+/** Returns the machines that may receive tasks now, with their capacity. */
 export function collectCandidates(state: ClusterState, now: Timestamp): Candidate[] {
   const candidates: Candidate[] = [];
   for (const machine of state.machines.byName.values()) {
@@ -42,7 +42,7 @@
   return candidates;
 }
 
-/** What a machine is fetching, by the assignments on it that wait for an image. */
+/** Returns the images that a machine is fetching, derived from its assignments that wait for an image. */
 function imageFetchesOn(
   state: ClusterState,
   machine: Machine,
@@ -62,7 +62,7 @@
   return fetches;
 }
 
-/** Reserves capacity for one task that starts on the candidate, and its image pull. */
+/** Reserves capacity for one task that starts on the candidate, and records its image fetch. */
 export function reserveTask(candidate: Candidate, spec: JobSpec): void {
   subtractResources(candidate.free, spec);
   subtractResources(candidate.projected, spec);
@@ -71,7 +71,7 @@
     candidate.imageFetches.set(spec.image, spec.imageGb);
 }
 
-/** A candidate on which a plan can reserve without effect on the cycle. */
+/** Returns a copy on which a plan can reserve without affecting the cycle. */
 export const copyCandidate = (candidate: Candidate): Candidate => ({
   ...candidate,
   free: copyResources(candidate.free),
--- a/src/core/scheduling/cycle-context.ts
+++ b/src/core/scheduling/cycle-context.ts
@@ -1,4 +1,4 @@
-/** @file What one scheduling cycle knows of the machines, and what it has found out and reserved so far. */
+/** @file The state of one scheduling cycle: the machines at its start, and its results and reservations so far. */
 import type { Job } from '../model/job.js';
 import type { Machine } from '../model/machine.js';
 import { fits } from '../model/resources.js';
@@ -9,22 +9,24 @@
 import { schedulingPriority } from './priority.js';
 import { zoneAdmits } from './zone-availability.js';
 
-/** One scheduling cycle. It ends with the call that began it; what outlives it is in `state.scheduling`. */
+/** The state of one scheduling cycle. State that is kept from one cycle to the next is in `state.scheduling`. */
 export interface SchedulingCycle {
   readonly state: ClusterState;
   readonly now: Timestamp;
   readonly candidates: readonly Candidate[];
-  /** The lowest priority of a running task on each machine: a job that is not above it can preempt nothing there. */
+  /**
+   * The lowest priority of a task on each machine that is not being stopped. A job not above it preempts nothing there.
+   */
   readonly lowestPriority: ReadonlyMap<Machine, number>;
-  /** Demands that no machine has free capacity for. */
+  /** Demands for which no machine has free capacity. */
   readonly unsatisfiableShapes: ResourceShape[];
-  /** Jobs for which capacity is reserved already. */
+  /** Ids of the jobs for which capacity has been reserved. */
   readonly jobsWithReservations: Set<string>;
-  /** The first gang for which free capacity is kept together. */
+  /** Id of the first gang for which free capacity is reserved, or null. */
   gangHoldingCapacity: string | null;
 }
 
-/** Begins a cycle with the machines as they are now. */
+/** Creates the state of a cycle from the current machines. */
 export function newSchedulingCycle(state: ClusterState, now: Timestamp): SchedulingCycle {
   const candidates = collectCandidates(state, now);
   return {
@@ -49,8 +51,8 @@
 }
 
 /**
- * The filter step: machines with capacity for a task of the job. There are none for a job that needs at least as much
- * as one that found none earlier in this cycle; such jobs do not look at every machine again.
+ * The filter step: returns the machines with capacity for a task of the job. For a job that needs at least as much as
+ * one for which no machine had capacity earlier in this cycle, returns none without scanning the machines again.
  */
 export function feasibleCandidates(cycle: SchedulingCycle, job: Job): Candidate[] {
   const { spec } = job;
@@ -67,7 +69,7 @@
   return feasible;
 }
 
-/** Whether the job may use the machine, whatever capacity it has: not where its tasks failed before. */
+/** Whether the job may use the machine, regardless of its capacity. False where tasks of the job failed before. */
 export const isEligible = (cycle: SchedulingCycle, job: Job, { machine }: Candidate): boolean =>
   isMachineAllowed(job.spec, machine) &&
   zoneAdmits(cycle.state, job, machine, cycle.now) &&
--- a/src/core/scheduling/cycle-interval.ts
+++ b/src/core/scheduling/cycle-interval.ts
@@ -1,26 +1,27 @@
-/** @file How far apart scheduling cycles are, so that they leave time for heartbeats. */
+/** @file The minimum interval between scheduling cycles, which leaves time for heartbeats. */
 import { type Duration, seconds } from '../model/time.js';
 import type { ClusterState } from '../state/cluster-state.js';
 import { isOverloaded } from '../state/overload.js';
 
-/** Fleets up to this size have a cycle whenever something changes. */
+/** In fleets of up to this many machines, the size of the fleet does not delay the cycle after a change. */
 const SMALL_FLEET_MACHINES = 50;
 
-/** A quarter of a millisecond for each machine beyond those. */
+/** The interval grows by a quarter of a millisecond for each machine beyond `SMALL_FLEET_MACHINES`. */
 const INTERVAL_PER_MACHINE = seconds(1) / 4000n;
 
-/** Cycles take at most one part in so many of the time there is, unless they would be further apart than the maximum. */
+/** Cycles take at most 1/`CYCLE_TIME_DIVISOR` of the time, unless that needs more than `MAX_CYCLE_INTERVAL`. */
 const CYCLE_TIME_DIVISOR = 4n;
 
 const MAX_CYCLE_INTERVAL = seconds(2);
 
 /**
- * Cycles run when something has changed, but no closer together than this: a cycle looks at every machine, and on a
- * large fleet something changes dozens of times a second. On a small share of a core a cycle with many blocked gangs
- * takes a third of a second; run one after the other they left no time for heartbeats, and leases expired.
+ * Returns the minimum time between two cycles. Cycles run when something has changed, but a cycle scans every machine,
+ * and in a large fleet something changes dozens of times a second. On a small share of a core, a cycle with many
+ * blocked gangs takes a third of a second; when such cycles ran one after the other, they left no time for heartbeats,
+ * and worker leases expired.
  */
 export function minCycleInterval(state: ClusterState): Duration {
-  // An overloaded process assigns nothing that would be sent in time: heartbeats come first.
+  // Assignments made by an overloaded process would not be sent in time, so heartbeats take precedence.
   if (isOverloaded(state.term)) return MAX_CYCLE_INTERVAL;
   const intervalBySize =
     INTERVAL_PER_MACHINE * BigInt(Math.max(0, state.machines.byName.size - SMALL_FLEET_MACHINES));
--- a/src/core/scheduling/displaced-replicas.ts
+++ b/src/core/scheduling/displaced-replicas.ts
@@ -1,6 +1,6 @@
 /**
- * @file Capacity in the remaining zones for replicas whose zone may be lost. It is only kept from work of lower
- * priority: the replicas themselves start elsewhere once it is proven that they are gone.
+ * @file Reserves capacity in the remaining zones for service replicas whose zone may be lost. The capacity is only
+ * withheld from jobs of lower priority; the replicas start elsewhere once it is proven that they no longer run.
  */
 import { assignmentsByZone } from '../assignments/assignments.js';
 import { isResponsive, zoneOf } from '../machines/responsiveness.js';
@@ -12,13 +12,13 @@
 import type { Candidate } from './candidates.js';
 import { isMachineAllowed, isZoneAllowed } from './placement-constraints.js';
 
-/** Replicas of a service whose machines are in a zone that may be lost, and that may have to start elsewhere. */
+/** Replicas of a service that may have to start elsewhere because their machines are in a zone that may be lost. */
 export interface DisplacedReplicas {
   readonly job: Job;
   readonly tasks: ReadonlySet<number>;
 }
 
-/** Replicas on unresponsive machines of zones that may be lost, by job. */
+/** Returns the replicas on unresponsive machines of zones that may be lost, grouped by job. */
 export function displacedReplicas(state: ClusterState, now: Timestamp): DisplacedReplicas[] {
   const policy = state.zonePolicy;
   if (policy === null) return [];
@@ -66,7 +66,7 @@
   return null;
 }
 
-/** The machine with the fewest GPUs left among those that fit: whole machines elsewhere stay whole. */
+/** Returns the machine with the fewest free GPUs among those that fit, or null. Whole machines elsewhere stay free. */
 function tightestFit(
   job: Job,
   candidates: readonly Candidate[],
--- a/src/core/scheduling/eviction-cost.ts
+++ b/src/core/scheduling/eviction-cost.ts
@@ -1,25 +1,29 @@
-/** @file What is lost when a task is stopped for another, so that the cheapest victims can be chosen. */
+/** @file The cost of stopping a task for another one, by which the cheapest victims are chosen. */
 import type { Assignment } from '../model/assignment.js';
 import type { Job } from '../model/job.js';
 import { type Timestamp, toSeconds } from '../model/time.js';
 import { schedulingPriority } from './priority.js';
 
-/** Until a task has run so long, stopping it undoes a start that its user has waited for. */
+/**
+ * Seconds. Stopping a task that has run for less than this undoes a start that its user has waited for. Also the cost
+ * of each earlier preemption of the job.
+ */
 const RECENT_START_S = 30;
 
-/** Seconds of lost work that one step of scheduling priority counts as: priority decides before work does. */
+/** Seconds of lost work that one step of scheduling priority counts as: priority takes precedence over lost work. */
 const SECONDS_PER_PRIORITY = 10_000;
 
 /** CPUs that count as much as one GPU. */
 const CPUS_PER_GPU = 16;
 
-/** A second of fetching the image counts as so many seconds of lost work. */
+/** Seconds of lost work that one second of fetching the image counts as. */
 export const IMAGE_FETCH_WEIGHT = 10;
 
 /**
- * What is lost if the task were stopped now, weighed by its size: its work, or, where that is checkpointed, the time of
- * the checkpoint. A task that is still fetching or has hardly begun loses all its waiting too. Without that it looked
- * the cheapest, and the same job was stopped again and again before it ever ran.
+ * Returns the cost of stopping the task now, weighted by its size: its lost work, or at most the duration of a
+ * checkpoint if it makes checkpoints. For a task that is still fetching its image or has hardly begun, the time since
+ * its assignment is added. Without that, such tasks were the cheapest, and the same job was stopped again and again
+ * before it ever ran.
  */
 export function evictionCost(assignment: Assignment, job: Job, now: Timestamp): number {
   const { spec } = job;
--- a/src/core/scheduling/eviction.ts
+++ b/src/core/scheduling/eviction.ts
@@ -1,4 +1,4 @@
-/** @file Stops tasks for a job that preempts them, with the time that they need for a checkpoint where there is any. */
+/** @file Stops tasks for a job that preempts them, with a grace period for a checkpoint if there is time for one. */
 import { assignmentsOf, stopAssignment } from '../assignments/assignments.js';
 import { gracePeriodSeconds } from '../jobs/grace-period.js';
 import { pendingSeconds } from '../jobs/deadline-slack.js';
@@ -8,10 +8,10 @@
 import { emitLog } from '../state/log-effects.js';
 import type { SchedulingCycle } from './cycle-context.js';
 
-/** A start objective that was missed by more than this no longer shortens the time for checkpoints. */
+/** Seconds. A start objective that was missed by more than this no longer shortens the grace period of victims. */
 const OBJECTIVE_TOLERANCE_S = 5;
 
-/** Stops a victim of a preemption, and with one task of a gang all the others. */
+/** Stops a victim of a preemption. For a task of a gang, all tasks of the gang are stopped. */
 export function evict(cycle: SchedulingCycle, assignment: Assignment, preemptor: Job): void {
   const { state, now } = cycle;
   const victim = state.jobs.byId.get(assignment.jobId);
@@ -34,13 +34,16 @@
   for (const each of stopped) stopAssignment(state, each, grace, 'preempted', now.monotonic);
 }
 
-/** A checkpoint takes longer than the preemptor can wait: an array task then falls back to its last one. */
+/** True if a checkpoint takes longer than the preemptor can wait. An array task then falls back to its last one. */
 const checkpointWouldBeTooLate = (cycle: SchedulingCycle, victim: Job, preemptor: Job): boolean =>
   victim.spec.kind === 'array' &&
   preemptor.spec.priority === 'production' &&
   startObjectiveSeconds(cycle, preemptor) < gracePeriodSeconds(victim);
 
-/** Seconds in which the job should start by the objectives of its class; infinite without one that is still in force. */
+/**
+ * Returns the seconds within which the objectives of its class require the job to start, or Infinity if none is in
+ * force.
+ */
 function startObjectiveSeconds({ state, now }: SchedulingCycle, job: Job): number {
   let withinSeconds = Infinity;
   for (const objective of state.config.objectives)
--- a/src/core/scheduling/gang-drain-plan.ts
+++ b/src/core/scheduling/gang-drain-plan.ts
@@ -1,4 +1,4 @@
-/** @file Where a waiting gang's tasks could go in one zone: what is free, and the machines that will be empty soonest. */
+/** @file Plans capacity for a waiting gang in one zone: free capacity, and machines that will be empty soonest. */
 import type { Job } from '../model/job.js';
 import type { Machine } from '../model/machine.js';
 import { RESOURCE_EPSILON } from '../model/resources.js';
@@ -9,10 +9,10 @@
 import { candidatesIn } from './placement-constraints.js';
 import type { Reservation } from './reservation.js';
 
-/** What to plan. */
+/** The input of a drain plan. */
 interface GangDrainRequest {
   readonly job: Job;
-  /** The only zone to use; null: any. */
+  /** The only zone to use, or null for any zone. */
   readonly zone: string | null;
   readonly eligible: readonly Candidate[];
   /** Capacity that is free for tasks of the gang now. */
@@ -20,22 +20,22 @@
   readonly taskCount: number;
 }
 
-/** Free capacity, and machines to drain, each once for every task that it will hold. */
+/** Free capacity and machines to drain. A machine is listed once for each task that it will run. */
 export interface GangDrainPlan {
   readonly free: readonly Reservation[];
   readonly drained: readonly Candidate[];
-  /** Tasks for which not even that is enough. */
+  /** Number of tasks for which free capacity and drained machines are not enough. */
   readonly missingTasks: number;
-  /** Seconds until the last machine should be empty. */
+  /** Expected seconds until the last drained machine is empty. */
   readonly lastEmptySeconds: number;
 }
 
-/** Whether a plan leaves fewer tasks out than another, or as many and is ready sooner. */
+/** Whether a plan has fewer missing tasks than the best so far, or as many and is ready sooner. */
 export const isBetterDrainPlan = (plan: GangDrainPlan, best: GangDrainPlan): boolean =>
   plan.missingTasks < best.missingTasks ||
   (plan.missingTasks === best.missingTasks && plan.lastEmptySeconds < best.lastEmptySeconds);
 
-/** Plans one zone: first what is free, then the machines that will be empty soonest. */
+/** Plans one zone: first the free capacity, then the machines that will be empty soonest. */
 export function planGangDrain(cycle: SchedulingCycle, request: GangDrainRequest): GangDrainPlan {
   const { free, taskCount } = request;
   const drained: Candidate[] = [];
@@ -50,13 +50,13 @@
 
 interface DrainOption {
   readonly candidate: Candidate;
-  /** Seconds until it should be empty. */
+  /** Expected seconds until the machine is empty; 0 if it is already being drained for the gang. */
   readonly emptySeconds: number;
-  /** Tasks of the gang that it holds then. */
+  /** Number of the gang's tasks that fit the empty machine. */
   readonly taskCapacity: number;
 }
 
-/** Machines beside the free capacity that could be drained, soonest empty first. */
+/** Returns the machines, other than those with the free capacity, that could be drained, soonest empty first. */
 function drainOptions(
   { state, now }: SchedulingCycle,
   { job, zone, eligible, free }: GangDrainRequest,
@@ -70,7 +70,7 @@
     const emptySeconds = secondsUntilEmpty(state, candidate.machine, now);
     const taskCapacity = taskCapacityWhenEmpty(job, candidate);
     if (emptySeconds === null || taskCapacity === 0) continue;
-    // Those chosen before stay chosen, or each cycle would begin anew with others.
+    // Machines chosen in an earlier cycle stay chosen; otherwise each cycle could start over with different ones.
     const isChosen = alreadyDraining?.has(candidate.machine.name) === true;
     options.push({ candidate, emptySeconds: isChosen ? 0 : emptySeconds, taskCapacity });
   }
@@ -81,7 +81,7 @@
   );
 }
 
-/** How many of the job's tasks the machine holds when it is empty. */
+/** Returns how many of the job's tasks fit the machine when it is empty. */
 function taskCapacityWhenEmpty({ spec }: Job, { type }: Candidate): number {
   const count = (capacity: number, requested: number): number =>
     requested > 0 ? Math.floor(capacity / requested + RESOURCE_EPSILON) : Infinity;
@@ -93,7 +93,7 @@
   );
 }
 
-/** Seconds until a machine should be empty; null: it holds replicas, which stay for good. */
+/** Returns the expected seconds until a machine is empty, or null if it runs replicas, which never finish. */
 function secondsUntilEmpty(state: ClusterState, machine: Machine, now: Timestamp): number | null {
   let longest = 0;
   for (const assignment of machine.assignments.values()) {
--- a/src/core/scheduling/gang-plan.ts
+++ b/src/core/scheduling/gang-plan.ts
@@ -1,6 +1,6 @@
 /**
- * @file Chooses a machine for every task of a gang. It reserves on copies of the candidates: nothing is taken unless the
- * whole gang fits, and assigning is left to its caller.
+ * @file Chooses a machine for every task of a gang. It reserves on copies of the candidates, so that no capacity is
+ * used unless the whole gang fits. The caller assigns the tasks.
  */
 import type { Job, JobSpec } from '../model/job.js';
 import type { Machine } from '../model/machine.js';
@@ -19,18 +19,21 @@
 } from './scoring.js';
 import { tieBreakScore } from './tie-breaking.js';
 
-/** Share of the time that a gang's tasks wait for one another by which their image fetches may end apart. */
+/**
+ * Upper bound on the time between the ends of a gang's first and last image fetch, as a share of the time that its
+ * tasks wait for one another.
+ */
 const MAX_FETCH_SPREAD_SHARE = 0.6;
 
-/** A machine for each task, in the order of the tasks, and the seconds until the last image is there. */
+/** A machine for each task, in the order of the tasks, and the seconds until the last image is fetched. */
 interface GangPlan {
   readonly machines: readonly Machine[];
   readonly lastFetchSeconds: number;
 }
 
 /**
- * The machines for all of the gang's tasks, or null. Where they must share a zone, each zone is tried by itself; the
- * gang starts when its last image is there, so that the zone where that is soonest is taken.
+ * Returns the machines for all tasks of the gang, or null if they do not fit. If the tasks must share a zone, each zone
+ * is planned separately. The zone where the last image is fetched soonest is chosen, because the gang starts only then.
  */
 export function planGang(
   cycle: SchedulingCycle,
@@ -49,8 +52,9 @@
 }
 
 /**
- * A plan whose images come at about the same time: a task with a cached image would give up before the others have
- * fetched theirs, and the whole attempt with it. If there is none, any plan: what is fetched helps the next attempt.
+ * Returns a plan in which the image fetches end at about the same time. Otherwise a task with a cached image would stop
+ * waiting before the others have fetched theirs, and the whole attempt would fail. If there is no such plan, returns
+ * any plan, because the fetched images help the next attempt, or null if the gang does not fit.
  */
 function planWithAlignedFetches(
   cycle: SchedulingCycle,
@@ -82,7 +86,7 @@
   return aligned === null ? plan : withLastFetch(aligned);
 }
 
-/** Chooses machines task by task at the least cost; null if not all tasks fit. */
+/** Chooses machines one task at a time at the lowest cost. Returns null if not all tasks fit. */
 function planTasks(
   { state }: SchedulingCycle,
   job: Job,
@@ -120,7 +124,7 @@
     ? scored.filter(({ candidate: { machine } }) => isSpreadAllowed(spec, tasksByZone.get(machine.zone) ?? 0))
     : scored;
 
-/** How many of the tasks the free capacity could hold at most, counted only as far as the gang needs. */
+/** Returns an upper bound on the tasks that fit the free capacity. Stops counting once the whole gang fits. */
 function taskCapacity(spec: JobSpec, candidates: readonly Candidate[]): number {
   let count = 0;
   for (const { free } of candidates) {
--- a/src/core/scheduling/gang-scheduling.ts
+++ b/src/core/scheduling/gang-scheduling.ts
@@ -9,7 +9,7 @@
 import { type SchedulingCycle, feasibleCandidates } from './cycle-context.js';
 import { planGang } from './gang-plan.js';
 
-/** A gang that has been known for so long may use machines again on which it failed. */
+/** A gang that was first seen longer ago than this may again use the machines on which it failed. */
 const CLEAR_FAILURES_AFTER = seconds(30);
 
 /** Assigns the gang if its previous attempt has ended and there is capacity for all of its tasks. */
@@ -35,7 +35,7 @@
   assignGang(cycle, job, machines, feasible);
 }
 
-/** A plan without draining machines, or else one with them. */
+/** Returns a plan without draining machines if there is one, otherwise one that may use them, or null. */
 function planPreferringSchedulable(
   cycle: SchedulingCycle,
   job: Job,
@@ -63,7 +63,7 @@
   }
 }
 
-/** The next attempt number for a whole gang: above all that any of its chunks has given out. */
+/** Returns the next attempt number for a whole gang, higher than all that any of its chunks has used. */
 function nextAttempt(job: Job): number {
   let highest = 0;
   for (const chunk of job.chunks.values()) highest = Math.max(highest, chunk.highestAttempt);
--- a/src/core/scheduling/job-queue.ts
+++ b/src/core/scheduling/job-queue.ts
@@ -6,17 +6,17 @@
 import type { ClusterState } from '../state/cluster-state.js';
 import { schedulingPriority } from './priority.js';
 
-/** Below production, above all else. */
+/** Lower than production, higher than all other jobs. */
 const STARVED_GANG_PRIORITY = 999;
 
 interface QueuedJob {
   readonly job: Job;
   readonly priority: number;
-  /** Seconds of wall time by which it should have started. */
+  /** Wall time in seconds by which the job should have started. */
   readonly startBy: number;
 }
 
-/** Pending jobs in scheduling order: by priority and fair share, then by the time by which they should have started. */
+/** Returns the pending jobs by priority and fair share, then by the time by which they should have started. */
 export function pendingJobsInOrder(state: ClusterState, now: Timestamp): Job[] {
   const queue: QueuedJob[] = [];
   for (const id of state.jobs.pending) {
@@ -28,7 +28,7 @@
   return queue.sort(compareQueued).map(({ job }) => job);
 }
 
-/** Jobs wait out their back-off after failures, and while their record pages are being rearranged. */
+/** False while a job waits out its back-off after failures, and while its record pages are being rearranged. */
 const isSchedulable = (state: ClusterState, job: Job, now: Timestamp): boolean =>
   job.status === 'open' && job.retryNotBefore <= now.monotonic && !hasPageInAtomicGroup(state.records, job);
 
--- a/src/core/scheduling/preemption-plan.ts
+++ b/src/core/scheduling/preemption-plan.ts
@@ -1,4 +1,4 @@
-/** @file Finds the cheapest capacity for tasks of a blocked job, and which assignments to stop for it. Stops nothing. */
+/** @file Finds the cheapest capacity for tasks of a blocked job, and the assignments to stop for it. It stops none. */
 import { assignmentsByZone } from '../assignments/assignments.js';
 import type { Assignment } from '../model/assignment.js';
 import type { Job } from '../model/job.js';
@@ -11,7 +11,7 @@
 import { type Reservation, reserve } from './reservation.js';
 import { imageFetchDelay } from './scoring.js';
 
-/** Reserves capacity for up to `taskCount` tasks on the given machines, task by task at the least cost. */
+/** Reserves capacity for up to `taskCount` tasks on the given machines, one task at a time, at the lowest cost. */
 export function reserveCheapest(
   cycle: SchedulingCycle,
   job: Job,
@@ -22,7 +22,7 @@
   const tasksByZone = assignmentsByZone(job);
   const reservations: Reservation[] = [];
   const victims = new Set<Assignment>();
-  // Each machine's offer is computed once, and again only after one of its own was taken.
+  // The option of each machine is computed once, and again only after it was used.
   const options = candidates.map((candidate) => cheapestReservation(cycle, job, candidate, victims));
   while (reservations.length < taskCount && state.jobs.quotas.allows(job.spec, reservations.length + 1)) {
     const index = indexOfCheapest(options, job, tasksByZone);
@@ -38,7 +38,7 @@
   return reservations;
 }
 
-/** The first of the cheapest offers in zones that the job may use; -1: there is none. */
+/** Returns the index of the first of the cheapest options in zones that the job may use, or -1 if there is none. */
 function indexOfCheapest(
   options: readonly (Reservation | null)[],
   job: Job,
@@ -56,7 +56,10 @@
   return cheapest;
 }
 
-/** Capacity for one task on the candidate, where possible without victims; null: not even with all that it may stop. */
+/**
+ * Returns a reservation for one task on the candidate, without victims if possible, or null if stopping all possible
+ * victims does not free enough capacity.
+ */
 function cheapestReservation(
   cycle: SchedulingCycle,
   job: Job,
@@ -87,7 +90,7 @@
   readonly cost: number;
 }
 
-/** Assignments on the candidate that the job may preempt, cheapest first. */
+/** Returns the assignments on the candidate that the job may preempt, cheapest first. */
 function possibleVictims(
   { state, now }: SchedulingCycle,
   preemptor: Job,
--- a/src/core/scheduling/preemption.ts
+++ b/src/core/scheduling/preemption.ts
@@ -1,4 +1,4 @@
-/** @file Capacity for blocked jobs of higher priority, made by stopping tasks of lower priority. */
+/** @file Reserves capacity for blocked jobs by stopping tasks of lower priority. */
 import type { Assignment } from '../model/assignment.js';
 import type { Job } from '../model/job.js';
 import type { Machine } from '../model/machine.js';
@@ -13,8 +13,8 @@
 import { type FreeByZone, reserveForGang } from './starved-gangs.js';
 
 /**
- * Reserves capacity for a blocked job in what is free or being released, and stops what it may for that. Yields whether
- * there is any. `cachedImageOnly`: only on machines that have the image cached and no task of the job.
+ * Reserves projected capacity for a blocked job, and stops the tasks that it preempts for that. Returns whether any was
+ * found. With `cachedImageOnly`, uses only machines that have the image cached and run no task of the job.
  */
 export function preemptFor(cycle: SchedulingCycle, job: Job, cachedImageOnly: boolean): boolean {
   const { state } = cycle;
@@ -37,7 +37,7 @@
 const victimsOf = (reservations: readonly Reservation[]): Assignment[] =>
   reservations.flatMap(({ victims }) => victims);
 
-/** All pending tasks; for a gang only if none is assigned and its team's quota allows them together. */
+/** Returns the number of pending tasks, or 0 for a gang with assigned tasks or beyond its team's quota as a whole. */
 function tasksToReserve({ state }: SchedulingCycle, { spec, assignedCount, unassignedTasks }: Job): number {
   if (spec.kind === 'gang' && (assignedCount > 0 || !state.jobs.quotas.allows(spec, spec.taskCount)))
     return 0;
@@ -56,20 +56,21 @@
   );
 }
 
-/** Two replicas of one service on a machine are lost together. */
+/** Two replicas of one service on the same machine would be lost together. */
 const hasTaskOf = (machine: Machine, job: Job): boolean =>
   [...machine.assignments.values()].some((assignment) => assignment.jobId === job.spec.id);
 
 interface ZonePlan {
-  /** The cheapest plan, none of it reserved yet; empty: there is none. */
+  /** The cheapest plan, not reserved yet; empty if there is none. */
   readonly reservations: readonly Reservation[];
-  /** For a gang, what is free without victims in zones that lack capacity for all of its tasks. */
+  /** For a gang, the reservations without victims in zones that lack capacity for all of its tasks. */
   readonly freeByZone: FreeByZone;
 }
 
 /**
- * Where all tasks need one zone, each zone is planned by itself: starting with the cheapest machine of any zone could
- * choose a zone that has no capacity for the rest, find nothing, and let lower work in until the next cycle.
+ * If all tasks need the same zone, plans each zone separately. Starting with the cheapest machine of any zone could
+ * choose a zone without capacity for the other tasks; no capacity would then be reserved, and jobs of lower priority
+ * could take it until the next cycle.
  */
 function planCheapestZone(
   cycle: SchedulingCycle,
--- a/src/core/scheduling/priority.ts
+++ b/src/core/scheduling/priority.ts
@@ -6,19 +6,20 @@
 
 const PRODUCTION_PRIORITY = 1000;
 
-/** More than all ranks of priorities below production. */
+/** Higher than all ranks of the priorities below production. */
 const FAIR_SHARE_BONUS = 10;
 
 /**
- * Scheduling priorities give pending and running work one strict order, so that two jobs can never preempt each other in
- * turn: production first, then work inside its team's fair share, then borrowed work; by priority within each.
+ * Returns the scheduling priority of a job. It gives pending and running jobs one strict order, so that two jobs can
+ * never preempt each other in turn: production jobs come first, then jobs within their team's fair share, then jobs on
+ * borrowed capacity; within each group they are ordered by priority.
  */
 export function schedulingPriority(job: Job): number {
   if (job.priority === 'production') return PRODUCTION_PRIORITY;
   return (job.withinFairShare ? FAIR_SHARE_BONUS : 0) + priorityRank(job.priority);
 }
 
-/** Updates which active jobs are inside their team's fair share, together with the team's earlier unfinished jobs. */
+/** Updates which active jobs are within their team's fair share, counting the team's earlier unfinished jobs too. */
 export function updateFairShares(state: ClusterState): void {
   for (const [teamName, jobs] of activeJobsByTeam(state)) {
     const team = findTeam(state.config, teamName);
@@ -51,13 +52,19 @@
 const compareSubmitted = (left: Job, right: Job): number =>
   left.submittedAt.getTime() - right.submittedAt.getTime() || (left.spec.id < right.spec.id ? -1 : 1);
 
-/** Whether the amounts fit the team's fair share; a share of 0 is none, and a team without any borrows everything. */
+/**
+ * Whether the amounts fit the team's fair share. A share of 0 means that none is set for that resource, which then
+ * does not limit the team; a team without any share borrows all its capacity.
+ */
 const isWithinFairShare = (team: Team, cpus: number, gpus: number): boolean =>
   (team.fairShareCpus > 0 || team.fairShareGpus > 0) &&
   (team.fairShareCpus <= 0 || cpus <= team.fairShareCpus + RESOURCE_EPSILON) &&
   (team.fairShareGpus <= 0 || gpus <= team.fairShareGpus + RESOURCE_EPSILON);
 
-/** Whether a blocked job may preempt a victim. Equal or higher priority yields only to another team's fair share. */
+/**
+ * Whether a blocked job may preempt a victim. A victim of equal or higher priority yields only to another team's fair
+ * share.
+ */
 export function mayPreempt(job: Job, victim: Job): boolean {
   if (schedulingPriority(job) <= schedulingPriority(victim)) return false;
   return priorityRank(victim.priority) < priorityRank(job.priority) || victim.spec.team !== job.spec.team;
--- a/src/core/scheduling/reservation.ts
+++ b/src/core/scheduling/reservation.ts
@@ -1,6 +1,6 @@
 /**
- * @file Capacity kept for a blocked job within a cycle. It is taken from the projected capacity of candidates, so that
- * work of lower priority does not get it while the victims are still ending.
+ * @file Reservations of capacity for a blocked job within a scheduling cycle. They are subtracted from the projected
+ * capacity of candidates, so that jobs of lower priority do not get it while the victims are still stopping.
  */
 import type { Assignment } from '../model/assignment.js';
 import type { Job } from '../model/job.js';
@@ -12,11 +12,11 @@
 export interface Reservation {
   readonly candidate: Candidate;
   readonly victims: readonly Assignment[];
-  /** What stopping the victims and fetching the image lose. */
+  /** Cost of stopping the victims and fetching the image, in weighted seconds of lost work. */
   readonly cost: number;
 }
 
-/** Takes the reservation out of the candidate's projected capacity, to which the victims' capacity is added. */
+/** Subtracts the reservation from the candidate's projected capacity, and adds the capacity of the victims. */
 export function reserve(state: ClusterState, job: Job, { candidate, victims }: Reservation): void {
   subtractResources(candidate.projected, job.spec);
   for (const assignment of victims) {
--- a/src/core/scheduling/scheduling-cycle.ts
+++ b/src/core/scheduling/scheduling-cycle.ts
@@ -1,4 +1,7 @@
-/** @file One scheduling cycle: every pending job in order is assigned, or has capacity reserved, or stays pending. */
+/**
+ * @file One scheduling cycle. It considers the pending jobs in order: each is assigned, has capacity reserved, or stays
+ * pending.
+ */
 import { pendingSeconds } from '../jobs/deadline-slack.js';
 import type { Job } from '../model/job.js';
 import type { Timestamp } from '../model/time.js';
@@ -14,7 +17,7 @@
 import { scheduleTasks } from './task-scheduling.js';
 import { anyJobNeedsWholeMachine } from './tie-breaking.js';
 
-/** Runs one cycle over the pending jobs and yields those that stay blocked: they wait a cycle, as in the paper. */
+/** Runs one cycle and returns the jobs that stay blocked. They wait for the next cycle, as in the paper. */
 export function runSchedulingCycle(state: ClusterState, now: Timestamp): Job[] {
   state.scheduling.cycleNeeded = false;
   state.scheduling.lastCycleAt = now.monotonic;
@@ -28,7 +31,7 @@
   let unreserved = displacedReplicas(state, now);
   const blocked: Job[] = [];
   for (const job of pendingJobsInOrder(state, now)) {
-    // Jobs pending already at the same priority come before replicas that may turn out to be lost.
+    // Jobs of the same priority that are pending already come before replicas that may turn out to be lost.
     if (anyHasHigherPriority(unreserved, job)) {
       reserveForDisplaced(unreserved, cycle.candidates);
       unreserved = [];
@@ -42,7 +45,9 @@
 const anyHasHigherPriority = (displaced: readonly DisplacedReplicas[], job: Job): boolean =>
   displaced.some((replicas) => schedulingPriority(replicas.job) > schedulingPriority(job));
 
-/** Updates what depends on the set of active jobs alone, when that has changed. */
+/**
+ * If the set of active jobs has changed, updates what depends on it alone: fair shares and the need for whole machines.
+ */
 function updateJobRanking(state: ClusterState): void {
   if (!state.jobs.fairSharesStale) return;
   state.jobs.fairSharesStale = false;
@@ -54,7 +59,7 @@
   const pendingBefore = job.unassignedTasks.size;
   if (job.spec.kind === 'gang') scheduleGang(cycle, job);
   else scheduleTasks(cycle, job);
-  // In the order of the queue: capacity that is reserved for this job is not given to those after it.
+  // Jobs preempt in queue order, so that capacity reserved for this job is not given to those after it.
   if (job.unassignedTasks.size > 0 && !cycle.jobsWithReservations.has(job.spec.id))
     preemptFor(cycle, job, false);
   if (job.unassignedTasks.size < pendingBefore)
--- a/src/core/scheduling/starved-gangs.ts
+++ b/src/core/scheduling/starved-gangs.ts
@@ -1,4 +1,4 @@
-/** @file Capacity kept together, and machines drained, for gangs that have waited long. */
+/** @file Reserves free capacity and drains machines for gangs that have waited long. */
 import { pendingSeconds } from '../jobs/deadline-slack.js';
 import type { Job } from '../model/job.js';
 import { NO_GANG_CAPACITY } from '../model/pending-reasons.js';
@@ -10,19 +10,22 @@
 import { zonesToPlan } from './placement-constraints.js';
 import { type Reservation, reserve } from './reservation.js';
 
-/** Seconds after which free capacity is kept together for a gang. */
+/** Seconds of waiting after which free capacity is reserved for a gang. */
 const HOLD_CAPACITY_AFTER_S = 10;
 
-/** Seconds after which machines are drained for it. */
+/** Seconds of waiting after which machines are drained for a gang. */
 const DRAIN_AFTER_S = 75;
 
-/** Seconds after which it comes before all but production: work inside fair shares would take every machine. */
+/**
+ * Seconds of waiting after which a gang precedes all jobs but production ones, because jobs within their team's fair
+ * share would otherwise take every machine.
+ */
 const PRIORITIZE_AFTER_S = 120;
 
-/** Reservations without victims for tasks of a gang, by planned zone; null: all zones together. */
+/** Reservations without victims for tasks of a gang, by planned zone. The key null stands for all zones together. */
 export type FreeByZone = ReadonlyMap<string | null, readonly Reservation[]>;
 
-/** Chooses the gang that machines are drained for: of those that lack capacity, the one that has waited longest. */
+/** Chooses the gang for which machines are drained: the longest waiting one of those that lack capacity. */
 export function chooseStarvedGang(state: ClusterState, now: Timestamp): void {
   const longest = longestWaitingGang(state, now);
   const waitedSeconds = longest === null ? 0 : pendingSeconds(longest, now);
@@ -50,10 +53,11 @@
 }
 
 /**
- * A gang that has waited and may preempt nothing: what is free for it in its best zone is kept together, or small tasks
- * would go on taking every piece. Where that alone is not enough, since small tasks keep its machines from ever becoming
- * free, those that will be empty soonest take nothing new. Only the first gang of a cycle, and the one that has waited
- * longest, hold capacity, so that little stands idle.
+ * Reserves capacity for a gang that has waited and for which preemption finds no capacity. Free capacity in its best
+ * zone is reserved, because small tasks would otherwise keep taking every piece of it. If that is not enough for the
+ * gang that has waited longest, the machines that will be empty soonest receive no new tasks, because small tasks would
+ * otherwise keep them from ever becoming free. Only that gang and the first gang of a cycle hold capacity, so that
+ * little capacity stays idle.
  */
 export function reserveForGang(
   cycle: SchedulingCycle,
--- a/src/core/scheduling/task-scheduling.ts
+++ b/src/core/scheduling/task-scheduling.ts
@@ -25,10 +25,10 @@
   tieBreakScore,
 } from './tie-breaking.js';
 
-/** Below this many machines none are kept whole: they would be an eighth of the fleet or more. */
+/** In a smaller fleet no empty machines are kept, because they would be more than an eighth of it. */
 const MIN_FLEET_TO_KEEP_EMPTY_MACHINES = EMPTY_MACHINES_KEPT * 8;
 
-/** A job whose tasks are being assigned, with the machines that still fit one. */
+/** A job whose tasks are being assigned, with the machines that still have capacity for one. */
 interface TaskPlacement {
   readonly job: Job;
   readonly tieBreaker: TieBreaker;
@@ -63,6 +63,7 @@
   }
 }
 
+/** Returns the feasible candidates, without the empty machines that are kept for jobs with less time. */
 function taskCandidates(cycle: SchedulingCycle, job: Job): Candidate[] {
   const { state, candidates, now } = cycle;
   const feasible = feasibleCandidates(cycle, job);
@@ -75,14 +76,14 @@
   return feasible;
 }
 
-/** Assigns one task; otherwise yields why this task and those after it stay pending. */
+/** Assigns one task and returns null, or returns the reason why this task and those after it stay pending. */
 function scheduleTask(cycle: SchedulingCycle, placement: TaskPlacement, task: number): PendingReason | null {
   const { state } = cycle;
   const { job } = placement;
   if (!state.jobs.quotas.allows(job.spec)) return QUOTA_EXCEEDED;
   const preferred = preferredCandidates(placement);
-  // Where fetching the image would miss the start deadline, and lower work can be preempted beside a cached one, that
-  // capacity is made first; the fetch is the second choice.
+  // If fetching the image would miss the start deadline, preempting tasks of lower priority on machines that have it
+  // cached is tried first. Fetching the image is the second choice.
   if (fetchWouldBeTooLate(cycle, job, preferred) && preemptFor(cycle, job, true))
     return PREEMPTION_IN_PROGRESS;
   const chosen = pickBest(preferred, state.settings);
@@ -91,12 +92,12 @@
   return null;
 }
 
-/** The scored candidates that constraints admit, narrowed by the preferences that come before cost. */
+/** Returns the scored candidates in allowed zones, narrowed by the preferences that take precedence over cost. */
 function preferredCandidates({ job, scored, tasksByZone }: TaskPlacement): ScoredCandidate[] {
   const allowed = preferSchedulable(
     scored.filter(({ candidate }) => isZoneAllowed(job, candidate.machine.zone, tasksByZone)),
   );
-  // A machine on which the job failed comes last: it is used only if nothing else that fits is left.
+  // A machine on which the job failed is used only if no other allowed candidate is left.
   const withoutFailures =
     job.failuresByMachine.size === 0
       ? allowed
--- a/src/core/scheduling/tie-breaking.ts
+++ b/src/core/scheduling/tie-breaking.ts
@@ -1,14 +1,17 @@
-/** @file Preferences among the machines that fit a task: filters before the cost is compared, and ranks among equal costs. */
+/**
+ * @file Preferences among the machines that fit a task: filters before the cost is compared, and ranks among equal
+ * costs.
+ */
 import type { Job } from '../model/job.js';
 import type { MachineType } from '../model/machine.js';
 import type { ClusterState } from '../state/cluster-state.js';
 import type { Candidate } from './candidates.js';
 import type { ScoredCandidate } from './scoring.js';
 
-/** Empty machines that jobs with deadline slack leave whole, for jobs with less time. */
+/** Number of empty machines that jobs with deadline slack leave to jobs with less time. */
 export const EMPTY_MACHINES_KEPT = 2;
 
-/** Takes the empty machines out of the feasible ones, in place, while there are few empty machines. */
+/** Removes the empty machines from `feasible` in place if there are at most `EMPTY_MACHINES_KEPT` of them in all. */
 export function excludeEmptyMachines(feasible: Candidate[], candidates: readonly Candidate[]): void {
   let emptyCount = 0;
   for (const candidate of candidates) if (candidate.taskCount === 0) emptyCount += 1;
@@ -17,13 +20,14 @@
     if (feasible[index]?.taskCount === 0) feasible.splice(index, 1);
 }
 
-/** Ranks that put a machine after all others of its kind. */
+/** Rank that puts a machine after all others. */
 const LAST_RANK = 2;
 
 /**
- * Ranks equally good machines, the lowest first: jobs that may run on spot instances go there, and replicas go where
- * most replicas are, so that the expensive machines that only they need stay few, but not where one of their own job is.
- * While some job needs most of a machine, small tasks go beside others and leave whole machines free.
+ * Ranks equally good machines; the lowest rank is preferred. Jobs that may run on spot instances prefer these. Service
+ * replicas prefer machines with the most replicas, so that few of the expensive machines that only replicas need are in
+ * use, but avoid machines with a replica of the same job. While some job needs most of a machine, small tasks prefer
+ * machines that run other tasks, and leave empty machines free.
  */
 export function tieBreakScore(state: ClusterState, job: Job, candidate: Candidate): number {
   const occupiesEmptyMachine =
@@ -39,7 +43,7 @@
 function replicaScore(state: ClusterState, job: Job, { machine }: Candidate): number {
   let replicaCount = 0;
   for (const assignment of machine.assignments.values()) {
-    // Two replicas of one service on a machine are lost together.
+    // Two replicas of one service on the same machine would be lost together.
     if (assignment.jobId === job.spec.id) return LAST_RANK;
     if (state.jobs.byId.get(assignment.jobId)?.spec.kind === 'service') replicaCount += 1;
   }
@@ -60,13 +64,13 @@
   return false;
 }
 
-/** Draining machines are used only when no other fits. */
+/** Returns the options that are not draining, or all options if every one is draining. */
 export function preferSchedulable(options: ScoredCandidate[]): ScoredCandidate[] {
   const schedulable = options.filter(({ candidate }) => !candidate.machine.draining);
   return schedulable.length > 0 ? schedulable : options;
 }
 
-/** Replicas go to the zones that hold fewest of their job, so that one lost zone or machine costs little. */
+/** For replicas, returns the options in zones with the fewest tasks of the job: the loss of one zone costs little. */
 export function spreadReplicas(
   job: Job,
   options: ScoredCandidate[],
@@ -76,7 +80,7 @@
   return withLowest(options, ({ candidate }) => tasksByZone.get(candidate.machine.zone) ?? 0);
 }
 
-/** A job that has failed on every machine is retried on those where it failed least often. */
+/** Returns the machines on which the job failed least often, for a job that has failed on every machine. */
 export function leastFailedCandidates(job: Job, options: readonly ScoredCandidate[]): ScoredCandidate[] {
   return withLowest(options, ({ candidate }) => job.failuresByMachine.get(candidate.machine.name) ?? 0);
 }
--- a/src/core/scheduling/zone-availability.ts
+++ b/src/core/scheduling/zone-availability.ts
@@ -1,6 +1,6 @@
 /**
- * @file What the zone policy decides about jobs and scale-out, and which zone a machine counts in. Without a policy all
- * zones are alike, and nothing here refuses anything.
+ * @file Queries the zone policy: whether a job may use a machine, and whether a zone is unavailable. Without a policy
+ * all zones are treated alike, and nothing is refused.
  */
 import { pendingSeconds } from '../jobs/deadline-slack.js';
 import type { Job } from '../model/job.js';
@@ -9,7 +9,7 @@
 import type { ZoneAdmissionRequest } from '../model/zone-policy.js';
 import type { ClusterState } from '../state/cluster-state.js';
 
-/** Whether the job may use a machine, as far as the state of its zone is concerned. */
+/** Whether the state of the machine's zone allows the job to use the machine. */
 export function zoneAdmits(state: ClusterState, job: Job, machine: Machine, now: Timestamp): boolean {
   const policy = state.zonePolicy;
   return (
@@ -21,12 +21,12 @@
   kind: job.spec.kind,
   priority: job.priority,
   restrictedToZone: job.spec.zone === zone,
-  // A job that has started before, and was lost with its zone, has no claim to start in time.
+  // A job that has started before and was lost with its zone is not entitled to a timely start.
   pendingFor: hasStarted(job) ? 0n : seconds(pendingSeconds(job, now)),
 });
 
 const hasStarted = (job: Job): boolean => [...job.chunks.values()].some((chunk) => chunk.highestAttempt > 0);
 
-/** Whether the zone should get no scale-out, and its machines should not be waited for. */
+/** Whether no machines should be requested in the zone, and its machines should not be waited for. */
 export const isZoneUnavailable = (state: ClusterState, zone: string): boolean =>
   state.zonePolicy?.isUnavailable(zone) === true;
--- a/src/core/scheduling/zone-observation.ts
+++ b/src/core/scheduling/zone-observation.ts
@@ -1,4 +1,4 @@
-/** @file Shows the zone policy the fleet, and carries out what it then wants logged and stored. */
+/** @file Passes observations of the fleet to the zone policy, logs its zone changes and stores its record. */
 import { failoverSettlingTime, isResponsive, zoneOf } from '../machines/responsiveness.js';
 import type { Job } from '../model/job.js';
 import type { Machine } from '../model/machine.js';
@@ -8,10 +8,10 @@
 import { mayStartTasks } from '../state/leadership-timing.js';
 import { emitLog } from '../state/log-effects.js';
 
-/** How long a start takes beside the image fetch. */
+/** Time that starting a task takes in addition to its image fetch. */
 const START_OVERHEAD = seconds(2);
 
-/** Has the policy observe the fleet. Each change is logged once; what the next leader must know is stored. */
+/** Passes the fleet to the policy, logs each zone change once and stores a new record for the next leader. */
 export function observeZones(state: ClusterState, now: Timestamp): void {
   const policy = state.zonePolicy;
   if (policy === null) return;
@@ -60,7 +60,9 @@
   }));
 }
 
-/** Machines that sent a heartbeat in this term or have recorded assignments, and are not on their way out. */
+/**
+ * True for machines that sent a heartbeat in this term or have recorded assignments, unless being released or failed.
+ */
 const isKnown = (machine: Machine): boolean =>
   !machine.releasing &&
   machine.instanceState !== 'failed' &&
@@ -75,7 +77,7 @@
   return missing;
 }
 
-/** The longest start under way: its image fetch, without a share of bandwidth, and the overhead. */
+/** Returns the time of the slowest start under way: its image fetch at full bandwidth, plus the overhead. */
 function slowestStart(state: ClusterState): Duration {
   let slowestSeconds = 0;
   for (const machine of state.machines.byName.values()) {
