--- a/src/core/capacity/capacity-reuse.ts
+++ b/src/core/capacity/capacity-reuse.ts
@@ -1,6 +1,6 @@
 /**
- * @file Which pending array tasks can follow others in time instead of getting capacity of their own: those of the same
- * job one after another, and on capacity that running array tasks of other jobs leave soon.
+ * @file Which pending array tasks can reuse the capacity of other tasks in time instead of getting capacity of their
+ * own: tasks of one job run one after another, and on capacity that running array tasks of other jobs will soon free.
  */
 import { estimatedSeconds, startDeadline } from '../jobs/deadline-slack.js';
 import { isUsable } from '../machines/free-resources.js';
@@ -10,18 +10,21 @@
 import type { ClusterState } from '../state/cluster-state.js';
 import type { MachineKind } from './machine-kind.js';
 
-/** Share of the time left that an array task may wait for capacity to be left: fetches and late ends need the rest. */
+/**
+ * Upper bound on the time that an array task may wait for a finishing task, as a share of the time until its start
+ * deadline. Image fetches and tasks that finish late need the other part.
+ */
 const MAX_WAIT_SHARE = 0.3;
 
-/** Capacity that a running array task leaves when it finishes. */
+/** A running array task and the machine whose capacity it frees when it finishes. */
 export interface FinishingTask extends MachineKind {
   readonly remainingS: number;
   readonly job: Job;
-  /** A pending task is planned to follow. */
+  /** True once a pending task is planned to reuse the capacity. */
   claimed: boolean;
 }
 
-/** How many of a job's pending tasks need capacity of their own; the rest can follow them before the deadline. */
+/** Returns how many of a job's pending tasks need capacity of their own. The others can follow before the deadline. */
 export function tasksNeedingCapacity(state: ClusterState, job: Job, bootS: number, now: Timestamp): number {
   const pending = job.unassignedTasks.size;
   if (job.spec.kind !== 'array') return pending;
@@ -31,7 +34,7 @@
   return Math.ceil(pending / tasksInSequence);
 }
 
-/** Capacity that running array tasks will leave, soonest first. */
+/** Returns the running array tasks that are not being stopped, soonest to finish first. */
 export function finishingTasks(state: ClusterState, now: Timestamp): FinishingTask[] {
   const finishing: FinishingTask[] = [];
   for (const machine of state.machines.byName.values()) {
@@ -48,7 +51,10 @@
   return finishing.sort((a, b) => a.remainingS - b.remainingS);
 }
 
-/** Turnovers that the job's tasks can wait for, soonest first. Each serves one task in a round of fleet sizing. */
+/**
+ * Yields the finishing tasks that the job's tasks can wait for, soonest first. Each serves one task in a round of fleet
+ * sizing.
+ */
 export function* finishingTasksFor(
   state: ClusterState,
   job: Job,
--- a/src/core/capacity/demand-forecast.ts
+++ b/src/core/capacity/demand-forecast.ts
@@ -1,6 +1,6 @@
 /**
- * @file What work will arrive and finish while a machine boots. Scaling out only for pending work makes all that arrives
- * in the meantime wait for a whole boot too, however steadily it arrives.
+ * @file Forecasts the work that arrives and finishes while a machine boots. If machines were requested only for pending
+ * work, all work that arrives in the meantime would wait for a whole boot too, however steadily it arrives.
  */
 import { estimatedSeconds } from '../jobs/deadline-slack.js';
 import type { Job } from '../model/job.js';
@@ -9,31 +9,35 @@
 import type { ClusterState } from '../state/cluster-state.js';
 import { taskShare } from './utilization.js';
 
-/** A forecast of demand, in whole machines. */
+/** A forecast of demand, measured in machines. */
 export interface DemandForecast {
-  /** Work that arrives until a machine requested now is up. */
+  /** Work that arrives until a machine requested now has booted. */
   readonly arriving: number;
-  /** Work that finishes until then. */
+  /** Running work that finishes until then. */
   readonly finishing: number;
-  /** The job that arrived last: machines are requested ahead as if for it. */
+  /**
+   * The most recently submitted of the jobs that arrived recently, or null. Machines are requested in advance as if for
+   * it.
+   */
   readonly sampleJob: Job | null;
 }
 
-/** Length of the periods by which arrivals are counted. */
+/** Length in seconds of the periods in which arrivals are counted. */
 const PERIOD_S = 5;
 
-/** Number of periods looked back. */
+/** Number of past periods in which arrivals are counted. */
 const PERIODS = 12;
 
-/** With fewer periods no rate is derived. */
+/** With fewer periods than this, the arrival rate is taken as 0. */
 const MIN_PERIODS = 6;
 
-/** The fullest periods, which are left out. */
+/** Number of periods with the most arrivals that are left out. */
 const EXCLUDED_PERIODS = 2;
 
 /**
- * Forecasts demand. The rate comes from the times of submission, which a new leader knows as well. The fullest periods
- * are left out: what arrives all at once, as when a day begins, tells nothing about what arrives next.
+ * Forecasts demand. The arrival rate is derived from the times of submission, because a new leader has these as well.
+ * The periods with the most arrivals are left out, because jobs that arrive all at once, as at the start of a day, say
+ * nothing about what arrives next.
  */
 export function forecastDemand(state: ClusterState, now: Timestamp): DemandForecast {
   const bootS = longestBootSeconds(state);
@@ -42,7 +46,7 @@
   let sampleJob: Job | null = null;
   let finishing = 0;
   for (const job of state.jobs.byId.values()) {
-    // A job that waits for its dependencies demands nothing yet.
+    // A job that waits for its dependencies needs no capacity yet.
     if (job.spec.kind === 'service' || job.readySince === null) continue;
     const ageS = Math.max(0, wallSecondsBetween(job.readySince, now.wall));
     earliestAgeS = Math.max(earliestAgeS, ageS);
@@ -61,7 +65,7 @@
   return { arriving: arrivalRate(arrivals.slice(0, periods)) * bootS, finishing, sampleJob };
 }
 
-/** Machines' worth of work that arrives in a second. */
+/** Returns the work that arrives per second, measured in machines. */
 function arrivalRate(arrivals: readonly number[]): number {
   if (arrivals.length < MIN_PERIODS) return 0;
   const counted = [...arrivals].sort((a, b) => b - a).slice(EXCLUDED_PERIODS);
@@ -80,7 +84,7 @@
   return undefined;
 }
 
-/** How many of the job's running tasks should finish within so many seconds. */
+/** Returns how many of the job's running tasks should finish within `withinS` seconds. */
 function countFinishingWithin(state: ClusterState, job: Job, withinS: number, now: Timestamp): number {
   const estimateS = estimatedSeconds(state, job);
   let count = 0;
--- a/src/core/capacity/draining.ts
+++ b/src/core/capacity/draining.ts
@@ -1,6 +1,6 @@
 /**
- * @file Chooses the machines to keep and those to drain. Placement spreads tasks over all machines; without this none
- * would ever be empty, and all would be paid for.
+ * @file Chooses the machines to keep and the machines to drain. Placement spreads tasks over all machines; without
+ * draining, no machine would ever be empty, and all of them would have to be paid for.
  */
 import { estimatedSeconds } from '../jobs/deadline-slack.js';
 import { freeResourcesOf, isUsable } from '../machines/free-resources.js';
@@ -12,16 +12,16 @@
 import type { ClusterState } from '../state/cluster-state.js';
 import { usedShare } from './utilization.js';
 
-/** Up to so many machines in use the reserve is a fixed share of them. */
+/** Up to this many machines in use, the reserve is a fixed share of them. */
 const LINEAR_RESERVE_LIMIT = 30;
 
-/** How the reserve grows with larger fleets. */
+/** Exponent by which the reserve grows beyond `LINEAR_RESERVE_LIMIT`. */
 const RESERVE_EXPONENT = 0.65;
 
-/** A task with more than this to go keeps its machine from being drained soon. */
+/** Seconds. A task whose remaining run time is longer than this makes its machine hard to drain. */
 const LONG_REMAINING_S = 60;
 
-/** How hard a machine is to drain: replicas stay for good, long tasks for long, others finish soon. */
+/** How hard a machine is to drain: replicas never finish, long tasks finish late, other tasks finish soon. */
 const DRAIN_EFFORT = { replica: 3, longTask: 2, none: 0 } as const;
 
 interface DrainCandidate {
@@ -32,8 +32,8 @@
 }
 
 /**
- * Keeps enough machines for what is in use and a reserve: first those that are hard to drain, then the cheap ones, then
- * the fullest. The rest are drained.
+ * Keeps enough machines for the work in use and a reserve: first those that are hard to drain, then the cheapest, then
+ * the fullest. The other machines are drained, unless a blocked job lacks capacity.
  */
 export function chooseDrainingMachines(state: ClusterState, blocked: readonly Job[], now: Timestamp): void {
   const candidates: DrainCandidate[] = [];
@@ -53,7 +53,8 @@
   candidates.sort(byDrainOrder);
 
   const keepCount = inUse.count + Math.max(reserveSize(inUse.count, state.settings.reserveShare), 1);
-  // Only a lack of capacity is a reason to keep machines: one job that was pending for another reason kept a whole fleet.
+  // Only a lack of capacity is a reason to drain no machine. When every pending reason was one, a single job that was
+  // pending for another reason kept the whole fleet from being drained.
   const capacityLacking = blocked.some(lacksCapacity);
   candidates.forEach(({ machine }, index) => {
     machine.draining = !capacityLacking && index >= keepCount;
@@ -64,9 +65,10 @@
   b.effort - a.effort || a.price - b.price || b.used - a.used || (a.machine.name < b.machine.name ? -1 : 1);
 
 /**
- * How many whole machines the work in use comes to, by the resource that is scarcest in the fleet. Counted by what is
- * scarcest on each machine, a machine full of work without GPUs and one with all its GPUs taken came to two, though
- * the work of both fits one and a bit: the reserve then paid for the leftovers too.
+ * Counts how many whole machines the work in use amounts to, by the resource that is scarcest in the fleet. When this
+ * was counted by the scarcest resource of each machine, a machine full of work without GPUs and a machine with all its
+ * GPUs in use counted as two, although the work of both fits little more than one. The reserve was then also computed
+ * for capacity that was not in use.
  */
 class MachinesInUse {
   private cpus = 0;
@@ -90,8 +92,8 @@
   job.pendingReason === PREEMPTION_IN_PROGRESS;
 
 /**
- * Machines kept beyond those in use. The more work there is, the more its ups and downs even out, so that the share
- * that is needed falls with the size of the fleet.
+ * Returns the number of machines to keep beyond those in use. The more work there is, the more its fluctuations even
+ * out, so that the share that is needed falls with the size of the fleet.
  */
 function reserveSize(inUse: number, reserveShare: number): number {
   if (inUse <= LINEAR_RESERVE_LIMIT) return inUse * reserveShare;
--- a/src/core/capacity/expected-machines.ts
+++ b/src/core/capacity/expected-machines.ts
@@ -1,4 +1,4 @@
-/** @file The capacity that will be there for pending tasks: on usable machines, and on machines that are on their way. */
+/** @file The capacity that pending tasks can expect: on usable machines, and on machines booting or requested. */
 import { isUsable, resourcesOf } from '../machines/free-resources.js';
 import type { Job } from '../model/job.js';
 import type { Timestamp } from '../model/time.js';
@@ -10,11 +10,11 @@
 
 /** A machine that exists, is booting, or is to be requested. */
 export interface ExpectedMachine extends MachineKind {
-  /** What planned tasks leave free. */
+  /** Free capacity, minus the tasks that are planned on the machine. */
   readonly free: Resources;
 }
 
-/** Slots of all usable machines, then of those that are booting, then of those requested. */
+/** Returns all usable machines, then those that are booting, then those that have been requested. */
 export function expectedMachines(state: ClusterState, now: Timestamp): ExpectedMachine[] {
   const expected: ExpectedMachine[] = [];
   for (const machine of state.machines.byName.values()) {
@@ -41,8 +41,8 @@
 }
 
 /**
- * Finds slots that fit a task of a job, first to last. Where the allowed zones do not depend on the job's other tasks, a
- * slot that did not fit once never will, and none is looked at twice.
+ * Finds expected machines that fit a task of a job, in their order. If the allowed zones do not depend on the job's
+ * other tasks, a machine that did not fit once will never fit and is not checked again.
  */
 export class ExpectedMachineFinder {
   private next = 0;
@@ -56,7 +56,9 @@
     this.zonesAreFixed = !job.spec.singleZone && !job.spec.spreadAcrossZones;
   }
 
-  /** A slot with capacity for one more task; the same one is found again until it is full. */
+  /**
+   * Returns a machine with capacity for one more task, the same one until it is full, or undefined if there is none.
+   */
   find(): ExpectedMachine | undefined {
     for (let index = this.zonesAreFixed ? this.next : 0; index < this.machines.length; index++) {
       const machine = this.machines[index];
--- a/src/core/capacity/fleet-sizing.ts
+++ b/src/core/capacity/fleet-sizing.ts
@@ -1,4 +1,4 @@
-/** @file One round of fleet sizing: what to drain, what to scale out, what to scale in. */
+/** @file One round of fleet sizing: decides which machines to drain, to request and to release. */
 import type { Job } from '../model/job.js';
 import type { Timestamp } from '../model/time.js';
 import { runSchedulingCycle } from '../scheduling/scheduling-cycle.js';
@@ -10,7 +10,7 @@
 import { planScaleOut } from './scale-out-planning.js';
 import { requestScaleOut } from './scale-out-requests.js';
 
-/** Sizes the fleet for what a scheduling cycle leaves without capacity. */
+/** Runs a scheduling cycle and sizes the fleet for the jobs that it leaves without capacity. */
 export function sizeFleet(state: ClusterState, now: Timestamp): void {
   const blocked = runSchedulingCycle(state, now);
   chooseDrainingMachines(state, blocked, now);
@@ -20,6 +20,9 @@
     requestScaleIn(state, machineNames, reason);
 }
 
-/** Replicas that may have to start elsewhere, as jobs that lack capacity: machines are requested before it is certain. */
+/**
+ * Returns the jobs of replicas that may have to start elsewhere, with these replicas as unassigned tasks, so that
+ * machines are requested before it is certain.
+ */
 const displacedJobs = (state: ClusterState, now: Timestamp): Job[] =>
   displacedReplicas(state, now).map(({ job, tasks }) => ({ ...job, unassignedTasks: new Set(tasks) }));
--- a/src/core/capacity/fleet-summary.ts
+++ b/src/core/capacity/fleet-summary.ts
@@ -1,4 +1,4 @@
-/** @file Sums up the fleet and the pending work in the log, for whoever is on call. It changes nothing. */
+/** @file Logs a summary of the fleet and of the pending jobs for operators. It changes nothing. */
 import { freeResourcesOf, isUsable } from '../machines/free-resources.js';
 import type { LogFields } from '../model/effects.js';
 import type { Job } from '../model/job.js';
@@ -7,7 +7,7 @@
 import { emitLog } from '../state/log-effects.js';
 import { forecastDemand } from './demand-forecast.js';
 
-/** Writes the summary. */
+/** Logs the summary. */
 export function logFleetSummary(state: ClusterState, now: Timestamp): void {
   const forecast = forecastDemand(state, now);
   emitLog(
--- a/src/core/capacity/machine-choice.ts
+++ b/src/core/capacity/machine-choice.ts
@@ -11,14 +11,14 @@
 import { type MachineKind, machineKindKey } from './machine-kind.js';
 import { wasRecentlyRefused } from './scale-out-requests.js';
 
-/** The cloud takes no more machines in one request. */
+/** Upper bound on the machines that the cloud accepts in one request. */
 const MAX_MACHINES_PER_SCALE_OUT = 50;
 
 interface MachineOption {
   readonly kind: MachineKind;
   readonly type: MachineType;
   readonly price: number;
-  /** How many of the kind this round requests already. */
+  /** Number of machines of this kind that the round requests already. */
   readonly requested: number;
 }
 
@@ -32,8 +32,8 @@
   ) {}
 
   /**
-   * Adds the best machine for a task of the job and returns it as a slot; null: no kind will do. The cheapest is the
-   * best, where a job may use spot machines these too, but no kind that the cloud has just refused.
+   * Adds the cheapest machine for a task of the job and returns it, or returns null if no kind is suitable. Spot
+   * instances are included if the job allows them; kinds that the cloud recently refused are excluded.
    */
   add(
     job: Job,
@@ -49,7 +49,7 @@
     return { ...best.kind, free: copyResources(best.type) };
   }
 
-  /** The requests, each as large as the cloud takes. */
+  /** Returns the requests, each as large as the cloud accepts. */
   requests(): ScaleOutRequest[] {
     const requests: ScaleOutRequest[] = [];
     for (const { kind, count } of this.counts.values())
@@ -80,6 +80,6 @@
   }
 }
 
-/** Machines of one price are spread over their kinds. */
+/** Orders by price. Machines of the same price are spread over their kinds. */
 const byPrice = (a: MachineOption, b: MachineOption): number =>
   a.price - b.price || a.requested - b.requested || (a.kind.zone < b.kind.zone ? -1 : 1);
--- a/src/core/capacity/machine-kind.ts
+++ b/src/core/capacity/machine-kind.ts
@@ -7,6 +7,6 @@
   readonly spot: boolean;
 }
 
-/** Names a kind. */
+/** Returns the key of a kind in maps. */
 export const machineKindKey = ({ type, zone, spot }: MachineKind): string =>
   `${type}|${zone}|${spot ? 'spot' : 'on-demand'}`;
--- a/src/core/capacity/machine-release.ts
+++ b/src/core/capacity/machine-release.ts
@@ -1,4 +1,4 @@
-/** @file Finds machines that are no longer worth their price: idle ones, and those that can do no work. */
+/** @file Finds machines to release: idle ones, and those that cannot run tasks. */
 import type { Machine } from '../model/machine.js';
 import { type Timestamp, seconds } from '../model/time.js';
 import { manySuspected } from '../reconciliation/failure-detector.js';
@@ -6,16 +6,19 @@
 import { isZoneUnavailable } from '../scheduling/zone-availability.js';
 import type { ClusterState } from '../state/cluster-state.js';
 
-/** The cloud charges for at least this long: until then an idle machine may as well stay. */
+/** The cloud charges for at least this time, so that releasing an idle machine earlier saves nothing. */
 const MIN_BILLED_TIME = seconds(60);
 
-/** The cloud takes no more names in one request. */
+/** Upper bound on the names that the cloud accepts in one request. */
 const MAX_MACHINES_PER_SCALE_IN = 100;
 
-/** A machine that can do no work is released after so many leases: a short cut has passed by then. */
+/**
+ * Number of worker leases after which an unreachable or unresponsive machine is released: a short partition has ended
+ * by then.
+ */
 const MIN_OUTAGE_LEASES = 2n;
 
-/** A machine that has not sent a heartbeat after so many boot times never will. */
+/** A machine that has not sent a heartbeat after this many boot times is assumed never to send one. */
 const MAX_BOOT_TIMES = 5n;
 
 /** Machines to release together. */
@@ -24,7 +27,10 @@
   readonly reason: string;
 }
 
-/** Machines without tasks and assignments that are idle or useless, in requests as large as the cloud takes. */
+/**
+ * Returns machines without tasks and assignments that are idle or cannot run tasks, in requests as large as the cloud
+ * accepts.
+ */
 export function machinesToRelease(state: ClusterState, now: Timestamp): MachineRelease[] {
   const namesByReason = new Map<string, string[]>();
   const manyAreSuspected = manySuspected(state, now);
@@ -50,7 +56,7 @@
 }
 
 function idleReason(state: ClusterState, machine: Machine, now: Timestamp): string | null {
-  // Machines of an unavailable zone are idle because of the zone policy: work is to come back to them.
+  // Machines of an unavailable zone are idle because of the zone policy; tasks are meant to return to them.
   if (machine.agentEpoch === 0 || isZoneUnavailable(state, machine.zone)) return null;
   machine.idleSince ??= now.monotonic;
   const idleLongEnough =
@@ -67,7 +73,7 @@
 ): string | null {
   if (machine.instanceState === 'failed') return 'failed';
   if (machine.agentEpoch > 0 && machine.quarantined) return 'quarantined';
-  // When many are suspected together it is more likely the leader that is cut off.
+  // When many machines are suspected together, it is more likely that the leader is cut off from them.
   if (!manyAreSuspected && isUnreachableTooLong(state, machine, now)) return 'unreachable';
   if (!manyAreSuspected && isUnresponsiveTooLong(state, machine, now)) return 'unresponsive';
   return hasBootTimedOut(state, machine, now) ? 'boot timeout' : null;
--- a/src/core/capacity/scale-in-requests.ts
+++ b/src/core/capacity/scale-in-requests.ts
@@ -3,14 +3,14 @@
 import { onMachinesReleased } from '../reconciliation/instance-inventory.js';
 import type { ClusterState } from '../state/cluster-state.js';
 
-/** Has machines released. From now on they take no tasks. */
+/** Requests the release of machines, which receive no tasks from now on. */
 export function requestScaleIn(state: ClusterState, names: readonly string[], reason: string): void {
   if (names.length === 0) return;
   setReleasing(state, names, true);
   state.effects.push({ kind: 'scale-in', machineNames: names, reason });
 }
 
-/** Takes in the answer to a scale-in request; machines that were not released may be used again. */
+/** Handles the answer to a scale-in request. Machines that were not released may be used again. */
 export function onScaleInAnswered(
   state: ClusterState,
   names: readonly string[],
--- a/src/core/capacity/scale-out-planning.ts
+++ b/src/core/capacity/scale-out-planning.ts
@@ -1,6 +1,6 @@
 /**
- * @file Plans which machines to request: for pending work that neither free capacity, nor capacity that running tasks
- * will leave, nor machines on their way will hold; and for work that will arrive while machines boot.
+ * @file Plans which machines to request: for pending tasks that fit neither free capacity, nor the capacity of tasks
+ * that will finish in time, nor machines booting or requested; and for work that will arrive while machines boot.
  */
 import { assignmentsByZone } from '../assignments/assignments.js';
 import type { Job } from '../model/job.js';
@@ -20,10 +20,10 @@
 } from './capacity-reuse.js';
 import { usedShare } from './utilization.js';
 
-/** New machines requested in one round: the answers come before the next. */
+/** Upper bound on the new machines requested in one round. The answers arrive before the next round. */
 const MAX_NEW_MACHINES_PER_ROUND = 400;
 
-/** Requests for what the blocked jobs, first to last, and then the forecast need. */
+/** Returns requests for the machines that the blocked jobs need, in their order, and then the forecast. */
 export function planScaleOut(
   state: ClusterState,
   blocked: readonly Job[],
@@ -62,7 +62,7 @@
     return this.requested.requests();
   }
 
-  /** Plans a job's pending tasks into expected slots, then onto turnovers, then onto new machines. */
+  /** Plans a job's pending tasks on expected machines, then after finishing tasks, then on new machines. */
   addPendingTasks(job: Job): void {
     const { state, now } = this;
     const assignedByZone = assignmentsByZone(job);
@@ -106,7 +106,7 @@
     return machine;
   }
 
-  /** What is free on all slots, in whole machines. */
+  /** Returns the free capacity of all expected machines, measured in machines. */
   private freeCapacityInMachines(): number {
     let free = 0;
     for (const machine of this.expectedMachines) {
@@ -117,7 +117,7 @@
   }
 }
 
-/** Has a pending task follow on the next turnover, if there is one. */
+/** Claims the next finishing task for a pending task. Returns false if there is none. */
 function claimNext(reusable: Generator<FinishingTask>): boolean {
   const next = reusable.next();
   if (next.done === true) return false;
--- a/src/core/capacity/scale-out-requests.ts
+++ b/src/core/capacity/scale-out-requests.ts
@@ -1,4 +1,4 @@
-/** @file Scale-out requests to the cloud, their answers, and which kinds of machines the cloud lately refused. */
+/** @file Scale-out requests to the cloud, their answers, and the kinds of machines that the cloud recently refused. */
 import { getOrAddMachine } from '../machines/machine-registry.js';
 import type { ScaleOutRequest } from '../model/scale-out.js';
 import { type Timestamp, seconds } from '../model/time.js';
@@ -6,17 +6,17 @@
 import { emitLog } from '../state/log-effects.js';
 import { type MachineKind, machineKindKey } from './machine-kind.js';
 
-/** How long a kind that the cloud had too few machines of is not requested again. */
+/** Time for which a kind is not requested again after the cloud had too few machines of it. */
 const REFUSAL_RETRY_DELAY = seconds(20);
 
-/** Has machines requested. */
+/** Requests machines from the cloud. */
 export function requestScaleOut(state: ClusterState, request: ScaleOutRequest): void {
   const { type, zone, spot, count } = request;
   emitLog(state, 'scale-out requested', { type, zone, spot, count }, 'info');
   state.effects.push({ kind: 'scale-out', request });
 }
 
-/** Takes in that a request is sent, under a name of its own. */
+/** Records that a request is sent, under its unique name. */
 export function onScaleOutStarted(
   state: ClusterState,
   name: string,
@@ -26,7 +26,7 @@
   state.scaling.pending.set(name, { request, requestedAt: now.monotonic });
 }
 
-/** Takes in the answer to a request: the new machines; null: the cloud refused. */
+/** Handles the answer to a request. `machines` names the new machines; null if the cloud refused. */
 export function onScaleOutAnswered(
   state: ClusterState,
   name: string,
@@ -41,7 +41,7 @@
     state.scaling.refusedAt.set(machineKindKey(pending.request), now.monotonic);
   for (const machineName of machines ?? []) {
     const machine = getOrAddMachine(state, machineName, now.monotonic);
-    // Its worker's heartbeat came before the cloud's answer.
+    // The worker's heartbeat arrived before the cloud's answer.
     if (machine.agentEpoch > 0) continue;
     machine.type = type;
     machine.zone = zone;
@@ -51,7 +51,7 @@
   }
 }
 
-/** Whether the cloud lately had too few machines of that kind. */
+/** Whether the cloud recently had too few machines of the kind. */
 export function wasRecentlyRefused(state: ClusterState, kind: MachineKind, now: Timestamp): boolean {
   const refusedAt = state.scaling.refusedAt.get(machineKindKey(kind));
   return refusedAt !== undefined && now.monotonic - refusedAt < REFUSAL_RETRY_DELAY;
--- a/src/core/capacity/utilization.ts
+++ b/src/core/capacity/utilization.ts
@@ -1,4 +1,4 @@
-/** @file Shares of a machine, by its scarcest resource. */
+/** @file Shares of a machine that are used, by its scarcest resource. */
 import type { JobSpec } from '../model/job.js';
 import type { MachineType } from '../model/machine.js';
 import type { Resources } from '../model/resources.js';
