--- a/src/edge/leadership/commit-loop.ts
+++ b/src/edge/leadership/commit-loop.ts
@@ -86,14 +86,14 @@
     const leadership = this.key.condition(transaction.fencingToken);
     const conditions = encodeConditions(transaction, leadership, partition);
     const writes = encodeWrites(transaction, this.term.scheduler.state.jobs, partition, config.zones);
-    let earlierAttemptUnknown = false;
+    let earlierOutcomeUnknown = false;
     for (let retries = 0; !signal.aborted; retries++) {
       const result = await stateStore.commit(conditions, writes);
       if (isAborted(signal)) return;
       if (result.kind === 'committed') return this.onCommitted(transaction, result.revision);
       if (result.kind === 'conflict')
-        return this.onConflict(transaction, result, earlierAttemptUnknown, signal);
-      if (result.kind === 'unknown') earlierAttemptUnknown = true;
+        return this.onConflict(transaction, result, earlierOutcomeUnknown, signal);
+      if (result.kind === 'unknown') earlierOutcomeUnknown = true;
       else this.onRefused(result.reason);
       logger.debug({ reason: result.reason, retries }, 'transaction retry');
       const delayMs = Math.min(FIRST_RETRY_DELAY_MS * 2 ** retries, MAX_RETRY_DELAY_MS);
@@ -114,7 +114,7 @@
   private async onConflict(
     transaction: Transaction,
     { failedKeys, revision }: Conflict,
-    earlierAttemptUnknown: boolean,
+    earlierOutcomeUnknown: boolean,
     signal: AbortSignal,
   ): Promise<void> {
     const { stateStore, logger, partition } = this.term.dependencies;
@@ -124,7 +124,7 @@
     while (!(await stateStore.waitForRevision(revision, CONFLICT_SYNC_TIMEOUT_MS)))
       if (isAborted(signal)) return;
     if (await this.key.endTermIfLost()) return;
-    const conflict = { transaction, failedKeys, earlierAttemptUnknown };
+    const conflict = { transaction, failedKeys, earlierOutcomeUnknown };
     const resolution = resolveConflict(conflict, stateStore, partition);
     switch (resolution.kind) {
       case 'already-committed':
--- a/src/edge/leadership/conflict-resolution.ts
+++ b/src/edge/leadership/conflict-resolution.ts
@@ -14,7 +14,7 @@
   readonly transaction: Transaction;
   readonly failedKeys: readonly string[];
   /** An earlier attempt had no answer: it may have been committed, and then the repeat conflicts with it. */
-  readonly earlierAttemptUnknown: boolean;
+  readonly earlierOutcomeUnknown: boolean;
 }
 
 /** What a conflict means. */
@@ -32,18 +32,18 @@
   stateStore: Pick<StateStore, 'replica' | 'revision'>,
   partition: string,
 ): ConflictResolution {
-  const { transaction, failedKeys, earlierAttemptUnknown } = conflict;
+  const { transaction, failedKeys, earlierOutcomeUnknown } = conflict;
   const changedPage = transaction.pages.find((page) => failedKeys.includes(pageKey(partition, page.id)));
   // Pages have one writer: a page that changed was written by an earlier attempt of this very transaction.
   if (changedPage !== undefined) {
     const entry = stateStore.replica.get(pageKey(partition, changedPage.id));
-    return earlierAttemptUnknown && entry !== undefined
+    return earlierOutcomeUnknown && entry !== undefined
       ? { kind: 'already-committed', modRevision: entry.modRevision }
       : { kind: 'foreign-page-write' };
   }
   // Without pages only the jobs' own records can show whether the earlier attempt was committed.
   if (
-    earlierAttemptUnknown &&
+    earlierOutcomeUnknown &&
     transaction.pages.length === 0 &&
     areJobsRecorded(transaction, stateStore.replica)
   )
