--- a/src/edge/leadership/commit-loop.ts
+++ b/src/edge/leadership/commit-loop.ts
@@ -83,8 +83,8 @@
   /** Sends a transaction until its result is known. Its compare conditions make it idempotent. */
   private async commit(transaction: Transaction, signal: AbortSignal): Promise<void> {
     const { stateStore, logger, partition, config } = this.term.dependencies;
-    const leadership = this.key.condition(transaction.fencingToken);
-    const conditions = encodeConditions(transaction, leadership, partition);
+    const leaderCondition = this.key.condition(transaction.fencingToken);
+    const conditions = encodeConditions(transaction, leaderCondition, partition);
     const writes = encodeWrites(transaction, this.term.scheduler.state.jobs, partition, config.zones);
     let earlierOutcomeUnknown = false;
     for (let retries = 0; !signal.aborted; retries++) {
--- a/src/edge/leadership/fencing-token-advancer.ts
+++ b/src/edge/leadership/fencing-token-advancer.ts
@@ -8,7 +8,7 @@
 
 /** Advances the fencing token by writing the leader key again. */
 export class FencingTokenAdvancer {
-  private requestedFor: string | null = null;
+  private requestReason: string | null = null;
 
   constructor(
     private readonly term: TermContext,
@@ -17,15 +17,15 @@
 
   /** Has the token advanced before the next transaction. */
   request(reason: string): void {
-    this.requestedFor = reason;
+    this.requestReason = reason;
   }
 
   /** Makes one attempt if an advance was requested; the core requests another one if the attempt fails. */
   async advanceIfRequested(signal: AbortSignal): Promise<void> {
-    if (this.requestedFor === null) return;
+    if (this.requestReason === null) return;
     const { logger, stateStore } = this.term.dependencies;
-    logger.info({ reason: this.requestedFor }, 'fencing token advance started');
-    this.requestedFor = null;
+    logger.info({ reason: this.requestReason }, 'fencing token advance started');
+    this.requestReason = null;
     const result = await stateStore.commit([this.key.condition()], [this.key.rewrite()]);
     if (isAborted(signal)) return;
     if (result.kind === 'committed')
--- a/src/edge/leadership/leader-election.ts
+++ b/src/edge/leadership/leader-election.ts
@@ -82,7 +82,7 @@
     while (!signal.aborted) {
       if (this.term === null && stateStore.loaded && monotonicNow() >= this.pausedUntil) {
         try {
-          await this.attempt(signal);
+          await this.tryBecomeLeader(signal);
         } catch (e) {
           logger.warn({ error: errorMessage(e) }, 'leader election attempt failed');
         }
@@ -91,35 +91,35 @@
     }
   }
 
-  private async attempt(signal: AbortSignal): Promise<void> {
+  private async tryBecomeLeader(signal: AbortSignal): Promise<void> {
     const { stateStore, config } = this.dependencies;
-    const known = stateStore.replica.get(this.key);
-    if (!this.mayClaim(known)) return;
+    const currentEntry = stateStore.replica.get(this.key);
+    if (!this.mayClaim(currentEntry)) return;
     const ttlMs = leadershipLeaseMs(config);
     const leaseId = await stateStore.grantLease(ttlMs);
     if (leaseId === null || signal.aborted) return;
     const claimedAt = monotonicNow();
-    const fencingToken = await this.claim(known, leaseId, signal);
+    const fencingToken = await this.claim(currentEntry, leaseId, signal);
     if (fencingToken === null) return;
     this.beginTerm({ fencingToken, claimedAt, leaseId, renewIntervalMs: ttlMs / RENEWALS_PER_LEASE });
   }
 
-  private mayClaim(known: ReplicaEntry | undefined): boolean {
-    if (known === undefined) return true;
-    const leader = decodeLeader(known.value);
+  private mayClaim(currentEntry: ReplicaEntry | undefined): boolean {
+    if (currentEntry === undefined) return true;
+    const leader = decodeLeader(currentEntry.value);
     // An earlier process under this label has surely ended: there is one process per label at a time.
     return leader.label === this.record.label && leader.incarnation !== this.record.incarnation;
   }
 
   /** Writes the leader key on condition that it is as known; returns its mod revision, or null without a leadership. */
   private async claim(
-    known: ReplicaEntry | undefined,
+    currentEntry: ReplicaEntry | undefined,
     leaseId: number,
     signal: AbortSignal,
   ): Promise<number | null> {
     const { stateStore } = this.dependencies;
     const result = await stateStore.commit(
-      [{ key: this.key, modRevision: known?.modRevision ?? 0 }],
+      [{ key: this.key, modRevision: currentEntry?.modRevision ?? 0 }],
       [{ kind: 'put', key: this.key, value: this.record, leaseId }],
     );
     // Stopped meanwhile: nobody would end a term that begins now. The lease expires by itself.
--- a/src/edge/leadership/transaction-encoding.ts
+++ b/src/edge/leadership/transaction-encoding.ts
@@ -16,10 +16,10 @@
  */
 export function encodeConditions(
   transaction: Transaction,
-  leadership: CompareCondition,
+  leaderCondition: CompareCondition,
   partition: string,
 ): CompareCondition[] {
-  const conditions = [leadership];
+  const conditions = [leaderCondition];
   for (const [id, modRevision] of transaction.jobConditions)
     conditions.push({ key: jobKey(id), modRevision });
   for (const { id, modRevision } of transaction.pages)
