--- a/src/edge/leadership/leader-term.ts
+++ b/src/edge/leadership/leader-term.ts
@@ -173,7 +173,7 @@
     this.lastTickAt = now;
     this.scheduler.recordEventLoopLag(lag > 0n ? lag : 0n);
     this.dispatch({ kind: 'tick' });
-    this.profile.logWhenOver(now);
+    this.profile.logOnceElapsed(now);
   }
 
   private dispatch(event: Event): void {
@@ -182,13 +182,13 @@
     const previousCycleAt = scheduling.lastCycleAt;
     const startedAt = currentTime();
     const effects = this.scheduler.handle(event, startedAt);
-    this.measure(event, startedAt.monotonic, scheduling.lastCycleAt !== previousCycleAt);
+    this.recordDuration(event, startedAt.monotonic, scheduling.lastCycleAt !== previousCycleAt);
     for (const effect of effects) this.effectExecutor.execute(effect);
     if (records.dirtyPages.size > 0 || records.jobsToComplete.size > 0) this.commitLoop.wake();
   }
 
   /** Records how long an event took; the clock is only read where the result is used. */
-  private measure(event: Event, startedAt: bigint, ranCycle: boolean): void {
+  private recordDuration(event: Event, startedAt: bigint, ranCycle: boolean): void {
     if (!ranCycle && !this.profile.active) return;
     const span = monotonicNow() - startedAt;
     if (ranCycle) this.scheduler.recordCycleDuration(span);
--- a/src/edge/leadership/term-startup-profile.ts
+++ b/src/edge/leadership/term-startup-profile.ts
@@ -55,7 +55,7 @@
   }
 
   /** Logs the sums once the profiled span is over. */
-  logWhenOver(now: bigint): void {
+  logOnceElapsed(now: bigint): void {
     if (this.logged || now - this.startedAt < PROFILED_SPAN_NS) return;
     this.logged = true;
     const longestFirst = [...this.spans].sort(([, a], [, b]) => (a < b ? 1 : -1));
--- a/src/edge/leadership/write-budget.ts
+++ b/src/edge/leadership/write-budget.ts
@@ -65,7 +65,7 @@
       this.userWritesPerSecond * (1 - NEWEST_WEIGHT) + this.userWrites * NEWEST_WEIGHT;
     this.userWrites = 0;
     const total = this.maxWritesPerSecond;
-    const leftByUsers = total * TOTAL_SHARE - this.userWritesPerSecond * USER_WRITE_HEADROOM;
-    this.limiter.perSecond = Math.min(total * MAX_SHARE, Math.max(total * MIN_SHARE, leftByUsers));
+    const availableToLeader = total * TOTAL_SHARE - this.userWritesPerSecond * USER_WRITE_HEADROOM;
+    this.limiter.perSecond = Math.min(total * MAX_SHARE, Math.max(total * MIN_SHARE, availableToLeader));
   }
 }
