--- a/measure/memory.ts
+++ b/measure/memory.ts
@@ -159,7 +159,7 @@
       ),
     );
     const entry = copy.replica.get(pageKey('all', n));
-    if (entry !== undefined) pages.of(entry);
+    if (entry !== undefined) pages.entriesOf(entry);
   }
   tell(`${openJobs / 2} pages of 40 places, taken apart`);
   for (let n = 0; n < finishedJobs; n++) copy.put(jobKey(`req-9${n}`), encodeJob(recordOf(n, 'done')));
--- a/src/edge/leadership/replica-loader.ts
+++ b/src/edge/leadership/replica-loader.ts
@@ -41,7 +41,7 @@
 }
 
 function loadPage(term: TermContext, { id, entry }: RecordedPage): void {
-  const entries = term.dependencies.pageCache.of(entry);
+  const entries = term.dependencies.pageCache.entriesOf(entry);
   term.dispatch({ kind: 'page-loaded', id, entries, modRevision: entry.modRevision });
 }
 
--- a/src/edge/state-store/controller-versions.ts
+++ b/src/edge/state-store/controller-versions.ts
@@ -16,7 +16,7 @@
 /** What this version can do beyond those that announced nothing. */
 const FEATURES: readonly string[] = [DEPENDENCIES_FEATURE];
 
-const RETRY_MS = 1000;
+const RETRY_DELAY_MS = 1000;
 
 /**
  * The features of all controllers' versions. During an upgrade old and new versions serve side by side, and an old one
@@ -47,9 +47,9 @@
     return entry === undefined ? [] : decodeFeatures(entry.value);
   }
 
-  private announced(): boolean {
-    const known = this.featuresOf(this.label);
-    return FEATURES.every((feature) => known.includes(feature));
+  private isAnnounced(): boolean {
+    const announcedFeatures = this.featuresOf(this.label);
+    return FEATURES.every((feature) => announcedFeatures.includes(feature));
   }
 
   private async announce(signal: AbortSignal): Promise<void> {
@@ -57,11 +57,11 @@
     const value: VersionRecord = { features: [...FEATURES] };
     while (!signal.aborted) {
       if (this.stateStore.loaded) {
-        if (this.announced()) return;
+        if (this.isAnnounced()) return;
         const modRevision = this.stateStore.replica.get(key)?.modRevision ?? 0;
         await this.stateStore.commit([{ key, modRevision }], [{ kind: 'put', key, value }]);
       }
-      await sleep(jittered(RETRY_MS), signal);
+      await sleep(jittered(RETRY_DELAY_MS), signal);
     }
   }
 }
--- a/src/edge/state-store/decoded-page-cache.ts
+++ b/src/edge/state-store/decoded-page-cache.ts
@@ -9,12 +9,12 @@
   private decodedCount = 0;
 
   /** How many pages were decoded so far. */
-  get decoded(): number {
+  get decodedPageCount(): number {
     return this.decodedCount;
   }
 
   /** The chunk records of a page; throws `MalformedRecordError`. */
-  of(page: ReplicaEntry): readonly PageEntry[] {
+  entriesOf(page: ReplicaEntry): readonly PageEntry[] {
     const cached = this.entriesByPage.get(page);
     if (cached !== undefined) return cached;
     const entries = decodePage(page.value);
--- a/src/edge/state-store/finished-job-compactor.ts
+++ b/src/edge/state-store/finished-job-compactor.ts
@@ -18,7 +18,7 @@
  */
 export class FinishedJobCompactor {
   /** Finished jobs whose whole record is still held. */
-  private readonly candidates = new Set<string>();
+  private readonly uncompactedJobs = new Set<string>();
 
   constructor(
     private readonly stateStore: ReplicaView,
@@ -30,7 +30,7 @@
     const subscription = this.stateStore.changes.subscribe(({ key, entry }) => {
       const parsed = parseKey(key);
       if (parsed.kind !== 'job' || entry === null) return;
-      if (decodeJob(entry.value).status !== 'open') this.candidates.add(parsed.id);
+      if (decodeJob(entry.value).status !== 'open') this.uncompactedJobs.add(parsed.id);
     });
     subscription.add(interval(SWEEP_INTERVAL_MS).subscribe(() => this.sweep()));
     return subscription;
@@ -39,11 +39,11 @@
   /** Compacts the finished jobs of which no task is assigned any more. */
   sweep(): void {
     if (this.stateStore.reloading) return;
-    for (const jobId of this.candidates) if (this.counts.of(jobId).assigned === 0) this.compact(jobId);
+    for (const jobId of this.uncompactedJobs) if (this.counts.of(jobId).assigned === 0) this.compact(jobId);
   }
 
   private compact(jobId: string): void {
-    this.candidates.delete(jobId);
+    this.uncompactedJobs.delete(jobId);
     const key = jobKey(jobId);
     const value = this.stateStore.replica.get(key)?.value;
     if (value === undefined || value instanceof FinishedJobSummary) return;
--- a/src/edge/state-store/image-cache-observer.ts
+++ b/src/edge/state-store/image-cache-observer.ts
@@ -92,7 +92,7 @@
 
   private observe(page: ReplicaEntry): void {
     const now = this.clock();
-    for (const { jobId, record } of this.pages.of(page)) {
+    for (const { jobId, record } of this.pages.entriesOf(page)) {
       if (record.assignments.length === 0) continue;
       const job = this.stateStore.replica.get(jobKey(jobId));
       if (job === undefined || job.value instanceof FinishedJobSummary) continue;
--- a/src/edge/state-store/task-counts.ts
+++ b/src/edge/state-store/task-counts.ts
@@ -9,7 +9,7 @@
   readonly assigned: number;
 }
 
-const NONE: TaskCount = { completed: 0, assigned: 0 };
+const NO_TASKS: TaskCount = { completed: 0, assigned: 0 };
 
 /** The task counts of all jobs: a question costs the same however many pages there are. */
 export class TaskCounts {
@@ -24,7 +24,7 @@
 
   /** The counts of a job; zero if the replica's pages hold nothing of it. */
   of(jobId: string): TaskCount {
-    return this.byJob.get(jobId) ?? NONE;
+    return this.byJob.get(jobId) ?? NO_TASKS;
   }
 
   private update(key: string, value: unknown): void {
--- a/test/memory-bounds.test.ts
+++ b/test/memory-bounds.test.ts
@@ -121,14 +121,14 @@
   const routine = images.start();
   copy.job('req-1', 'open');
   copy.place('req-1', ['m1', 'm2']);
-  assert.equal(pages.decoded, 1);
+  assert.equal(pages.decodedPageCount, 1);
   const entry = copy.replica.get(pageKey('all', 0));
   assert.ok(entry);
-  assert.equal(pages.of(entry)[0]?.record.assignments.length, 2);
-  assert.equal(pages.decoded, 1, 'a takeover takes nothing apart that was followed');
+  assert.equal(pages.entriesOf(entry)[0]?.record.assignments.length, 2);
+  assert.equal(pages.decodedPageCount, 1, 'a takeover takes nothing apart that was followed');
   leading = true;
   copy.place('req-1', ['m1']);
-  assert.equal(pages.decoded, 1);
+  assert.equal(pages.decodedPageCount, 1);
   routine.unsubscribe();
 });
 
