--- a/src/edge/state-store/revision-waiters.ts
+++ b/src/edge/state-store/revision-waiters.ts
@@ -30,7 +30,7 @@
   }
 
   /** Resolves all who wait for this revision or an earlier one. */
-  reach(revision: number): void {
+  resolveUpTo(revision: number): void {
     for (let index = this.waiters.length - 1; index >= 0; index--) {
       const waiter = this.waiters[index];
       if (waiter === undefined || waiter.revision > revision) continue;
--- a/src/edge/state-store/state-store-client.ts
+++ b/src/edge/state-store/state-store-client.ts
@@ -91,9 +91,9 @@
     if (outcome.kind === 'unknown') return { kind: 'unknown', reason: outcome.reason };
     switch (outcome.status) {
       case 200:
-        return this.committed(outcome.body);
+        return this.committedResult(outcome.body);
       case 409:
-        return this.conflict(outcome.body);
+        return this.conflictResult(outcome.body);
       case 400:
       case 429:
       case 503:
@@ -103,13 +103,13 @@
     }
   }
 
-  private committed(body: unknown): CommitResult {
+  private committedResult(body: unknown): CommitResult {
     const revision = parseCommitResponse(body);
     if (!revision.ok) return this.malformedResult('response without a revision');
     return { kind: 'committed', revision: revision.value };
   }
 
-  private conflict(body: unknown): CommitResult {
+  private conflictResult(body: unknown): CommitResult {
     const conflict = parseConflict(body);
     if (!conflict.ok) return this.malformedResult('conflict without keys');
     const { failedKeys, revision } = conflict.value;
@@ -159,7 +159,7 @@
     const path = keyRangePath(KEY_PREFIX, KEYS_PER_PAGE, after);
     const outcome = await this.requests.request('GET', path, undefined, KEY_RANGE_TIMEOUT_MS);
     if (outcome.kind !== 'answer' || outcome.status !== 200) return null;
-    return valueOf('key range response', parseKeyRange(outcome.body));
+    return valueOrThrow('key range response', parseKeyRange(outcome.body));
   }
 
   /** Waits for changes of this cluster's keys since a revision. Throws {@link MalformedMessageError}. */
@@ -169,11 +169,11 @@
     if (outcome.kind !== 'answer') return { kind: 'unavailable' };
     if (outcome.status === 410) return { kind: 'compacted' };
     if (outcome.status !== 200) return { kind: 'unavailable' };
-    return { kind: 'changes', batch: valueOf('watch response', parseWatchBatch(outcome.body)) };
+    return { kind: 'changes', batch: valueOrThrow('watch response', parseWatchBatch(outcome.body)) };
   }
 }
 
-function valueOf<T>(messageKind: string, parsed: ParseResult<T>): T {
+function valueOrThrow<T>(messageKind: string, parsed: ParseResult<T>): T {
   if (!parsed.ok) throw new MalformedMessageError(messageKind, parsed.reason);
   return parsed.value;
 }
--- a/src/edge/state-store/state-store.ts
+++ b/src/edge/state-store/state-store.ts
@@ -30,7 +30,7 @@
 /** The state store: a watched replica of this cluster's keys, transactions, leases and linearizable reads. */
 export class StateStore implements ReplicaView {
   private readonly client: StateStoreClient;
-  private readonly watched: WatchedReplica;
+  private readonly watchedReplica: WatchedReplica;
   private readonly barrier = new CoalescedRead(BARRIER_INTERVAL_MS, () => this.readBarrier());
   private syncedAt = 0n;
 
@@ -39,39 +39,39 @@
     private readonly logger: Logger,
   ) {
     this.client = new StateStoreClient(address, logger);
-    this.watched = new WatchedReplica(this.client, logger);
+    this.watchedReplica = new WatchedReplica(this.client, logger);
   }
 
   /** Loads the replica and keeps it up until unsubscribed. */
   start(): Subscription {
-    return this.watched.start();
+    return this.watchedReplica.start();
   }
 
   get replica(): ReadonlyMap<string, ReplicaEntry> {
-    return this.watched.replica;
+    return this.watchedReplica.replica;
   }
 
   get changes(): Observable<KeyChange> {
-    return this.watched.changes;
+    return this.watchedReplica.changes;
   }
 
   get reloading(): boolean {
-    return this.watched.reloading;
+    return this.watchedReplica.reloading;
   }
 
   /** The revision up to which the replica holds every change; negative while it was never loaded. */
   get revision(): number {
-    return this.watched.revision;
+    return this.watchedReplica.revision;
   }
 
   /** Whether the replica was ever loaded as a whole. */
   get loaded(): boolean {
-    return this.watched.loaded;
+    return this.watchedReplica.loaded;
   }
 
   /** The least time between two watch requests. A leader watches more closely than a follower. */
   set watchIntervalMs(intervalMs: number) {
-    this.watched.watchIntervalMs = intervalMs;
+    this.watchedReplica.watchIntervalMs = intervalMs;
   }
 
   /** A moment of which the replica is known to hold every earlier change: the sending of the last barrier it reached; 0n: none yet. */
@@ -81,19 +81,19 @@
 
   /** See {@link WatchedReplica.replaceWithSummary}. */
   replaceWithSummary(key: string, summary: FinishedJobSummary): void {
-    this.watched.replaceWithSummary(key, summary);
+    this.watchedReplica.replaceWithSummary(key, summary);
   }
 
   /** See {@link WatchedReplica.waitForRevision}. */
   waitForRevision(revision: number, timeoutMs: number): Promise<boolean> {
-    return this.watched.waitForRevision(revision, timeoutMs);
+    return this.watchedReplica.waitForRevision(revision, timeoutMs);
   }
 
   /** A linearizable read: true once the replica holds every change committed before this call. */
   async syncReplica(timeoutMs: number): Promise<boolean> {
     const barrier = await this.barrier.request();
     if (barrier === null) return false;
-    const synced = await this.watched.waitForRevision(barrier.revision, timeoutMs);
+    const synced = await this.watchedReplica.waitForRevision(barrier.revision, timeoutMs);
     if (synced && barrier.sentAt > this.syncedAt) this.syncedAt = barrier.sentAt;
     this.logger.debug({ barrier: barrier.revision, revision: this.revision, synced }, 'replica sync');
     return synced;
--- a/src/edge/state-store/watched-replica.ts
+++ b/src/edge/state-store/watched-replica.ts
@@ -14,8 +14,8 @@
 import type { StateStoreClient } from './state-store-client.js';
 
 const WATCH_INTERVAL_MS = 250;
-const WATCH_RETRY_MS = 300;
-const LOAD_RETRY_MS = 450;
+const WATCH_RETRY_DELAY_MS = 300;
+const LOAD_RETRY_DELAY_MS = 450;
 const NOT_LOADED = -1;
 
 /** A replica of this cluster's keys, by the state store's revisions. */
@@ -59,8 +59,8 @@
   }
 
   replaceWithSummary(key: string, summary: FinishedJobSummary): void {
-    const known = this.replica.get(key);
-    if (known !== undefined) this.replica.set(key, { value: summary, modRevision: known.modRevision });
+    const existing = this.replica.get(key);
+    if (existing !== undefined) this.replica.set(key, { value: summary, modRevision: existing.modRevision });
   }
 
   private async watch(signal: AbortSignal): Promise<void> {
@@ -80,7 +80,7 @@
     const result = await this.client.watch(this.currentRevision, AbortSignal.any([signal, abort.signal]));
     this.watchAbort = null;
     if (result.kind === 'compacted') return this.load(signal);
-    if (result.kind === 'unavailable') return sleep(jittered(WATCH_RETRY_MS), signal);
+    if (result.kind === 'unavailable') return sleep(jittered(WATCH_RETRY_DELAY_MS), signal);
     const { events, revision } = result.batch;
     for (const { key, value, modRevision } of events) this.apply(key, value, modRevision);
     this.advance(revision);
@@ -95,7 +95,7 @@
       if (signal.aborted) return;
       const page = await this.client.listKeys(after);
       if (page === null) {
-        await sleep(jittered(LOAD_RETRY_MS), signal);
+        await sleep(jittered(LOAD_RETRY_DELAY_MS), signal);
         continue;
       }
       // Pages are read one after the other: they are consistent only once the changes since the first are applied.
@@ -113,8 +113,8 @@
   }
 
   private apply(key: string, value: unknown, modRevision: number): void {
-    const known = this.replica.get(key);
-    if (known !== undefined && known.modRevision >= modRevision) return;
+    const existing = this.replica.get(key);
+    if (existing !== undefined && existing.modRevision >= modRevision) return;
     if (value === null || value === undefined) return this.remove(key);
     // Listeners rely on decodable values: an error thrown from within one would end the process.
     if (!isDecodable(key, value))
@@ -130,6 +130,6 @@
 
   private advance(revision: number): void {
     if (revision > this.currentRevision) this.currentRevision = revision;
-    this.waiters.reach(this.currentRevision);
+    this.waiters.resolveUpTo(this.currentRevision);
   }
 }
