--- a/src/edge/state-store/image-cache-observer.ts
+++ b/src/edge/state-store/image-cache-observer.ts
@@ -19,11 +19,11 @@
   readonly sizeGb: number;
 }
 
-const FETCH_START_MS = 2000;
-const FETCH_MARGIN = 1.5;
+const FETCH_STARTUP_MS = 2000;
+const FETCH_SAFETY_FACTOR = 1.5;
 /** After an assignment has stood this long its machine has the image, at the slowest fetch that is likely. */
-const fetchedAfterMs = (sizeGb: number, fetchGbPerS: number): number =>
-  FETCH_START_MS + (1000 * FETCH_MARGIN * sizeGb) / fetchGbPerS;
+const expectedFetchMs = (sizeGb: number, fetchGbPerS: number): number =>
+  FETCH_STARTUP_MS + (1000 * FETCH_SAFETY_FACTOR * sizeGb) / fetchGbPerS;
 
 /** A machine to which nothing was assigned for so long is forgotten. */
 const RETENTION_MS = 20 * 60_000;
@@ -74,8 +74,8 @@
     const now = this.clock();
     for (const [machineName, { images }] of this.byMachine)
       for (const [image, { sizeGb, firstSeenAt, lastSeenAt }] of images) {
-        const fetched = millisBetween(firstSeenAt, lastSeenAt) >= fetchedAfterMs(sizeGb, fetchGbPerS);
-        const recent = millisBetween(lastSeenAt, now) < RETENTION_MS;
+        const fetched = millisecondsBetween(firstSeenAt, lastSeenAt) >= expectedFetchMs(sizeGb, fetchGbPerS);
+        const recent = millisecondsBetween(lastSeenAt, now) < RETENTION_MS;
         if (fetched && recent) sightings.push({ machineName, image, sizeGb });
       }
     return sightings;
@@ -99,7 +99,7 @@
       const { image, imageGb } = decodeJob(job.value).spec;
       for (const { machineName } of record.assignments) this.record(machineName, image, imageGb, now);
     }
-    this.forgetOld(now);
+    this.removeExpired(now);
   }
 
   private record(machineName: string, image: string, sizeGb: number, now: bigint): void {
@@ -111,23 +111,23 @@
     // Inserted anew at the end, so that the order stays that of the last sighting.
     this.byMachine.delete(machineName);
     this.byMachine.set(machineName, machine);
-    const known = machine.images.get(image);
-    if (known !== undefined) {
-      known.lastSeenAt = now;
+    const existing = machine.images.get(image);
+    if (existing !== undefined) {
+      existing.lastSeenAt = now;
       return;
     }
-    for (const [other, { lastSeenAt }] of machine.images)
-      if (millisBetween(lastSeenAt, now) >= RETENTION_MS) machine.images.delete(other);
+    for (const [otherImage, { lastSeenAt }] of machine.images)
+      if (millisecondsBetween(lastSeenAt, now) >= RETENTION_MS) machine.images.delete(otherImage);
     machine.images.set(image, { sizeGb, firstSeenAt: now, lastSeenAt: now });
   }
 
   /** What is kept is bounded by time, not by a number: a fleet may be of any size. */
-  private forgetOld(now: bigint): void {
+  private removeExpired(now: bigint): void {
     for (const [machineName, { lastSeenAt }] of this.byMachine) {
-      if (millisBetween(lastSeenAt, now) < RETENTION_MS) return;
+      if (millisecondsBetween(lastSeenAt, now) < RETENTION_MS) return;
       this.byMachine.delete(machineName);
     }
   }
 }
 
-const millisBetween = (from: bigint, to: bigint): number => Number(to - from) / 1e6;
+const millisecondsBetween = (from: bigint, to: bigint): number => Number(to - from) / 1e6;
