--- a/src/edge/workers/keyed-task-queue.ts
+++ b/src/edge/workers/keyed-task-queue.ts
@@ -14,7 +14,7 @@
 export class KeyedTaskQueue {
   /** Tasks behind the running one, for each key that has one running. */
   private readonly waiting = new Map<string, QueuedTask[]>();
-  private readonly stop = new AbortController();
+  private readonly termination = new AbortController();
 
   /** How many keys have a running or waiting task. */
   get busyKeys(): number {
@@ -23,21 +23,21 @@
 
   /** Runs the task once the earlier ones of its key have ended; ignored after the end of the queue. */
   push(key: string, task: QueuedTask): void {
-    if (this.stop.signal.aborted) return;
+    if (this.termination.signal.aborted) return;
     const queue = this.waiting.get(key);
     if (queue !== undefined) {
       queue.push(task);
       return;
     }
-    const behind: QueuedTask[] = [];
-    this.waiting.set(key, behind);
-    void this.drain(key, task, behind);
+    const queued: QueuedTask[] = [];
+    this.waiting.set(key, queued);
+    void this.drain(key, task, queued);
   }
 
   /** The queue ends with the returned subscription: tasks that have not begun by then are dropped. */
   start(): Subscription {
     return new Subscription(() => {
-      this.stop.abort();
+      this.termination.abort();
       this.waiting.clear();
     });
   }
@@ -45,7 +45,7 @@
   private async drain(key: string, first: QueuedTask, queue: QueuedTask[]): Promise<void> {
     for (let task: QueuedTask | undefined = first; task !== undefined; task = queue.shift()) {
       await task();
-      if (this.stop.signal.aborted) return;
+      if (this.termination.signal.aborted) return;
     }
     this.waiting.delete(key);
   }
--- a/src/edge/workers/worker-command-sender.ts
+++ b/src/edge/workers/worker-command-sender.ts
@@ -49,9 +49,9 @@
 export class WorkerCommandSender {
   private readonly queue = new KeyedTaskQueue();
   private readonly connections: WorkerConnectionPool;
-  private readonly stop = new AbortController();
+  private readonly termination = new AbortController();
   /** Machines with a probe that waits or is in flight. */
-  private readonly probed = new Set<string>();
+  private readonly pendingProbes = new Set<string>();
 
   constructor(
     maxConnections: number,
@@ -68,7 +68,7 @@
     const routines = new Subscription();
     routines.add(this.queue.start());
     routines.add(() => {
-      this.stop.abort();
+      this.termination.abort();
     });
     routines.add(() => {
       this.connections.close();
@@ -80,16 +80,16 @@
   push(batch: CommandBatch): void {
     // One probe per machine: those to an unresponsive machine piled up behind one another, each costing a connection.
     if (isProbe(batch)) {
-      if (this.probed.has(batch.machineName)) return;
-      this.probed.add(batch.machineName);
+      if (this.pendingProbes.has(batch.machineName)) return;
+      this.pendingProbes.add(batch.machineName);
     }
     this.queue.push(batch.machineName, () => this.sendAndReport(batch));
   }
 
   private async sendAndReport(batch: CommandBatch): Promise<void> {
     const result = await this.send(batch);
-    if (this.stop.signal.aborted) return;
-    if (isProbe(batch)) this.probed.delete(batch.machineName);
+    if (this.termination.signal.aborted) return;
+    if (isProbe(batch)) this.pendingProbes.delete(batch.machineName);
     this.onResult(result);
   }
 
--- a/src/edge/workers/worker-connection-pool.ts
+++ b/src/edge/workers/worker-connection-pool.ts
@@ -64,16 +64,16 @@
   }
 
   private clientFor(endpoint: string): WorkerClient {
-    const known = this.clients.get(endpoint);
+    const existing = this.clients.get(endpoint);
     // Removed and inserted again, so that it is the most recently used.
     this.clients.delete(endpoint);
-    const worker = known ?? { client: new HttpClient(endpoint, 1), requestsInFlight: 0 };
+    const worker = existing ?? { client: new HttpClient(endpoint, 1), requestsInFlight: 0 };
     this.clients.set(endpoint, worker);
-    this.evictIdle(worker);
+    this.closeIdle(worker);
     return worker;
   }
 
-  private evictIdle(except: WorkerClient): void {
+  private closeIdle(except: WorkerClient): void {
     for (const [endpoint, worker] of this.clients) {
       if (this.clients.size <= this.maxConnections) break;
       if (worker.requestsInFlight > 0 || worker === except) continue;
