--- a/src/edge/cloud/cloud-client.ts
+++ b/src/edge/cloud/cloud-client.ts
@@ -47,7 +47,7 @@
     const response = await this.request('GET', CLOUD_PATHS.types, undefined, signal);
     if (response.kind !== 'answer' || response.status !== 200) return null;
     const parsed = parseMachineTypes(response.body);
-    return parsed.ok ? parsed.value : this.onMalformed(parsed.reason);
+    return parsed.ok ? parsed.value : this.logMalformed(parsed.reason);
   }
 
   /** The whole instance inventory, or null if any page of it could not be read. */
@@ -63,7 +63,7 @@
       );
       if (response.kind !== 'answer' || response.status !== 200) return null;
       const parsed = parseInventory(response.body);
-      if (!parsed.ok) return this.onMalformed(parsed.reason);
+      if (!parsed.ok) return this.logMalformed(parsed.reason);
       instances.push(...parsed.value.machines);
       if (!parsed.value.more) return instances;
     }
@@ -100,7 +100,7 @@
       const body = encodeScaleIn(machineNames);
       const response = await this.client.request(
         'POST',
-        CLOUD_PATHS.remove,
+        CLOUD_PATHS.release,
         body,
         REQUEST_TIMEOUT_MS,
         signal,
@@ -125,10 +125,10 @@
 
   private parseMachineNames(body: unknown): string[] | null {
     const parsed = parseScaleOutResponse(body);
-    return parsed.ok ? parsed.value : this.onMalformed(parsed.reason);
+    return parsed.ok ? parsed.value : this.logMalformed(parsed.reason);
   }
 
-  private onMalformed(reason: string): null {
+  private logMalformed(reason: string): null {
     warnRateLimited(this.logger, { reason }, 'malformed cloud response');
     return null;
   }
--- a/src/wire/cloud-protocol.ts
+++ b/src/wire/cloud-protocol.ts
@@ -11,7 +11,7 @@
 import { amount } from './schema-parts.js';
 
 /** Paths of the cloud's HTTP interface. */
-export const CLOUD_PATHS = { types: '/flavors', machines: '/machines', remove: '/machines/return' } as const;
+export const CLOUD_PATHS = { types: '/flavors', machines: '/machines', release: '/machines/return' } as const;
 
 const machineTypeList = z.object({
   builds: z.array(
