--- a/src/edge/cloud/cloud-client.ts
+++ b/src/edge/cloud/cloud-client.ts
@@ -65,7 +65,7 @@
       const parsed = parseInventory(response.body);
       if (!parsed.ok) return this.logMalformed(parsed.reason);
       instances.push(...parsed.value.machines);
-      if (!parsed.value.more) return instances;
+      if (!parsed.value.hasMore) return instances;
     }
   }
 
--- a/src/edge/state-store/watched-replica.ts
+++ b/src/edge/state-store/watched-replica.ts
@@ -105,7 +105,7 @@
         this.apply(key, value, modRevision);
         after = key;
       }
-      if (!page.more) break;
+      if (!page.hasMore) break;
     }
     for (const key of [...this.replica.keys()]) if (!loadedKeys.has(key)) this.remove(key);
     this.advance(firstRevision);
--- a/src/wire/cloud-protocol.ts
+++ b/src/wire/cloud-protocol.ts
@@ -69,7 +69,7 @@
 export interface InventoryPage {
   readonly machines: CloudInstance[];
   /** Whether further pages follow. */
-  readonly more: boolean;
+  readonly hasMore: boolean;
 }
 
 /** Decodes one page of the instance list. */
@@ -84,7 +84,7 @@
       state: instance.standing,
       age: seconds(instance.ageS),
     })),
-    more: hasNext,
+    hasMore: hasNext,
   }));
 }
 
--- a/src/wire/controller-status-frame.ts
+++ b/src/wire/controller-status-frame.ts
@@ -26,7 +26,7 @@
 const FLAG_LEADER = 1;
 const CONTACT_NEVER = 0xffffffff;
 /** The most bytes that a frame may have, header included. */
-export const FRAME_LIMIT = 512;
+export const MAX_FRAME_BYTES = 512;
 
 function encodeContact(contactMs: number | null): number {
   if (contactMs === null) return CONTACT_NEVER;
@@ -72,7 +72,7 @@
     while (this.buffered.length >= HEADER_BYTES) {
       if (this.buffered.readUInt16BE(0) !== MAGIC) throw new MalformedFrameError('not a frame');
       const frameBytes = HEADER_BYTES + this.buffered.readUInt16BE(4);
-      if (frameBytes > FRAME_LIMIT) throw new MalformedFrameError('too long');
+      if (frameBytes > MAX_FRAME_BYTES) throw new MalformedFrameError('too long');
       if (this.buffered.length < frameBytes) break;
       const known = this.buffered.readUInt8(2) === VERSION && this.buffered.readUInt8(3) === KIND_STATUS;
       if (known) statuses.push(decodeStatus(this.buffered.subarray(HEADER_BYTES, frameBytes)));
--- a/src/wire/page-record.ts
+++ b/src/wire/page-record.ts
@@ -8,7 +8,7 @@
 import { MalformedRecordError } from './errors.js';
 
 /** How much of a malformed row or name an error shows. */
-const SHOWN_CHARACTERS = 40;
+const MAX_SHOWN_CHARACTERS = 40;
 
 /** Completed tasks as runs `first-last`, or `first` alone. */
 function encodeRuns(tasks: readonly number[]): string {
@@ -39,7 +39,7 @@
   try {
     return decodeURIComponent(text);
   } catch (e) {
-    throw new MalformedRecordError('page', `name "${text.slice(0, SHOWN_CHARACTERS)}"`, { cause: e });
+    throw new MalformedRecordError('page', `name "${text.slice(0, MAX_SHOWN_CHARACTERS)}"`, { cause: e });
   }
 }
 
@@ -62,19 +62,19 @@
 
 /** Encodes a page of chunk records; `zones` are the cluster's zones, in the order of the settings. */
 export function encodePage(entries: readonly PageEntry[], zones: readonly string[]): string {
-  const table = new ZoneTable(zones);
+  const zoneTable = new ZoneTable(zones);
   const zonesKey = zones.join();
   const rows = entries.map((entry) => {
     const cachedRows = encodedRows.get(entry.record) ?? new Map<string, string>();
     encodedRows.set(entry.record, cachedRows);
     const cached = cachedRows.get(zonesKey);
     if (cached !== undefined) return cached;
-    const row = encodeRow(entry, table);
+    const row = encodeRow(entry, zoneTable);
     // A row after which a zone was appended, now or before, depends on what else the page holds.
-    if (table.names.length === zones.length) cachedRows.set(zonesKey, row);
+    if (zoneTable.names.length === zones.length) cachedRows.set(zonesKey, row);
     return row;
   });
-  return [table.names.map(escapeName).join(','), ...rows].join('|');
+  return [zoneTable.names.map(escapeName).join(','), ...rows].join('|');
 }
 
 function encodeRow({ jobId, chunkIndex, record }: PageEntry, zones: ZoneTable): string {
@@ -93,14 +93,14 @@
 /** Decodes a page of chunk records; throws {@link MalformedRecordError}. */
 export function decodePage(value: unknown): PageEntry[] {
   if (typeof value !== 'string') throw new MalformedRecordError('page', 'not a text');
-  const [head = '', ...rows] = value.split('|');
-  const zones = head === '' ? [] : head.split(',').map(unescapeName);
+  const [zoneSection = '', ...rows] = value.split('|');
+  const zones = zoneSection === '' ? [] : zoneSection.split(',').map(unescapeName);
   return rows.map((row) => decodeRow(row, zones));
 }
 
 function decodeRow(row: string, zones: readonly string[]): PageEntry {
   const match = ROW.exec(row);
-  if (match === null) throw new MalformedRecordError('page', `row "${row.slice(0, SHOWN_CHARACTERS)}"`);
+  if (match === null) throw new MalformedRecordError('page', `row "${row.slice(0, MAX_SHOWN_CHARACTERS)}"`);
   const [, jobId = '', chunk, attempt, runs = '', assigned = ''] = match;
   return {
     jobId,
@@ -134,14 +134,14 @@
 /** The beginning of a row, up to its counts. */
 const ROW_HEAD = /^([^/ ]+)\/\d+ a\d+ c(\d+),(\d+) /;
 /** Longer than the beginning of any row, whose job id has at most 22 characters. */
-const MAX_ROW_HEAD = 79;
+const MAX_ROW_HEAD_LENGTH = 79;
 
 /** The task counts of a page's chunks, read without decoding the page; none if the value is not a page. */
 export function taskCountsIn(value: unknown): ChunkTaskCount[] {
   if (typeof value !== 'string') return [];
   const counts: ChunkTaskCount[] = [];
   for (let separator = value.indexOf('|'); separator >= 0; separator = value.indexOf('|', separator + 1)) {
-    const match = ROW_HEAD.exec(value.slice(separator + 1, separator + 1 + MAX_ROW_HEAD));
+    const match = ROW_HEAD.exec(value.slice(separator + 1, separator + 1 + MAX_ROW_HEAD_LENGTH));
     if (match === null) continue;
     counts.push({ jobId: match[1] ?? '', completed: Number(match[2]), assigned: Number(match[3]) });
   }
--- a/src/wire/state-store-protocol.ts
+++ b/src/wire/state-store-protocol.ts
@@ -99,7 +99,7 @@
 export interface KeyRangePage {
   readonly items: readonly KeyValue[];
   /** Whether further pages follow. */
-  readonly more: boolean;
+  readonly hasMore: boolean;
   readonly revision: number;
 }
 
@@ -107,7 +107,7 @@
 export const parseKeyRange = (body: unknown): ParseResult<KeyRangePage> =>
   parseBody(keyRangeResponse, body, ({ items, hasNext, ledgerRev }) => ({
     items: items.map(({ key, value, stamp }) => ({ key, value, modRevision: stamp })),
-    more: hasNext,
+    hasMore: hasNext,
     revision: ledgerRev,
   }));
 
--- a/src/wire/user-protocol.ts
+++ b/src/wire/user-protocol.ts
@@ -36,7 +36,7 @@
 });
 type Submission = z.infer<typeof submission>;
 
-const KINDS: Record<Submission['shape'], JobKind> = {
+const JOB_KINDS: Record<Submission['shape'], JobKind> = {
   batch: 'array',
   ensemble: 'gang',
   service: 'service',
@@ -74,7 +74,7 @@
     id: message.ref,
     class: message.docket,
     team: message.desk,
-    kind: KINDS[message.shape],
+    kind: JOB_KINDS[message.shape],
     priority: PRIORITIES[message.precedence],
     taskCount: message.tickets,
     cpus: message.vcpus,
--- a/src/wire/worker-protocol.ts
+++ b/src/wire/worker-protocol.ts
@@ -15,7 +15,7 @@
 const taskName = z.string().regex(/^.{1,200}\/[0-9]{1,9}$/);
 
 /** Unknown fields are dropped. */
-const hello = z.object({
+const heartbeatMessage = z.object({
   rig: z.string().min(1),
   endpoint: z.string().min(1),
   build: z.string(),
@@ -49,10 +49,10 @@
   // Hundreds come a second: the plain form is decoded directly, and what deviates from it in any way goes to the schema.
   const plain = parsePlainHeartbeat(body);
   if (plain !== null) return { ok: true, value: plain };
-  return parseBody(hello, body, heartbeatOf);
+  return parseBody(heartbeatMessage, body, heartbeatOf);
 }
 
-function heartbeatOf(message: z.infer<typeof hello>): Heartbeat {
+function heartbeatOf(message: z.infer<typeof heartbeatMessage>): Heartbeat {
   return {
     machineName: message.rig,
     endpoint: message.endpoint,
@@ -138,7 +138,7 @@
   };
 }
 
-const VERBS = { start: 'run', stop: 'halt', forget: 'forget' } as const;
+const COMMAND_VERBS = { start: 'run', stop: 'halt', forget: 'forget' } as const;
 
 /** Encodes commands for one worker. Without an agent epoch they are meant for whichever agent process runs there. */
 export function encodeCommands(
@@ -150,7 +150,7 @@
     baton: fencingToken,
     shift: agentEpoch,
     orders: commands.map((command) => ({
-      verb: VERBS[command.op],
+      verb: COMMAND_VERBS[command.op],
       ticket: `${command.jobId}/${command.taskIndex}`,
       try: command.attempt,
       windDownS: command.op === 'stop' ? (command.gracePeriodS ?? 0) : undefined,
--- a/test/golden-records.test.ts
+++ b/test/golden-records.test.ts
@@ -7,7 +7,7 @@
 import { seconds, type Timestamp } from '../src/core/model/time.js';
 import { encode } from '../src/wire/cbor.js';
 import {
-  FRAME_LIMIT,
+  MAX_FRAME_BYTES,
   FrameReader,
   encodeStatus,
   type ControllerStatus,
@@ -263,7 +263,7 @@
     assert.equal(encodeStatus(status).toString('hex'), bytes, what);
     assert.deepEqual(new FrameReader().push(Buffer.from(bytes, 'hex')), [status], what);
   }
-  assert.equal(FRAME_LIMIT, 512);
+  assert.equal(MAX_FRAME_BYTES, 512);
 });
 
 test('in a frame the contact time is rounded, and a label is cut at 255 bytes', () => {
--- a/test/golden-requests.test.ts
+++ b/test/golden-requests.test.ts
@@ -460,7 +460,7 @@
 test('cloud requests are encoded and their responses parsed in the bytes of the interface', async () => {
   const order = { type: 'g8', zone: 'a', spot: true, count: 12 };
   assert.deepEqual(valueOf(parseMachineTypes(valueIn(FLAVORS))), types);
-  assert.deepEqual(valueOf(parseInventory(valueIn(MACHINES))), { machines: listed, more: true });
+  assert.deepEqual(valueOf(parseInventory(valueIn(MACHINES))), { machines: listed, hasMore: true });
   assertBytes(encode(encodeScaleOut('r-17', order)), RENTAL);
   assertBytes(encode(encodeScaleIn(['n-000231', 'n-000232'])), RETURN);
   assert.equal(inventoryPath(null, 500), '/machines?page=500');
--- a/test/watched-replica.test.ts
+++ b/test/watched-replica.test.ts
@@ -45,7 +45,7 @@
   ...keys: [key: string, modRevision: number][]
 ): KeyRangePage => ({
   items: keys.map(([key, modRevision]) => ({ key, value: `${key}@${modRevision}`, modRevision })),
-  more,
+  hasMore: more,
   revision,
 });
 
