--- a/src/edge/service.ts
+++ b/src/edge/service.ts
@@ -43,10 +43,10 @@
   readonly config: ClusterConfig;
   readonly stateStore: StateStore;
   readonly cloud: CloudClient;
-  readonly memory: MemoryMonitor;
+  readonly memoryMonitor: MemoryMonitor;
   readonly connectionLimits: ConnectionLimits;
   readonly versions: ControllerVersions;
-  readonly requests: RequestHandler;
+  readonly requestHandler: RequestHandler;
 }
 
 /** Starts a controller; everything it runs ends with the subscription that this returns. */
@@ -59,7 +59,7 @@
 ): Subscription {
   const options: ServiceOptions = { platform, settings, features, logger };
   const components = createComponents(options);
-  const { stateStore, cloud, memory, versions, requests } = components;
+  const { stateStore, cloud, memoryMonitor, versions, requestHandler } = components;
   const pageCache = new DecodedPageCache();
   const imageObserver = new ImageCacheObserver(
     stateStore,
@@ -71,14 +71,14 @@
   const peers = createPeerLinks(options, stateStore, election);
 
   const service = new Subscription();
-  service.add(memory.start());
-  service.add(new FinishedJobCompactor(stateStore, requests.counts).start());
+  service.add(memoryMonitor.start());
+  service.add(new FinishedJobCompactor(stateStore, requestHandler.counts).start());
   service.add(imageObserver.start());
   service.add(stateStore.start());
   service.add(peers.start());
   service.add(versions.start());
   service.add(election.start());
-  service.add(startMachineTypeRefresh(cloud, logger, (types) => (requests.machineTypes = types)));
+  service.add(startMachineTypeRefresh(cloud, logger, (types) => (requestHandler.machineTypes = types)));
   service.add(startContactProbe(stateStore, logger));
   service.add(startApi(options, components, election, peers, onFatal));
   return service;
@@ -89,12 +89,18 @@
   const config = clusterConfigFrom(platform);
   const stateStore = new StateStore(external.state, logger);
   const cloud = new CloudClient(external.cloud, facts.cloud.rps, logger);
-  const memory = new MemoryMonitor(facts.limits?.memory_mb ?? null, logger);
+  const memoryMonitor = new MemoryMonitor(facts.limits?.memory_mb ?? null, logger);
   const connectionLimits = connectionLimitsFor(facts.limits?.max_sockets ?? null);
   const peerLabels = platform.known.map((peer) => peer.label);
   const versions = new ControllerVersions(stateStore, platform.label, peerLabels, logger);
-  const requests = new RequestHandler(stateStore, config, versions, logger, () => memory.underPressure);
-  return { config, stateStore, cloud, memory, connectionLimits, versions, requests };
+  const requestHandler = new RequestHandler(
+    stateStore,
+    config,
+    versions,
+    logger,
+    () => memoryMonitor.underPressure,
+  );
+  return { config, stateStore, cloud, memoryMonitor, connectionLimits, versions, requestHandler };
 }
 
 function createElection(
@@ -142,18 +148,18 @@
 
 function startApi(
   { platform, logger }: ServiceOptions,
-  { stateStore, requests, connectionLimits }: Components,
+  { stateStore, requestHandler, connectionLimits }: Components,
   election: LeaderElection,
   peers: PeerLinks,
   onFatal: (reason: string) => void,
 ): Subscription {
   return startHttpServer({
     address: platform.api_addr,
-    requests,
+    requests: requestHandler,
     logger,
     isHealthy: () =>
       isHealthy({
-        ready: requests.ready,
+        ready: requestHandler.ready,
         replicaAgeMs: millisecondsSince(stateStore.lastSyncedAt),
         isLeader: election.currentTerm !== null,
         overloaded: election.currentTerm?.overloaded === true,
