--- a/src/edge/leadership/leader-election.ts
+++ b/src/edge/leadership/leader-election.ts
@@ -20,7 +20,7 @@
 /** After stepping down this process claims nothing for so long (in nanoseconds): others are to become the leader. */
 const STEP_DOWN_PAUSE_NS = 15_000_000_000n;
 const LEADER_WATCH_INTERVAL_MS = 100;
-const FOLLOWER_WATCH_INTERVAL_MS = 250;
+const STANDBY_WATCH_INTERVAL_MS = 250;
 const MIN_LEASE_S = 2.5;
 const MAX_LEASE_S = 5;
 const RENEWALS_PER_LEASE = 4;
@@ -146,7 +146,7 @@
         },
         onEnd: () => {
           if (this.term === term) this.term = null;
-          stateStore.watchIntervalMs = FOLLOWER_WATCH_INTERVAL_MS;
+          stateStore.watchIntervalMs = STANDBY_WATCH_INTERVAL_MS;
           this.wakeSignal.wake();
         },
       },
