--- a/src/edge/leadership/cloud-poller.ts
+++ b/src/edge/leadership/cloud-poller.ts
@@ -1,6 +1,6 @@
 /**
- * @file Polls the cloud for a leader's term: instance inventory and machine types become events of the core. It owns
- * the polling intervals and nothing else; it must never change anything in the cloud.
+ * @file Polls the cloud during a leader's term and dispatches the instance inventory and the machine types to the
+ * core as events. It owns only the polling intervals; it must never change anything in the cloud.
  */
 import type { Subscription } from 'rxjs';
 import type { MachineType } from '../../core/model/machine.js';
@@ -13,7 +13,7 @@
 const MACHINE_TYPES_INTERVAL_MS = 60_000;
 const RETRY_DELAY_MS = 1000;
 
-/** Polls the cloud for its instances and their types for as long as the term lasts. */
+/** Polls the cloud for its instances and machine types while the term lasts. */
 export class CloudPoller {
   private imagesReported = false;
 
@@ -29,7 +29,7 @@
 
   private async pollInventory(signal: AbortSignal): Promise<void> {
     const { cloud, config } = this.term.dependencies;
-    // The inventory lags behind anyway: polling more often than it changes shows nothing new.
+    // The inventory lags behind the cloud, so polling more often than it changes returns nothing new.
     const intervalMs = Math.max(MIN_INVENTORY_INTERVAL_MS, Number(config.inventoryLag) / 1e6);
     while (!signal.aborted) {
       const requestedAt = monotonicNow();
@@ -53,7 +53,10 @@
     }
   }
 
-  /** Dispatches what this controller observed as a follower: once, as soon as the rates of image fetches are known. */
+  /**
+   * Dispatches the images that this controller observed as a standby: once, as soon as the image fetch rates are
+   * available.
+   */
   private reportCachedImages(types: readonly MachineType[]): void {
     this.imagesReported = true;
     const fetchRates = types.map((type) => type.fetchGbPerS).filter((rate) => rate > 0);
--- a/src/edge/leadership/commit-loop.ts
+++ b/src/edge/leadership/commit-loop.ts
@@ -1,6 +1,6 @@
 /**
  * @file The loop that commits the leader's transactions to the state store, one at a time. It owns the transaction in
- * flight: it repeats it until its result is known, and must never begin another one before.
+ * flight: it retries that transaction until its result is available, and must never start another one before then.
  */
 import type { Subscription } from 'rxjs';
 import { operationCount, type Transaction } from '../../core/model/transaction.js';
@@ -16,13 +16,16 @@
 import { encodeConditions, encodeWrites } from './transaction-encoding.js';
 import { WriteBudget } from './write-budget.js';
 
-/** The core batches changes for a while, and no event marks the end of that: the loop polls it at this interval. */
+/**
+ * The loop polls the core at this interval, because the core batches changes for a while and no event marks the end
+ * of a batch.
+ */
 const IDLE_INTERVAL_MS = 500;
 const FIRST_RETRY_DELAY_MS = 100;
 const MAX_RETRY_DELAY_MS = 1500;
 const CONFLICT_SYNC_TIMEOUT_MS = 2000;
 
-/** How the state store refuses a transaction for too many requests or writes. */
+/** The reason with which the state store client reports a refusal for too many requests or writes. */
 const RATE_LIMITED = 'status 429';
 
 type Conflict = Extract<CommitResult, { kind: 'conflict' }>;
@@ -49,18 +52,18 @@
     return routines;
   }
 
-  /** There may be something to commit. */
+  /** Wakes the loop because there may be something to commit. */
   wake(): void {
     this.wakeSignal.wake();
   }
 
-  /** Has the fencing token advanced before the next transaction. */
+  /** Requests an advance of the fencing token before the next transaction. */
   requestTokenAdvance(reason: string): void {
     this.tokenAdvancer.request(reason);
     this.wake();
   }
 
-  /** A submission or cancellation by a user was seen: such writes go before the leader's. */
+  /** Records that a user's submission or cancellation was observed: such writes take precedence over the leader's. */
   recordUserWrite(): void {
     this.budget.recordUserWrite();
   }
@@ -80,7 +83,7 @@
     }
   }
 
-  /** Sends a transaction until its result is known. Its compare conditions make it idempotent. */
+  /** Sends a transaction and retries it until its result is available. Its compare conditions make it idempotent. */
   private async commit(transaction: Transaction, signal: AbortSignal): Promise<void> {
     const { stateStore, logger, partition, config } = this.term.dependencies;
     const leaderCondition = this.key.condition(transaction.fencingToken);
@@ -105,7 +108,7 @@
     this.term.dispatch({ kind: 'transaction-committed', transaction, modRevision });
   }
 
-  /** Refused for too many writes: from now on the state store takes what it announced, if that is less. */
+  /** After a refusal for too many writes, lowers the write limit to the announced one, if that one is lower. */
   private onRefused(reason: string): void {
     if (reason === RATE_LIMITED)
       this.budget.lowerMaxWrites(this.term.dependencies.announcedMaxWritesPerSecond);
@@ -118,9 +121,9 @@
     signal: AbortSignal,
   ): Promise<void> {
     const { stateStore, logger, partition } = this.term.dependencies;
-    // What the conflict means can only be read from a replica that holds it: an older one still shows the mod revisions
-    // that the transaction was conditioned on, and taking those for what it left behind would fail every later write
-    // of the page.
+    // A conflict can be resolved only against a replica that has reached the conflict's revision. An older replica
+    // still shows the mod revisions that the transaction was conditioned on. If those were taken for the result of
+    // the transaction, every later write of the page would fail.
     while (!(await stateStore.waitForRevision(revision, CONFLICT_SYNC_TIMEOUT_MS)))
       if (isAborted(signal)) return;
     if (await this.key.endTermIfLost()) return;
--- a/src/edge/leadership/conflict-resolution.ts
+++ b/src/edge/leadership/conflict-resolution.ts
@@ -1,6 +1,6 @@
 /**
- * @file What a conflict of one of the leader's transactions means, by a replica that holds the conflict's revision.
- * Pure functions: they decide, and the commit loop acts.
+ * @file Determines what a conflict of one of the leader's transactions means, from a replica that has reached the
+ * conflict's revision. Pure functions: they decide, and the commit loop acts.
  */
 import type { JobStatus } from '../../core/model/job.js';
 import type { Transaction } from '../../core/model/transaction.js';
@@ -9,24 +9,24 @@
 import type { ReplicaView } from '../state-store/replica-view.js';
 import type { StateStore } from '../state-store/state-store.js';
 
-/** What is known of a transaction that conflicted while this process is still the leader. */
+/** A transaction that conflicted while this process is still the leader. */
 export interface TransactionConflict {
   readonly transaction: Transaction;
   readonly failedKeys: readonly string[];
-  /** An earlier attempt had no answer: it may have been committed, and then the repeat conflicts with it. */
+  /** True if an earlier attempt had no usable answer: if it was committed, the retry conflicts with it. */
   readonly earlierOutcomeUnknown: boolean;
 }
 
-/** What a conflict means. */
+/** The meaning of a conflict. */
 export type ConflictResolution =
-  /** The earlier attempt without an answer was committed. */
+  /** The earlier attempt, whose outcome was unknown, was committed. */
   | { readonly kind: 'already-committed'; readonly modRevision: number }
-  /** Somebody else wrote one of the pages: this process must not go on as leader. */
+  /** Another process wrote one of the pages: this process must not continue as leader. */
   | { readonly kind: 'foreign-page-write' }
-  /** A job changed in the meantime: the core plans its next transaction with the change. */
+  /** A job changed in the meantime: the core takes the change into account in its next transaction. */
   | { readonly kind: 'rejected' };
 
-/** Resolves a conflict by the replica. */
+/** Resolves a conflict from the contents of the replica. */
 export function resolveConflict(
   conflict: TransactionConflict,
   stateStore: Pick<StateStore, 'replica' | 'revision'>,
@@ -34,14 +34,14 @@
 ): ConflictResolution {
   const { transaction, failedKeys, earlierOutcomeUnknown } = conflict;
   const changedPage = transaction.pages.find((page) => failedKeys.includes(pageKey(partition, page.id)));
-  // Pages have one writer: a page that changed was written by an earlier attempt of this very transaction.
+  // Pages have a single writer, so a page that changed was written by an earlier attempt of the same transaction.
   if (changedPage !== undefined) {
     const entry = stateStore.replica.get(pageKey(partition, changedPage.id));
     return earlierOutcomeUnknown && entry !== undefined
       ? { kind: 'already-committed', modRevision: entry.modRevision }
       : { kind: 'foreign-page-write' };
   }
-  // Without pages only the jobs' own records can show whether the earlier attempt was committed.
+  // If the transaction has no pages, only the jobs' own records can show whether the earlier attempt was committed.
   if (
     earlierOutcomeUnknown &&
     transaction.pages.length === 0 &&
@@ -51,7 +51,7 @@
   return { kind: 'rejected' };
 }
 
-/** Whether the replica shows all jobs of a transaction as the transaction would leave them. */
+/** True if the replica shows every job of a transaction with the status that the transaction gives it. */
 function areJobsRecorded(transaction: Transaction, replica: ReplicaView['replica']): boolean {
   const statusOf = (id: string): JobStatus | null => {
     const entry = replica.get(jobKey(id));
--- a/src/edge/leadership/effect-executor.ts
+++ b/src/edge/leadership/effect-executor.ts
@@ -1,6 +1,6 @@
 /**
- * @file Executes the effects of the core during a term: commands, scaling, fencing, records of zones, log lines. It owns
- * the numbering of scale-out requests; it takes no decision of its own.
+ * @file Executes the effects of the core during a term: commands, scaling, fencing, zone records and log lines. It
+ * owns the numbering of scale-out requests; it makes no decisions of its own.
  */
 import type { Effect } from '../../core/model/effects.js';
 import type { ScaleOutRequest } from '../../core/model/scale-out.js';
@@ -11,7 +11,7 @@
 import type { TermContext } from './term-context.js';
 import type { ZoneRecordWriter } from './zone-record-writer.js';
 
-/** The routines of a term that effects are handed to. */
+/** The components of a term to which effects are passed. */
 export interface EffectTargets {
   readonly commandSender: WorkerCommandSender;
   readonly commitLoop: CommitLoop;
@@ -20,18 +20,18 @@
 
 type SendCommands = Extract<Effect, { kind: 'send-commands' }>;
 
-/** Executes effects in the order in which it is given them. */
+/** Executes effects in the order in which they are passed to it. */
 export class EffectExecutor {
   private scaleOutCount = 0;
 
   constructor(
     private readonly term: TermContext,
     private readonly targets: EffectTargets,
-    /** Given at the end of the term: requests to the cloud are not repeated after it. */
+    /** Aborted at the end of the term, after which requests to the cloud are not retried. */
     private readonly signal: AbortSignal,
   ) {}
 
-  /** Executes one effect; answers come back as events. */
+  /** Executes one effect; answers are dispatched to the core as events. */
   execute(effect: Effect): void {
     switch (effect.kind) {
       case 'log':
@@ -68,8 +68,8 @@
 
   private scaleOut(request: ScaleOutRequest): void {
     const { cloud, logger } = this.term.dependencies;
-    // The first fencing token of a term is committed and belongs to this process alone: names made of it are never
-    // reused, which makes the request idempotent.
+    // The first fencing token of a term is committed and belongs to this process alone. Names that contain it are
+    // therefore never reused, which makes the request idempotent.
     const name = `r-${this.term.scheduler.state.term.firstFencingToken}-${++this.scaleOutCount}`;
     this.term.dispatch({ kind: 'scale-out-started', name, request });
     void cloud.scaleOut(name, request, this.signal).then((machines) => {
@@ -92,7 +92,7 @@
     const { onStepDown, stateStore } = this.term.dependencies;
     this.term.end({ kind: 'stepped-down', cause });
     onStepDown();
-    // Without its lease the leader key is deleted at once, and another controller can become the leader.
+    // Revoking the lease deletes the leader key at once, so that another controller can become the leader.
     void stateStore.revokeLease(this.term.leaseId);
   }
 }
--- a/src/edge/leadership/fencing-token-advancer.ts
+++ b/src/edge/leadership/fencing-token-advancer.ts
@@ -1,6 +1,6 @@
 /**
- * @file Advances the fencing token within a term, on request of the core. It owns the pending request; it runs inside
- * the commit loop, so that no transaction is in flight under the token that is replaced.
+ * @file Advances the fencing token within a term at the request of the core. It owns the pending request; it runs
+ * inside the commit loop, so that no transaction is in flight under the token that is replaced.
  */
 import { isAborted } from '../runtime/supervised-task.js';
 import type { LeaderKey } from './leader-key.js';
@@ -15,12 +15,12 @@
     private readonly key: LeaderKey,
   ) {}
 
-  /** Has the token advanced before the next transaction. */
+  /** Requests an advance of the token before the next transaction. */
   request(reason: string): void {
     this.requestReason = reason;
   }
 
-  /** Makes one attempt if an advance was requested; the core requests another one if the attempt fails. */
+  /** Makes one attempt if an advance was requested; if the attempt fails, the core requests another advance. */
   async advanceIfRequested(signal: AbortSignal): Promise<void> {
     if (this.requestReason === null) return;
     const { logger, stateStore } = this.term.dependencies;
--- a/src/edge/leadership/leader-election.ts
+++ b/src/edge/leadership/leader-election.ts
@@ -1,6 +1,6 @@
 /**
- * @file The election: claims the leader key when it is free, and begins a term with it. It owns the current term of
- * this process; it must never begin one while another of its own goes on.
+ * @file Leader election: claims the leader key when it is free and then starts a term. It owns this process's current
+ * term; it must never start a term while another term of this process is running.
  */
 import type { Subscription } from 'rxjs';
 import type { ClusterConfig } from '../../core/model/cluster-config.js';
@@ -17,7 +17,7 @@
 
 const ATTEMPT_INTERVAL_MS = 700;
 const CLAIM_SYNC_TIMEOUT_MS = 5000;
-/** After stepping down this process claims nothing for so long (in nanoseconds): others are to become the leader. */
+/** How long this process makes no claims after stepping down (in nanoseconds), so that another becomes the leader. */
 const STEP_DOWN_PAUSE_NS = 15_000_000_000n;
 const LEADER_WATCH_INTERVAL_MS = 100;
 const STANDBY_WATCH_INTERVAL_MS = 250;
@@ -25,21 +25,24 @@
 const MAX_LEASE_S = 5;
 const RENEWALS_PER_LEASE = 4;
 
-/** What a controller needs to become the leader. */
+/** What a controller needs to take part in the leader election. */
 export interface LeaderElectionDependencies extends Omit<
   TermDependencies,
   'leaderRecord' | 'onEnd' | 'onStepDown'
 > {
   readonly label: string;
-  /** Identifies this process among all that ever had the label. */
+  /** Identifies this process among all processes that ever ran under the label. */
   readonly incarnation: string;
 }
 
-/** Short enough for a failover well before a worker's lease expires, long enough to outlast a slow moment. */
+/**
+ * The duration of the leadership lease in milliseconds: short enough for a failover well before a worker lease
+ * expires, long enough to outlast a brief slowdown.
+ */
 const leadershipLeaseMs = (config: ClusterConfig): number =>
   Math.round(Math.min(MAX_LEASE_S, Math.max(MIN_LEASE_S, toSeconds(config.workerLease) / 4)) * 1000);
 
-/** Becomes the leader when there is none, and knows who the leader is. */
+/** Becomes the leader when there is none, and reports which controller is the leader. */
 export class LeaderElection {
   private term: LeaderTerm | null = null;
   private readonly wakeSignal = new WakeSignal();
@@ -53,18 +56,18 @@
     this.key = leaderKey(partition);
   }
 
-  /** This process's term as leader; null while it is a follower. */
+  /** This process's term as leader, or null while it is a standby. */
   get currentTerm(): LeaderTerm | null {
     return this.term;
   }
 
-  /** The label of the present leader, as far as the replica shows it. */
+  /** The label of the current leader according to the replica, or null if there is none. */
   leaderLabel(): string | null {
     const entry = this.dependencies.stateStore.replica.get(this.key);
     return entry === undefined ? null : decodeLeader(entry.value).label;
   }
 
-  /** Takes part in the election until unsubscribed, which also ends a term. */
+  /** Takes part in the election until unsubscribed; unsubscribing also ends the current term. */
   start(): Subscription {
     const { stateStore, logger } = this.dependencies;
     const routines = supervise('leader election', logger, (signal) => this.run(signal));
@@ -107,11 +110,14 @@
   private mayClaim(currentEntry: ReplicaEntry | undefined): boolean {
     if (currentEntry === undefined) return true;
     const leader = decodeLeader(currentEntry.value);
-    // An earlier process under this label has surely ended: there is one process per label at a time.
+    // An earlier process with this label has certainly ended, because only one process per label runs at a time.
     return leader.label === this.record.label && leader.incarnation !== this.record.incarnation;
   }
 
-  /** Writes the leader key on condition that it is as known; returns its mod revision, or null without a leadership. */
+  /**
+   * Writes the leader key on condition that it still has the state of `currentEntry`. Returns the key's new mod
+   * revision, or null if this process did not become the leader.
+   */
   private async claim(
     currentEntry: ReplicaEntry | undefined,
     leaseId: number,
@@ -122,13 +128,14 @@
       [{ key: this.key, modRevision: currentEntry?.modRevision ?? 0 }],
       [{ kind: 'put', key: this.key, value: this.record, leaseId }],
     );
-    // Stopped meanwhile: nobody would end a term that begins now. The lease expires by itself.
+    // The election was stopped in the meantime, so nothing would end a term that starts now. The lease expires by
+    // itself.
     if (isAborted(signal)) return null;
     if (
       result.kind !== 'committed' ||
       !(await stateStore.waitForRevision(result.revision, CLAIM_SYNC_TIMEOUT_MS))
     ) {
-      // Whatever the result of the claim, the key must not stay with a lease that nobody renews.
+      // Whatever the result of the claim, the key must not stay attached to a lease that nothing renews.
       await stateStore.revokeLease(leaseId);
       return null;
     }
--- a/src/edge/leadership/leader-key.ts
+++ b/src/edge/leadership/leader-key.ts
@@ -1,6 +1,6 @@
 /**
- * @file The leader key in the state store: whoever wrote it last is the leader, and its mod revision is the fencing
- * token. It owns no state; the claim itself is made by the election.
+ * @file The leader key in the state store: the process that wrote it last is the leader, and its mod revision is the
+ * fencing token. It owns no state; the leader election makes the claim itself.
  */
 import { leaderKey } from '../../wire/keys.js';
 import type { LeaderRecord } from '../../wire/leader-record.js';
@@ -10,30 +10,33 @@
 
 const SYNC_TIMEOUT_MS = 2000;
 
-/** The leader key of the term's partition, as the term that holds it sees it. */
+/** Conditions, writes and checks of the leader key, for the term that holds it. */
 export class LeaderKey {
   constructor(private readonly term: TermContext) {}
 
-  /** Lets a transaction commit only while this process is the leader, under the given fencing token. */
+  /**
+   * Returns the condition that lets a transaction commit only while this process is the leader under the given
+   * fencing token.
+   */
   condition(fencingToken: number = this.term.scheduler.state.term.fencingToken): CompareCondition {
     return { key: leaderKey(this.term.dependencies.partition), modRevision: fencingToken };
   }
 
-  /** Writes the key again with its own value: its mod revision, the fencing token, advances. */
+  /** Returns a write of the key with its own value, which advances its mod revision, the fencing token. */
   rewrite(): WriteOperation {
     const { partition, leaderRecord } = this.term.dependencies;
     return { kind: 'put', key: leaderKey(partition), value: leaderRecord, leaseId: this.term.leaseId };
   }
 
-  /** Whether an entry of the key was written by this process. */
+  /** True if this process wrote the given entry of the key. */
   isOwn(entry: ReplicaEntry): boolean {
     const { incarnation } = this.term.dependencies.leaderRecord;
     return (entry.value as LeaderRecord).incarnation === incarnation;
   }
 
   /**
-   * After a conflict on the key: either an advance of the fencing token by this process has just been committed, or
-   * the leadership is lost, and then the term ends. Returns whether it was lost.
+   * Ends the term after a conflict on the key if the leadership is lost. Otherwise an advance of the fencing token by
+   * this process has just been committed. Returns true if the leadership was lost.
    */
   async endTermIfLost(): Promise<boolean> {
     if (await this.isStillLeader()) return false;
--- a/src/edge/leadership/leader-term.ts
+++ b/src/edge/leadership/leader-term.ts
@@ -1,6 +1,7 @@
 /**
- * @file One term of this process as leader: its lifecycle and the wiring of its routines. It owns the core, and every
- * routine through one subscription that ends with the term; after the end no event reaches the core any more.
+ * @file One term of this process as leader: its lifecycle and the wiring of its components. It owns the core, and it
+ * owns all background tasks through one subscription that ends with the term. After the end of the term, no event
+ * reaches the core.
  */
 import { setMaxListeners } from 'node:events';
 import { Subscription, interval } from 'rxjs';
@@ -32,7 +33,7 @@
 const TICK_INTERVAL_MS = 100;
 const TICK_INTERVAL_NS = BigInt(TICK_INTERVAL_MS) * 1_000_000n;
 
-/** The core of a new term. */
+/** Creates the core of a new term. */
 function newScheduler(
   { config, settings, newZonePolicy }: TermDependencies,
   { fencingToken, claimedAt }: LeadershipGrant,
@@ -63,7 +64,7 @@
     private readonly dependencies: TermDependencies,
     grant: LeadershipGrant,
   ) {
-    // Each scaling request in flight listens for the end of the term; there is no fixed number of them.
+    // Each scaling request in flight listens for the end of the term, and the number of these requests is not fixed.
     setMaxListeners(0, this.termination.signal);
     const startedAt = currentTime().monotonic;
     this.scheduler = newScheduler(dependencies, grant, startedAt);
@@ -81,17 +82,17 @@
     this.effectExecutor = new EffectExecutor(this.context, targets, this.termination.signal);
   }
 
-  /** The fencing token now in force. */
+  /** The current fencing token. */
   get fencingToken(): number {
     return this.scheduler.state.term.fencingToken;
   }
 
-  /** The event loop lags so much that heartbeats would be acknowledged too late. */
+  /** True if the event loop lags so much that heartbeats would be acknowledged too late. */
   get overloaded(): boolean {
     return isOverloaded(this.scheduler.state.term);
   }
 
-  /** Loads the core and starts all routines. */
+  /** Loads the core from the replica and starts all background tasks. */
   start(): void {
     loadFromReplica(this.context);
     this.routines.add(this.commandSender.start());
@@ -103,7 +104,7 @@
     if (this.scheduler.state.zonePolicy !== null) this.routines.add(this.zoneRecordWriter.start());
   }
 
-  /** Ends the term; only the first reason counts. */
+  /** Ends the term; only the first call has an effect. */
   end(reason: TermEndReason): void {
     if (this.termination.signal.aborted) return;
     this.termination.abort();
@@ -113,12 +114,12 @@
     onEnd();
   }
 
-  /** Takes in a worker's heartbeat; returns the answer, or null if this process may no longer acknowledge it. */
+  /** Handles a worker's heartbeat. Returns the answer, or null if this process may no longer acknowledge it. */
   onHeartbeat(heartbeat: Heartbeat): HeartbeatAnswer | null {
     const { signal } = this.termination;
     if (signal.aborted || !this.mayAcknowledgeHeartbeats()) return null;
     this.dispatch({ kind: 'heartbeat', heartbeat });
-    // The heartbeat itself may have ended the term, by a higher fencing token.
+    // The heartbeat itself may have ended the term by reporting a higher fencing token.
     if (isAborted(signal)) return null;
     const startedAt = currentTime();
     const commands = this.scheduler.answerHeartbeat(heartbeat, startedAt);
@@ -187,7 +188,7 @@
     if (records.dirtyPages.size > 0 || records.jobsToComplete.size > 0) this.commitLoop.wake();
   }
 
-  /** Records how long an event took; the clock is only read where the result is used. */
+  /** Records how long an event took; reads the clock only where the result is used. */
   private recordDuration(event: Event, startedAt: bigint, ranCycle: boolean): void {
     if (!ranCycle && !this.profile.active) return;
     const span = monotonicNow() - startedAt;
--- a/src/edge/leadership/leadership-lease.ts
+++ b/src/edge/leadership/leadership-lease.ts
@@ -1,6 +1,7 @@
 /**
- * @file Keeps a leadership: renews the lease that the leader key hangs on, and confirms again and again that the key is
- * still this process's. It owns no state beyond the renewals in flight; it never claims a leadership.
+ * @file Maintains a leadership: renews the lease to which the leader key is attached, and confirms at an interval
+ * that the key still belongs to this process. It owns no state except the number of renewals in flight; it never
+ * claims a leadership.
  */
 import type { Subscription } from 'rxjs';
 import { monotonicNow } from '../runtime/clock.js';
@@ -10,10 +11,10 @@
 
 const CONFIRM_INTERVAL_MS = 1000;
 const CONFIRM_TIMEOUT_MS = 1000;
-/** Renewals of the lease that may be in flight at once. */
+/** Upper bound on the lease renewals in flight. */
 const MAX_RENEWALS_IN_FLIGHT = 3;
 
-/** Keeps the term's lease in the state store, and confirms the leadership at an interval. */
+/** Renews the term's lease in the state store and confirms the leadership, both at an interval. */
 export class LeadershipLease {
   constructor(
     private readonly term: TermContext,
@@ -29,9 +30,9 @@
   }
 
   /**
-   * Renewals are sent at a fixed interval, whether or not earlier ones were answered: in a process whose event loop lags
-   * by a second each step of a request takes that long, and a lease of three seconds expired under a leader that could
-   * reach the state store.
+   * Sends renewals at a fixed interval, whether or not earlier ones were answered. In a process whose event loop lags
+   * by a second, each step of a request takes that long, and a lease of three seconds expired although its leader
+   * could reach the state store.
    */
   private async renewLease(signal: AbortSignal): Promise<void> {
     const { stateStore } = this.term.dependencies;
@@ -48,7 +49,10 @@
     }
   }
 
-  /** Compares the leader key's mod revision: proves that this process is the leader as of when the compare was sent. */
+  /**
+   * Compares the leader key's mod revision at an interval, which proves that this process was the leader when the
+   * compare was sent.
+   */
   private async confirmLeadership(signal: AbortSignal): Promise<void> {
     const { stateStore } = this.term.dependencies;
     while (!signal.aborted) {
--- a/src/edge/leadership/replica-loader.ts
+++ b/src/edge/leadership/replica-loader.ts
@@ -1,6 +1,6 @@
 /**
- * @file Loads the core from the replica at the beginning of a term. It owns nothing; it only dispatches what the state
- * store recorded before the term, jobs before pages, since pages refer to jobs.
+ * @file Loads the core from the replica at the start of a term. It owns no state; it only dispatches what was
+ * recorded in the state store before the term: jobs before pages, because pages refer to jobs.
  */
 import { FinishedJobSummary } from '../../wire/finished-job-summary.js';
 import { parseKey, zoneRecordKey } from '../../wire/keys.js';
@@ -9,13 +9,13 @@
 import type { ReplicaEntry } from '../state-store/replica-view.js';
 import type { TermContext } from './term-context.js';
 
-/** A page of records in the replica. */
+/** A page of chunk records in the replica. */
 interface RecordedPage {
   readonly id: number;
   readonly entry: ReplicaEntry;
 }
 
-/** Dispatches everything recorded before the term. */
+/** Dispatches all records that were stored before the term. */
 export function loadFromReplica(term: TermContext): void {
   const { stateStore, partition, logger } = term.dependencies;
   const pages: RecordedPage[] = [];
@@ -35,7 +35,7 @@
 }
 
 function loadJob(term: TermContext, id: string, { value, modRevision }: ReplicaEntry): void {
-  // Of a finished job without assignments only its dependents may need the status.
+  // Only the status of a finished job without assignments may still be needed, by its dependents.
   if (value instanceof FinishedJobSummary) term.dispatch({ kind: 'job-finished', id, status: value.status });
   else term.dispatch({ kind: 'job-changed', id, record: decodeJob(value), modRevision });
 }
--- a/src/edge/leadership/replica-watcher.ts
+++ b/src/edge/leadership/replica-watcher.ts
@@ -1,6 +1,6 @@
 /**
- * @file Watches the replica during a term: changes of jobs become events of the core, and the loss of the leader key
- * ends the term. It owns nothing but its subscription.
+ * @file Watches the replica during a term: dispatches changes of jobs to the core as events, and ends the term if the
+ * leader key is lost. It owns only its subscription.
  */
 import type { Subscription } from 'rxjs';
 import { FinishedJobSummary } from '../../wire/finished-job-summary.js';
@@ -10,7 +10,7 @@
 import type { LeaderKey } from './leader-key.js';
 import type { TermContext } from './term-context.js';
 
-/** Follows the changes of the replica that concern the leader. */
+/** Handles the changes of the replica that concern the leader. */
 export class ReplicaWatcher {
   constructor(
     private readonly term: TermContext,
@@ -40,8 +40,8 @@
 
   private onLeaderKeyChange(entry: ReplicaEntry | null): void {
     if (entry !== null && this.key.isOwn(entry)) return;
-    // The claim that began this term may reach the replica late, and before it an earlier leader's record. A key that is
-    // gone, or that another process wrote later, is the end of the term.
+    // The claim that started this term may reach the replica late, after an earlier leader's record. The term ends
+    // only if the key was deleted, or if another process wrote it after the claim.
     if (entry === null || entry.modRevision > this.term.scheduler.state.term.firstFencingToken)
       this.term.end({ kind: 'leader-key-replaced' });
   }
--- a/src/edge/leadership/term-context.ts
+++ b/src/edge/leadership/term-context.ts
@@ -1,4 +1,7 @@
-/** @file What a leader's term and its routines are given: the process's parts, and the term as its routines see it. */
+/**
+ * @file Types of what a leader's term and its components receive: the components of the process, and the term as its
+ * own components use it.
+ */
 import type { ClusterConfig } from '../../core/model/cluster-config.js';
 import type { OperatorSettings } from '../../core/model/operator-settings.js';
 import type { ZonePolicy } from '../../core/model/zone-policy.js';
@@ -12,51 +15,54 @@
 import type { StateStore } from '../state-store/state-store.js';
 import type { TermEndReason } from './term-end-reason.js';
 
-/** What a term needs of the process. */
+/** The components and settings of the process that a term needs. */
 export interface TermDependencies {
   readonly partition: string;
-  /** What the leader key holds while this process is the leader. */
+  /** The value of the leader key while this process is the leader. */
   readonly leaderRecord: LeaderRecord;
   readonly config: ClusterConfig;
   readonly settings: OperatorSettings;
   readonly stateStore: StateStore;
   readonly cloud: CloudClient;
   readonly logger: Logger;
-  /** The state store's limit of writes. */
+  /** The state store's limit on writes. */
   readonly maxWritesPerSecond: number;
-  /** What that limit will be from some moment on; `Infinity` if nothing is announced. */
+  /** The announced limit that will replace `maxWritesPerSecond` later; `Infinity` if none is announced. */
   readonly announcedMaxWritesPerSecond: number;
   readonly imageObserver: ImageCacheObserver;
   readonly pageCache: DecodedPageCache;
-  /** Makes the policy for zones that are lost and recover; null: the feature is off. */
+  /** Creates the policy for zones that are lost and recover; null if the feature is off. */
   readonly newZonePolicy: (() => ZonePolicy) | null;
-  /** Connections to workers that may be open at once. */
+  /** Upper bound on the open connections to workers. */
   readonly maxWorkerConnections: number;
-  /** The term has ended, for whatever reason. */
+  /** Called when the term has ended, for any reason. */
   readonly onEnd: () => void;
-  /** The term was ended for another controller to become the leader. */
+  /** Called when the term was ended so that another controller can become the leader. */
   readonly onStepDown: () => void;
 }
 
-/** How this process became the leader: the result of the election. */
+/** The result of a successful leader election: how this process became the leader. */
 export interface LeadershipGrant {
   /** The mod revision of the claimed leader key. */
   readonly fencingToken: number;
-  /** When the claim was sent: the first moment at which the state store surely knew this process as leader. */
+  /**
+   * When the claim was sent, in nanoseconds of the monotonic clock; counts as the first confirmation of the
+   * leadership.
+   */
   readonly claimedAt: bigint;
-  /** The lease in the state store that the leader key hangs on. */
+  /** The lease in the state store to which the leader key is attached. */
   readonly leaseId: number;
   readonly renewIntervalMs: number;
 }
 
-/** A term as its own routines see it. */
+/** A term as its own components use it. */
 export interface TermContext {
   readonly dependencies: TermDependencies;
   readonly scheduler: ClusterScheduler;
-  /** The lease in the state store that the leader key hangs on, and how often it is renewed. */
+  /** The lease in the state store to which the leader key is attached, and how often it is renewed. */
   readonly leaseId: number;
   readonly renewIntervalMs: number;
-  /** Hands an event to the core and executes the effects that follow. */
+  /** Passes an event to the core and executes the resulting effects. */
   readonly dispatch: (event: Event) => void;
   /** Ends the term. */
   readonly end: (reason: TermEndReason) => void;
--- a/src/edge/leadership/term-end-reason.ts
+++ b/src/edge/leadership/term-end-reason.ts
@@ -1,24 +1,24 @@
-/** @file Why a leader's term ends, as a type, and how it is logged. */
+/** @file The reasons why a leader's term ends, and their fields in log lines. */
 import type { LogFields } from '../runtime/logger.js';
 
-/** Why a leader's term ended. */
+/** The reason why a leader's term ended. */
 export type TermEndReason =
   /** The process is shutting down. */
   | { readonly kind: 'shutdown' }
-  /** The lease that the leader key hangs on expired in the state store. */
+  /** The lease to which the leader key is attached expired in the state store. */
   | { readonly kind: 'lease-expired' }
-  /** A transaction conflicted on the leader key, and the key is not this process's any more. */
+  /** A transaction conflicted on the leader key, and the key no longer belongs to this process. */
   | { readonly kind: 'leader-key-conflict' }
-  /** The watch showed that the leader key is gone or another process's. */
+  /** The watch showed that the leader key was deleted or belongs to another process. */
   | { readonly kind: 'leader-key-replaced' }
-  /** A page has a mod revision that this term did not write. */
+  /** A page has a mod revision that was not written by this term. */
   | { readonly kind: 'foreign-page-write' }
-  /** A worker has seen a higher fencing token. */
+  /** A worker has received a higher fencing token. */
   | { readonly kind: 'superseded'; readonly seenFencingToken: number }
-  /** The leader gave way to another controller, which may reach what this one does not. */
+  /** The leader stepped down in favor of another controller, which may reach what this one cannot. */
   | { readonly kind: 'stepped-down'; readonly cause: string };
 
-/** The reason as fields of a log line: `reason` is the kind, everything else keeps its name. */
+/** Returns the reason as the fields of a log line: `reason` is the kind, and all other fields keep their names. */
 export function termEndLogFields({ kind, ...details }: TermEndReason): LogFields {
   return { reason: kind, ...details };
 }
--- a/src/edge/leadership/term-startup-profile.ts
+++ b/src/edge/leadership/term-startup-profile.ts
@@ -1,11 +1,11 @@
 /**
- * @file Measures what the first seconds of a term are spent on: after a failover all heartbeats, records and requests
- * come at once. It owns the sums per step; it reads no clock itself.
+ * @file Measures how the first seconds of a term are spent, because after a failover all heartbeats, records and
+ * requests come at once. It owns the sums per step; it does not read the clock itself.
  */
 import type { Event } from '../../core/model/events.js';
 import type { Logger } from '../runtime/logger.js';
 
-/** A kind of work in the beginning of a term. */
+/** A kind of work at the start of a term. */
 export type TermStep =
   'loading' | 'heartbeats' | 'schedulingCycles' | 'commandAnswers' | 'commits' | 'cloud' | 'ticks';
 
@@ -28,13 +28,13 @@
   'scale-in-answered': 'cloud',
 };
 
-/** How long a term's beginning is: by then the work of a failover is done. In nanoseconds. */
+/** The profiled span from the start of a term, in nanoseconds: at its end, the work of a failover is done. */
 const PROFILED_SPAN_NS = 20_000_000_000n;
 
 /** The step to which an event belongs. */
 export const stepOf = (event: Event): TermStep => STEP_OF_EVENT[event.kind];
 
-/** Adds up how long each step took in a term's first seconds, and logs the sums once. */
+/** Adds up the time spent in each step during a term's first seconds, and logs the sums once. */
 export class TermStartupProfile {
   private readonly spans = new Map<TermStep, bigint>();
   private logged = false;
@@ -44,7 +44,7 @@
     private readonly logger: Logger,
   ) {}
 
-  /** Still adding up: afterwards nothing need be measured. */
+  /** True until the sums are logged; afterwards nothing needs to be measured. */
   get active(): boolean {
     return !this.logged;
   }
@@ -54,7 +54,7 @@
     this.spans.set(step, (this.spans.get(step) ?? 0n) + span);
   }
 
-  /** Logs the sums once the profiled span is over. */
+  /** Logs the sums once the profiled span has elapsed. */
   logOnceElapsed(now: bigint): void {
     if (this.logged || now - this.startedAt < PROFILED_SPAN_NS) return;
     this.logged = true;
--- a/src/edge/leadership/transaction-encoding.ts
+++ b/src/edge/leadership/transaction-encoding.ts
@@ -1,6 +1,6 @@
 /**
- * @file A transaction of the core as the state store takes it: compare conditions and writes. Pure functions; a
- * transaction is encoded once, so that every repeat of it is the same request.
+ * @file Encodes a transaction of the core as compare conditions and writes for the state store. Pure functions; a
+ * transaction is encoded only once, so that every retry sends the same request.
  */
 import type { JobTable } from '../../core/state/job-table.js';
 import type { PageWrite, Transaction } from '../../core/model/transaction.js';
@@ -10,9 +10,9 @@
 import type { CompareCondition, WriteOperation } from '../../wire/state-store-protocol.js';
 
 /**
- * The conditions of a transaction: this process is the leader under the transaction's fencing token, jobs whose tasks
- * start are unchanged (a cancellation beats a start in flight), and pages are unchanged (a repeat of a transaction that
- * was committed after all changes nothing).
+ * Returns the conditions of a transaction: this process is the leader under the transaction's fencing token; jobs
+ * whose tasks start are unchanged, so that a cancellation takes precedence over a start in flight; and pages are
+ * unchanged, so that retrying a transaction that was already committed changes nothing.
  */
 export function encodeConditions(
   transaction: Transaction,
@@ -27,7 +27,7 @@
   return conditions;
 }
 
-/** The writes of a transaction: its pages, and the records of the jobs that it completes or cancels. */
+/** Returns the writes of a transaction: its pages, and the records of the jobs that it completes or cancels. */
 export function encodeWrites(
   transaction: Transaction,
   jobs: Pick<JobTable, 'byId'>,
@@ -46,7 +46,7 @@
   ];
 }
 
-/** The record of a job that has finished; none if the job is not known any more. */
+/** Returns the write of the record of a finished job, or none if the core no longer stores the job. */
 function finishedJobWrite(
   jobs: Pick<JobTable, 'byId'>,
   id: string,
--- a/src/edge/leadership/write-budget.ts
+++ b/src/edge/leadership/write-budget.ts
@@ -1,24 +1,24 @@
 /**
- * @file The leader's share of the state store's write rate. It owns the rate limiter of the commit loop; it only says
- * how long to wait and never writes.
+ * @file The leader's share of the state store's write rate. It owns the rate limiter of the commit loop; it only
+ * computes how long to wait and never writes.
  */
 import { interval, type Subscription } from 'rxjs';
 import { RateLimiter } from '../runtime/rate-limiter.js';
 
 /**
- * The leader's share of the write rate. Users' submissions and cancellations go first: the rate that they were seen to
- * take is left free, but never so much that no assignment is recorded any more.
+ * Bounds on the leader's share of the write rate. Users' submissions and cancellations take precedence: the rate that
+ * they were observed to use is left free, but never so much of it that assignments can no longer be recorded.
  */
 const MAX_SHARE = 0.8;
 const MIN_SHARE = 0.5;
-/** What the leader and the users may take together. */
+/** The share of the write rate that the leader and the users may use together. */
 const TOTAL_SHARE = 0.95;
-/** Room for users' writes to grow until the next rebalance. */
+/** Factor that leaves room for users' writes to increase until the next rebalance. */
 const USER_WRITE_HEADROOM = 1.25;
 /** The newest interval's weight in the moving average of users' writes. */
 const NEWEST_WEIGHT = 0.5;
 const REBALANCE_INTERVAL_MS = 1000;
-/** The limiter's burst, as seconds of the whole write rate. */
+/** The limiter's burst, in seconds of the full write rate. */
 const BURST_SECONDS = 0.5;
 
 /** Divides the state store's write rate between users' writes and the leader's transactions. */
@@ -28,7 +28,7 @@
   private userWritesPerSecond = 0;
 
   constructor(
-    /** What the state store takes; less once it has refused a transaction for too many writes. */
+    /** The state store's write limit per second; lowered after it has refused a transaction for too many writes. */
     private maxWritesPerSecond: number,
     maxTransactionOperations: number,
   ) {
@@ -38,22 +38,22 @@
     );
   }
 
-  /** Follows the rate of users' writes until unsubscribed. */
+  /** Adjusts the leader's share to the rate of users' writes until unsubscribed. */
   start(): Subscription {
     return interval(REBALANCE_INTERVAL_MS).subscribe(() => this.rebalance());
   }
 
-  /** Spends some operations and returns how many milliseconds to wait before writing them. */
+  /** Takes operations from the budget and returns how many milliseconds to wait before they are written. */
   take(operations: number): number {
     return this.limiter.take(operations);
   }
 
-  /** A submission or cancellation by a user was seen. */
+  /** Records that a user's submission or cancellation was observed. */
   recordUserWrite(): void {
     this.userWrites += 1;
   }
 
-  /** Lowers what the state store takes; a higher rate than the present one is ignored. */
+  /** Lowers the write limit; a limit that is not lower than the current one is ignored. */
   lowerMaxWrites(perSecond: number): void {
     if (perSecond >= this.maxWritesPerSecond) return;
     this.maxWritesPerSecond = perSecond;
--- a/src/edge/leadership/zone-record-writer.ts
+++ b/src/edge/leadership/zone-record-writer.ts
@@ -1,6 +1,6 @@
 /**
- * @file Writes the record of zones to the state store, for the next leader. It owns the newest record that is not
- * written yet. Nothing safe depends on the record: if it is lost, the next leader starts without it.
+ * @file Writes the zone record to the state store for the next leader. It owns the latest record that has not been
+ * written yet. Safety does not depend on the record: if it is lost, the next leader starts without it.
  */
 import type { Subscription } from 'rxjs';
 import { zoneRecordKey } from '../../wire/keys.js';
@@ -10,10 +10,12 @@
 import type { LeaderKey } from './leader-key.js';
 import type { TermContext } from './term-context.js';
 
-/** The record is written at most this often: each write counts against the state store's write rate. */
+/**
+ * The record is written at most once per interval, because each write counts against the state store's write rate.
+ */
 const MIN_WRITE_INTERVAL_MS = 1000;
 
-/** Writes the newest record of zones, on condition that this process is the leader. */
+/** Writes the latest zone record, on condition that this process is the leader. */
 export class ZoneRecordWriter {
   private unwritten: { readonly record: unknown } | null = null;
   private readonly wakeSignal = new WakeSignal();
@@ -28,7 +30,7 @@
     return supervise('zone record writer', this.term.dependencies.logger, (signal) => this.run(signal));
   }
 
-  /** Has a record written in place of any earlier one that is not written yet. */
+  /** Queues a record to be written; it replaces an earlier record that has not been written yet. */
   save(record: unknown): void {
     this.unwritten = { record };
     this.wakeSignal.wake();
@@ -44,7 +46,7 @@
         [this.key.condition()],
         [{ kind: 'put', key: zoneRecordKey(partition), value: next.record }],
       );
-      // A newer record may have come while this one was written.
+      // A newer record may have been saved while this one was being written.
       if (result.kind === 'committed' && this.unwritten === next) this.unwritten = null;
       await sleep(jittered(MIN_WRITE_INTERVAL_MS), signal);
     }
