--- a/src/edge/cloud/cloud-client.ts
+++ b/src/edge/cloud/cloud-client.ts
@@ -1,6 +1,6 @@
 /**
  * @file The client of the cloud's interface: machine types, instance inventory, scale out and scale in. It owns the
- * connections and the request rate to the cloud; it decides nothing about what to scale.
+ * connections to the cloud and the request rate; it does not decide what to scale.
  */
 import type { CloudInstance, MachineType } from '../../core/model/machine.js';
 import type { ScaleOutRequest } from '../../core/model/scale-out.js';
@@ -28,7 +28,7 @@
 const MAX_ATTEMPTS = 4;
 const FIRST_RETRY_DELAY_MS = 400;
 
-/** The cloud's client. Requests stay below the cloud's limit; refused ones are repeated with growing delays. */
+/** The cloud's client. Keeps its requests below the cloud's limit and retries refused ones with increasing delays. */
 export class CloudClient {
   private readonly client: HttpClient;
   private readonly rateLimiter: RateLimiter;
@@ -42,7 +42,7 @@
     this.rateLimiter = new RateLimiter(requestsPerSecond * RATE_SHARE, Math.max(1, requestsPerSecond));
   }
 
-  /** The machine types on offer, or null if they could not be read. */
+  /** Returns the available machine types, or null if they could not be read. */
   async listMachineTypes(signal: AbortSignal): Promise<MachineType[] | null> {
     const response = await this.request('GET', CLOUD_PATHS.types, undefined, signal);
     if (response.kind !== 'answer' || response.status !== 200) return null;
@@ -50,7 +50,7 @@
     return parsed.ok ? parsed.value : this.logMalformed(parsed.reason);
   }
 
-  /** The whole instance inventory, or null if any page of it could not be read. */
+  /** Returns the whole instance inventory, or null if any page of it could not be read. */
   async listInstances(signal: AbortSignal): Promise<CloudInstance[] | null> {
     const instances: CloudInstance[] = [];
     for (;;) {
@@ -70,8 +70,9 @@
   }
 
   /**
-   * Scales out under a name that is never used for anything else, which makes the request idempotent: it is repeated
-   * until its answer is known or the attempts are used up. Returns the names of the new machines, or null.
+   * Scales out under a request name that is never used again, which makes the request idempotent: it is retried until
+   * its answer is available or the attempts are used up. Returns the names of the new machines, or null if the cloud
+   * refused the request or no answer could be read.
    */
   async scaleOut(name: string, request: ScaleOutRequest, signal: AbortSignal): Promise<string[] | null> {
     const machines = await this.withRetries(signal, async () => {
@@ -86,8 +87,9 @@
   }
 
   /**
-   * Releases machines; true once the cloud has confirmed it. `mayRelease` is checked before each attempt: a new leader
-   * may have assigned work to the chosen machines while this process stood still.
+   * Releases machines. Returns true once the cloud has confirmed it, or false if it did not. `mayRelease` is checked
+   * before each attempt, because a new leader may have assigned tasks to these machines while this process was
+   * paused.
    */
   async scaleIn(
     machineNames: readonly string[],
@@ -110,7 +112,10 @@
     return released ?? false;
   }
 
-  /** Repeats an attempt while it yields undefined; undefined also once the attempts are used up. */
+  /**
+   * Repeats an attempt while it returns undefined; returns undefined once the attempts are used up or the signal is
+   * aborted.
+   */
   private async withRetries<T>(
     signal: AbortSignal,
     attempt: () => Promise<T | undefined>,
--- a/src/edge/cloud/machine-type-refresh.ts
+++ b/src/edge/cloud/machine-type-refresh.ts
@@ -1,6 +1,7 @@
 /**
- * @file Keeps the machine types that users' submissions are checked against up to date, on every controller. The
- * leader's own list for scheduling comes from the cloud poller; this one must never start or stop an instance.
+ * @file Keeps the list of machine types up to date on every controller, because users' submissions are checked
+ * against it. The leader's own list for scheduling comes from the cloud poller; this module must never start or stop
+ * an instance.
  */
 import type { Subscription } from 'rxjs';
 import type { MachineType } from '../../core/model/machine.js';
@@ -10,10 +11,10 @@
 import type { CloudClient } from './cloud-client.js';
 
 const REFRESH_INTERVAL_MS = 300_000;
-/** Until the first list is there no submission can be accepted, so a failed call is repeated soon. */
+/** No submission can be accepted until the first list is read, so a failed request is retried soon. */
 const RETRY_INTERVAL_MS = 1000;
 
-/** Lists the machine types again and again until unsubscribed; `onTypes` gets each list that could be read. */
+/** Reads the machine types periodically until unsubscribed; passes each list that could be read to `onTypes`. */
 export function startMachineTypeRefresh(
   cloud: Pick<CloudClient, 'listMachineTypes'>,
   logger: Logger,
--- a/src/edge/service.ts
+++ b/src/edge/service.ts
@@ -1,6 +1,6 @@
 /**
- * @file The composition root: builds the components of one controller, connects them and starts them. It must hold no
- * logic of its own; what runs in the background is a component with its own module.
+ * @file The composition root: builds the components of one controller, connects them and starts them. It must contain
+ * no logic of its own; every background task is a component with its own module.
  */
 import { Subscription } from 'rxjs';
 import type { ClusterConfig } from '../core/model/cluster-config.js';
@@ -27,10 +27,10 @@
 import { ImageCacheObserver } from './state-store/image-cache-observer.js';
 import { StateStore } from './state-store/state-store.js';
 
-/** The only partition there is; names and keys leave room for more. */
+/** The only partition that exists; names and keys allow for more. */
 const PARTITION = 'all';
 
-/** What a controller is started with. */
+/** The settings and the logger with which a controller is started. */
 interface ServiceOptions {
   readonly platform: PlatformSettings;
   readonly settings: OperatorSettings;
@@ -38,7 +38,7 @@
   readonly logger: Logger;
 }
 
-/** The components that others are connected to. */
+/** The components to which other components are connected. */
 interface Components {
   readonly config: ClusterConfig;
   readonly stateStore: StateStore;
@@ -49,7 +49,7 @@
   readonly requestHandler: RequestHandler;
 }
 
-/** Starts a controller; everything it runs ends with the subscription that this returns. */
+/** Starts a controller. Unsubscribing from the returned subscription ends everything that it runs. */
 export function startService(
   platform: PlatformSettings,
   settings: OperatorSettings,
--- a/src/edge/workers/keyed-task-queue.ts
+++ b/src/edge/workers/keyed-task-queue.ts
@@ -1,6 +1,6 @@
 /**
- * @file A queue of asynchronous tasks by key: serial within a key, concurrent across keys. It owns the waiting tasks;
- * it must never keep anything for an idle key.
+ * @file A queue of asynchronous tasks by key: serial within a key, concurrent across keys. It owns the queued tasks;
+ * it must never store anything for an idle key.
  */
 import { Subscription } from 'rxjs';
 
@@ -8,20 +8,20 @@
 export type QueuedTask = () => Promise<void>;
 
 /**
- * Runs the tasks of one key one after the other, in the order in which they were pushed, and those of different keys
- * concurrently. Nothing is kept for a key without tasks, so keys used once take no memory.
+ * Runs the tasks of one key one after the other, in the order in which they were pushed, and the tasks of different
+ * keys concurrently. Nothing is stored for a key without tasks, so keys that are used only once take no memory.
  */
 export class KeyedTaskQueue {
-  /** Tasks behind the running one, for each key that has one running. */
+  /** Queued tasks by key. A key has an entry while one of its tasks is running. */
   private readonly waiting = new Map<string, QueuedTask[]>();
   private readonly termination = new AbortController();
 
-  /** How many keys have a running or waiting task. */
+  /** Number of keys with a running or queued task. */
   get busyKeys(): number {
     return this.waiting.size;
   }
 
-  /** Runs the task once the earlier ones of its key have ended; ignored after the end of the queue. */
+  /** Runs the task after the earlier tasks of its key have ended; does nothing after the end of the queue. */
   push(key: string, task: QueuedTask): void {
     if (this.termination.signal.aborted) return;
     const queue = this.waiting.get(key);
@@ -34,7 +34,7 @@
     void this.drain(key, task, queued);
   }
 
-  /** The queue ends with the returned subscription: tasks that have not begun by then are dropped. */
+  /** Returns the subscription that ends the queue: tasks that have not started by then are dropped. */
   start(): Subscription {
     return new Subscription(() => {
       this.termination.abort();
--- a/src/edge/workers/worker-command-sender.ts
+++ b/src/edge/workers/worker-command-sender.ts
@@ -1,7 +1,7 @@
 /**
- * @file Sends commands and probes straight to workers and reports how each was answered. It owns the order of commands
- * per machine; it decides nothing about which commands there are, and must never send a start that is not allowed at
- * the moment of sending.
+ * @file Sends commands and probes directly to workers and reports how each was answered. It owns the order of
+ * commands per machine; it does not decide which commands are sent, and must never send a start that is not allowed
+ * at the moment of sending.
  */
 import { Subscription } from 'rxjs';
 import type { CommandOutcome } from '../../core/model/events.js';
@@ -12,7 +12,7 @@
 import { KeyedTaskQueue } from './keyed-task-queue.js';
 import { WorkerConnectionPool } from './worker-connection-pool.js';
 
-/** Commands for one worker, sent in one request; without commands the request is a probe. */
+/** Commands for one worker, sent in one request; a request without commands is a probe. */
 export interface CommandBatch {
   readonly machineName: string;
   readonly endpoint: string;
@@ -20,12 +20,12 @@
   readonly commands: readonly WorkerCommand[];
 }
 
-/** How a batch was answered. */
+/** The result of sending a batch. */
 export interface CommandResult {
   readonly batch: CommandBatch;
   readonly fencingToken: number;
   readonly outcome: CommandOutcome;
-  /** The heartbeat in the worker's response, if there was one. */
+  /** The heartbeat in the worker's response, or null if there was none. */
   readonly heartbeat: Heartbeat | null;
 }
 
@@ -33,7 +33,7 @@
 
 const isProbe = (batch: CommandBatch): boolean => batch.commands.length === 0;
 
-/** Reads a worker's response. */
+/** Converts a worker's response to a result. */
 function resultOf(batch: CommandBatch, fencingToken: number, response: Outcome): CommandResult {
   if (response.kind === 'unsent') return { batch, fencingToken, outcome: 'refused', heartbeat: null };
   if (response.kind === 'unknown') return { batch, fencingToken, outcome: 'unknown', heartbeat: null };
@@ -45,25 +45,28 @@
   return { batch, fencingToken, outcome: 'unknown', heartbeat: null };
 }
 
-/** Sends command batches to workers: one at a time per machine, so that they arrive in the order they were pushed. */
+/**
+ * Sends command batches to workers: one at a time per machine, so that they arrive in the order in which they were
+ * pushed.
+ */
 export class WorkerCommandSender {
   private readonly queue = new KeyedTaskQueue();
   private readonly connections: WorkerConnectionPool;
   private readonly termination = new AbortController();
-  /** Machines with a probe that waits or is in flight. */
+  /** Machines with a probe that is queued or in flight. */
   private readonly pendingProbes = new Set<string>();
 
   constructor(
     maxConnections: number,
     private readonly currentFencingToken: () => number,
-    /** Whether a start may still be sent: checked when a command is sent, which may be long after it was pushed. */
+    /** True if a start may still be sent. Checked when a command is sent, which may be long after it was pushed. */
     private readonly mayStart: (command: WorkerCommand) => boolean,
     private readonly onResult: (result: CommandResult) => void,
   ) {
     this.connections = new WorkerConnectionPool(maxConnections);
   }
 
-  /** Sending ends with the returned subscription, and its connections are closed. */
+  /** Returns the subscription that ends sending and closes the connections. */
   start(): Subscription {
     const routines = new Subscription();
     routines.add(this.queue.start());
@@ -76,9 +79,10 @@
     return routines;
   }
 
-  /** Sends a batch after the earlier ones to the same machine. */
+  /** Queues a batch to be sent after the earlier batches for the same machine. */
   push(batch: CommandBatch): void {
-    // One probe per machine: those to an unresponsive machine piled up behind one another, each costing a connection.
+    // Only one probe per machine is queued or in flight, because probes to an unresponsive machine piled up one
+    // behind another, each costing a connection.
     if (isProbe(batch)) {
       if (this.pendingProbes.has(batch.machineName)) return;
       this.pendingProbes.add(batch.machineName);
@@ -94,8 +98,8 @@
   }
 
   private async send(batch: CommandBatch): Promise<CommandResult> {
-    // Unresponsive machines hold a connection each until the timeout: probes to them leave room for commands, and are
-    // repeated anyway; commands wait for a free slot.
+    // Each unresponsive machine holds a connection until the timeout. To leave room for commands, probes are refused
+    // here; they are repeated anyway. Commands wait for a free slot.
     if (isProbe(batch) && this.connections.isHalfFull)
       return { batch, fencingToken: this.currentFencingToken(), outcome: 'refused', heartbeat: null };
     return this.connections.withSlot(() => this.request(batch));
@@ -103,8 +107,8 @@
 
   private async request(batch: CommandBatch): Promise<CommandResult> {
     const fencingToken = this.currentFencingToken();
-    // The batch may have waited behind a slow one, or the process stood still meanwhile: nothing is started on a
-    // leadership confirmed too long ago, nor for a job that was cancelled in the meantime.
+    // The batch may have waited behind a slow one, or the process may have been paused. No task is started if the
+    // leadership was confirmed too long ago, or if its job was cancelled in the meantime.
     if (batch.commands.some((command) => command.op === 'start' && !this.mayStart(command)))
       return { batch, fencingToken, outcome: 'refused', heartbeat: null };
     const response = await this.connections.post(batch.endpoint, {
--- a/src/edge/workers/worker-connection-pool.ts
+++ b/src/edge/workers/worker-connection-pool.ts
@@ -1,6 +1,6 @@
 /**
- * @file The connections to workers: one client per endpoint, with a limit on how many are kept and how many requests
- * are in flight. It owns the clients and closes them; it knows nothing of what is sent.
+ * @file The pool of connections to workers: one client per endpoint, with a limit on the clients that are kept and on
+ * the requests in flight. It owns the clients and closes them; it does not depend on what is sent.
  */
 import { HttpClient } from '../net/http-client.js';
 import type { Outcome } from '../net/http-connection.js';
@@ -19,8 +19,8 @@
 }
 
 /**
- * Keeps a connection per worker open between requests. Beyond `maxConnections` the least recently used idle ones are
- * closed: a large fleet would take all sockets of the process.
+ * Keeps one connection per worker open between requests. Beyond `maxConnections`, the least recently used idle
+ * connections are closed, because a large fleet would take all sockets of the process.
  */
 export class WorkerConnectionPool {
   /** By endpoint, the least recently used first. */
@@ -30,12 +30,12 @@
 
   constructor(private readonly maxConnections: number) {}
 
-  /** Half of the slots or more are in use. */
+  /** True if at least half of the slots are in use. */
   get isHalfFull(): boolean {
     return this.slotsInUse * 2 >= this.maxConnections;
   }
 
-  /** Runs a task while it holds one of `maxConnections` slots; waits, first come first served, if none is free. */
+  /** Runs a task while it holds one of `maxConnections` slots; if none is free, waits first come, first served. */
   async withSlot<T>(task: () => Promise<T>): Promise<T> {
     if (this.slotsInUse >= this.maxConnections)
       await new Promise<void>((resolve) => this.slotWaiters.push(resolve));
@@ -48,7 +48,7 @@
     }
   }
 
-  /** Posts one request to a worker. */
+  /** Sends one POST request to a worker. */
   async post(endpoint: string, request: WorkerRequest): Promise<Outcome> {
     const worker = this.clientFor(endpoint);
     worker.requestsInFlight += 1;
@@ -65,7 +65,7 @@
 
   private clientFor(endpoint: string): WorkerClient {
     const existing = this.clients.get(endpoint);
-    // Removed and inserted again, so that it is the most recently used.
+    // Removed and reinserted, so that it becomes the most recently used.
     this.clients.delete(endpoint);
     const worker = existing ?? { client: new HttpClient(endpoint, 1), requestsInFlight: 0 };
     this.clients.set(endpoint, worker);
