--- a/src/wire/api-paths.ts
+++ b/src/wire/api-paths.ts
@@ -1,4 +1,4 @@
-/** @file The paths that a controller itself serves to users, workers and health checks. */
+/** @file The paths that a controller serves to users, workers and health checks. */
 
 /** Paths of the controller's HTTP interface; `cancel` is the last segment below a job's path. */
 export const API_PATHS = {
--- a/src/wire/cbor.ts
+++ b/src/wire/cbor.ts
@@ -1,6 +1,6 @@
 /**
- * @file The binary encoding (CBOR) of every message body and stored value. Its one job is that the bytes are those that
- * the interfaces ask for; it knows no message by its content.
+ * @file The binary encoding (CBOR) of every message body and stored value. It only ensures that the bytes are those
+ * that the interfaces require; it does not depend on the content of messages.
  */
 import { Encoder } from 'cbor-x';
 
@@ -14,8 +14,9 @@
 const MAX_UINT32 = 0xffffffff;
 
 /**
- * Replaces what the library would encode differently from what the interfaces ask: integers above 32 bits would become
- * floats, and fields without a value `undefined`. Revisions, fencing tokens and sequence numbers must stay integers.
+ * Replaces values that the library would not encode as the interfaces require: integers above 32 bits would become
+ * floats, and fields without a value would become `undefined`. Revisions, fencing tokens and sequence numbers must
+ * stay integers.
  */
 function normalize(value: unknown): unknown {
   if (typeof value === 'number')
@@ -35,7 +36,7 @@
   return codec.encode(normalize(value));
 }
 
-/** Decodes a CBOR value; throws if the bytes are not one. */
+/** Decodes a CBOR value; throws if the bytes are not valid CBOR. */
 export function decode(bytes: Buffer): unknown {
   return codec.decode(bytes);
 }
--- a/src/wire/cloud-protocol.ts
+++ b/src/wire/cloud-protocol.ts
@@ -1,7 +1,7 @@
 /**
- * @file The cloud provider's interface: paths, requests to scale out and in, and its lists of machine types and
- * instances. The words of that interface (`rigs`, `hire`, `flavors`, ...) are mapped to the terms used inside here and
- * are known nowhere else.
+ * @file The cloud provider's interface: paths, requests to scale out and in, and the lists of machine types and
+ * instances. The names of that interface (`rigs`, `hire`, `flavors`, ...) are mapped to the program's own terms in
+ * this module and are used nowhere else.
  */
 import * as z from 'zod';
 import type { CloudInstance, MachineType } from '../core/model/machine.js';
@@ -68,7 +68,7 @@
 /** One page of the cloud's instance list. */
 export interface InventoryPage {
   readonly machines: CloudInstance[];
-  /** Whether further pages follow. */
+  /** True if further pages follow. */
   readonly hasMore: boolean;
 }
 
@@ -88,11 +88,14 @@
   }));
 }
 
-/** The path of the page of the instance list that follows an instance name; null: the first page. */
+/**
+ * Returns the path of the page of the instance list that follows the instance name `after`, or of the first page if
+ * `after` is null.
+ */
 export const inventoryPath = (after: string | null, limit: number): string =>
   `${CLOUD_PATHS.machines}?${after === null ? '' : `from=${encodeURIComponent(after)}&`}page=${limit}`;
 
-/** Encodes a request to scale out; the request name makes repeats idempotent. */
+/** Encodes a request to scale out; the request name makes retries idempotent. */
 export const encodeScaleOut = (requestName: string, request: ScaleOutRequest): unknown => ({
   hire: requestName,
   build: request.type,
@@ -101,9 +104,9 @@
   number: request.count,
 });
 
-/** Decodes the names of the instances that a request to scale out has made. */
+/** Decodes the names of the instances that a request to scale out has created. */
 export const parseScaleOutResponse = (body: unknown): ParseResult<string[]> =>
   parseBody(scaleOutResponse, body, ({ rigs }) => rigs);
 
-/** Encodes a request to scale in by the named instances. */
+/** Encodes a request to scale in by releasing the named instances. */
 export const encodeScaleIn = (names: readonly string[]): unknown => ({ rigs: names });
--- a/src/wire/controller-status-frame.ts
+++ b/src/wire/controller-status-frame.ts
@@ -1,16 +1,17 @@
 /**
- * @file What controllers tell one another, framed by hand. A frame is magic `PR` (16 bits), version, kind, length of the
- * payload (16 bits), payload. There is one kind so far, a controller's status: flags (8 bits), milliseconds since the
- * state store last confirmed its replica (32 bits), fencing token (64 bits), length of the label (8 bits), label.
- * Controllers of several versions exchange these frames during an upgrade: their bytes never change.
+ * @file The binary frames that controllers exchange, encoded without a library. A frame consists of the magic number
+ * `PR` (16 bits), version, kind, length of the payload (16 bits) and payload. There is one kind so far, a
+ * controller's status: flags (8 bits), milliseconds since the state store last confirmed its replica (32 bits),
+ * fencing token (64 bits), length of the label (8 bits) and label. Controllers of several versions exchange these
+ * frames during an upgrade, so their bytes must never change.
  */
 import { MalformedFrameError } from './errors.js';
 
-/** A controller's status as it tells the others. */
+/** A controller's status as it is sent to the other controllers. */
 export interface ControllerStatus {
   readonly label: string;
   readonly isLeader: boolean;
-  /** Milliseconds since the state store last confirmed the controller's replica; null: never yet. */
+  /** Milliseconds since the state store last confirmed the controller's replica, or null if it never has. */
   readonly stateStoreContactMs: number | null;
   /** The fencing token under which the controller acts. */
   readonly fencingToken: bigint;
@@ -25,7 +26,7 @@
 const MAX_LABEL_BYTES = 255;
 const FLAG_LEADER = 1;
 const CONTACT_NEVER = 0xffffffff;
-/** The most bytes that a frame may have, header included. */
+/** Upper bound on the size of a frame in bytes, including the header. */
 export const MAX_FRAME_BYTES = 512;
 
 function encodeContact(contactMs: number | null): number {
@@ -65,7 +66,10 @@
 export class FrameReader {
   private buffered: Buffer = Buffer.alloc(0);
 
-  /** Takes further bytes and returns the statuses that they complete; throws {@link MalformedFrameError}. */
+  /**
+   * Appends received bytes and returns the statuses that they complete. Throws {@link MalformedFrameError} if they
+   * are not valid frames.
+   */
   push(data: Buffer): ControllerStatus[] {
     this.buffered = this.buffered.length === 0 ? data : Buffer.concat([this.buffered, data]);
     const statuses: ControllerStatus[] = [];
--- a/src/wire/errors.ts
+++ b/src/wire/errors.ts
@@ -1,14 +1,14 @@
 /**
- * @file Errors of the decoders. Each says which kind of thing was malformed, so that a caller can tell foreign bytes from
- * faults of its own.
+ * @file Errors of the decoders. Each states what kind of data was malformed, so that a caller can distinguish invalid
+ * input from its own faults.
  */
 
-/** A value in the state store that cannot be decoded as the record that its key says it is. */
+/** A value in the state store that cannot be decoded as the kind of record that its key denotes. */
 export class MalformedRecordError extends Error {
   override readonly name = 'MalformedRecordError';
 
   constructor(
-    /** Which kind of record, as in `Key.kind`. */
+    /** The kind of record, as in `Key.kind`. */
     readonly record: 'job' | 'leader' | 'page',
     readonly reason: string,
     options?: ErrorOptions,
@@ -26,7 +26,7 @@
   }
 }
 
-/** A message body of an outside system that does not have the shape of its interface. */
+/** A message body from an external system that does not match the schema of its interface. */
 export class MalformedMessageError extends Error {
   override readonly name = 'MalformedMessageError';
 
--- a/src/wire/finished-job-summary.ts
+++ b/src/wire/finished-job-summary.ts
@@ -1,8 +1,8 @@
-/** @file What a replica keeps in memory of a finished job in place of its record. It is never stored. */
+/** @file The summary that a replica keeps in memory in place of a finished job's record. It is never stored. */
 import type { JobKind, JobStatus } from '../core/model/job.js';
 import { decodeJob } from './job-record.js';
 
-/** What is kept of a job that is over and of which no task is assigned any more. */
+/** The summary of a finished job that has no assigned tasks left. */
 export class FinishedJobSummary {
   constructor(
     readonly status: 'done' | 'cancelled',
@@ -11,14 +11,14 @@
   ) {}
 }
 
-/** What is known of any job, finished or not. */
+/** The summary of any job, finished or not. */
 export interface JobSummary {
   readonly status: JobStatus;
   readonly kind: JobKind;
   readonly taskCount: number;
 }
 
-/** The summary of a job by its value in the replica, whether that is its record or already its summary. */
+/** Returns the summary of a job from its value in the replica, which is either its record or already a summary. */
 export function jobSummaryOf(value: unknown): JobSummary {
   if (value instanceof FinishedJobSummary) return value;
   const { spec, status } = decodeJob(value);
--- a/src/wire/job-record.ts
+++ b/src/wire/job-record.ts
@@ -1,7 +1,7 @@
 /**
- * @file The record of a job: its spec, when it was submitted, and its status. Every stored field is named here, in the
- * order of the stored bytes: what is stored must not follow names in the code, since controllers of several versions
- * share it during an upgrade.
+ * @file The record of a job: its spec, its submission time and its status. Every stored field is named here, in the
+ * order of the stored bytes. Stored names must not follow the names in the code, because controllers of several
+ * versions share the records during an upgrade.
  */
 import * as z from 'zod';
 import type { JobRecord, JobSpec } from '../core/model/job.js';
@@ -32,7 +32,7 @@
     checkpoint: z.number(),
     save: z.number(),
     due: z.number().nullable(),
-    // Absent where there are none: records without dependencies keep the bytes of earlier versions.
+    // Absent if the job has no dependencies, so that such records keep the bytes of earlier versions.
     dependencies: z.array(z.string()).optional(),
   }),
 });
@@ -68,10 +68,10 @@
   return { st: status, at, s: { ...stored, dependencies } };
 }
 
-/** Records by the value that they were decoded from: a record is needed for every question about its job. */
+/** Caches decoded records by stored value, because every lookup of a job needs its record. */
 const decodedRecords = new WeakMap<object, JobRecord>();
 
-/** Decodes a job's record, each value once; throws {@link MalformedRecordError}. */
+/** Decodes a job's record, each value only once; throws {@link MalformedRecordError} if it is malformed. */
 export function decodeJob(value: unknown): JobRecord {
   const cacheKey = typeof value === 'object' ? value : null;
   const cached = cacheKey === null ? undefined : decodedRecords.get(cacheKey);
--- a/src/wire/keys.ts
+++ b/src/wire/keys.ts
@@ -1,24 +1,27 @@
 /**
- * @file The keys under which controllers keep their records in the state store. All lie under a tenant, so that one
- * state store may hold several clusters later on. Their text is stored: it never follows names in the code.
+ * @file The keys of the controllers' records in the state store. All keys start with a tenant, so that one state
+ * store may hold several clusters later. Keys are stored, so they must never follow names in the code.
  */
 
 const TENANT = 'main';
 
 /** The prefix of all keys of this cluster. */
 export const KEY_PREFIX = `${TENANT}/`;
-/** The key that says which controller leads a partition. */
+/** The key that names the leader of a partition. */
 export const leaderKey = (partition: string): string => `${TENANT}/part/${partition}`;
 /** The key of a job. */
 export const jobKey = (jobId: string): string => `${TENANT}/job/${jobId}`;
 /** The key of a page of chunk records. */
 export const pageKey = (partition: string, pageId: number): string => `${TENANT}/page/${partition}/${pageId}`;
-/** The key of the state of zones that a new leader continues from; older versions ignore it. */
+/** The key of the zone record, from which a new leader continues; older versions ignore it. */
 export const zoneRecordKey = (partition: string): string => `${TENANT}/zones/${partition}`;
-/** The key under which a controller announces its version's features; versions that know no such keys ignore them. */
+/**
+ * The key under which a controller announces its version's features; versions that do not support such keys ignore
+ * them.
+ */
 export const versionKey = (label: string): string => `${TENANT}/version/${label}`;
 
-/** What a key stands for. `other` are the keys that no replica interprets, including those of later versions. */
+/** A parsed key. `other` stands for the keys that no replica interprets, including keys of later versions. */
 export type Key =
   | { readonly kind: 'leader'; readonly partition: string }
   | { readonly kind: 'job'; readonly id: string }
--- a/src/wire/leader-record.ts
+++ b/src/wire/leader-record.ts
@@ -1,13 +1,15 @@
-/** @file The record that names the leader of a partition. It is stored with the leader's lease and ends with it. */
+/**
+ * @file The record that names the leader of a partition. It is stored with the leader's lease and expires with it.
+ */
 import * as z from 'zod';
 import { MalformedRecordError } from './errors.js';
 
 const leaderRecord = z.object({ label: z.string(), incarnation: z.string() });
 
-/** Which controller leads a partition; the incarnation tells apart processes that run under the same label. */
+/** The controller that leads a partition. The incarnation distinguishes processes that run under the same label. */
 export type LeaderRecord = z.infer<typeof leaderRecord>;
 
-/** Decodes a leader record; throws {@link MalformedRecordError}. */
+/** Decodes a leader record; throws {@link MalformedRecordError} if it is malformed. */
 export function decodeLeader(value: unknown): LeaderRecord {
   const parsed = leaderRecord.safeParse(value);
   if (!parsed.success)
--- a/src/wire/page-record.ts
+++ b/src/wire/page-record.ts
@@ -1,16 +1,16 @@
 /**
- * @file The record of a page of chunks. A page is one text, since hundreds of assignments a second go through it and it
- * must stay short. Sections are separated by `|`: the zone names, then one row a chunk,
- * `job/chunk a<highest attempt> c<completed>,<assigned> <completed runs> <assignments>`, an assignment being
+ * @file The record of a page of chunks. A page is a single string, because hundreds of assignments per second go
+ * through it and it must stay short. Its sections are separated by `|`: the zone names, then one row per chunk,
+ * `job/chunk a<highest attempt> c<completed>,<assigned> <completed runs> <assignments>`. An assignment is
  * `task.attempt.machine.epoch.zone`, with the zone as its index in the first section.
  */
 import type { AssignmentRecord, ChunkRecord, PageEntry } from '../core/model/records.js';
 import { MalformedRecordError } from './errors.js';
 
-/** How much of a malformed row or name an error shows. */
+/** Upper bound on the characters of a malformed row or name that an error shows. */
 const MAX_SHOWN_CHARACTERS = 40;
 
-/** Completed tasks as runs `first-last`, or `first` alone. */
+/** Encodes completed tasks as runs `first-last`, or `first` for a single task. */
 function encodeRuns(tasks: readonly number[]): string {
   const runs: [first: number, last: number][] = [];
   for (const task of tasks) {
@@ -31,7 +31,7 @@
   return tasks;
 }
 
-/** A name with every separator of the page's syntax escaped. */
+/** Escapes every separator of the page syntax in a name. */
 const escapeName = (name: string): string =>
   encodeURIComponent(name).replace(/[.!'()*~]/g, (c) => `%${c.charCodeAt(0).toString(16).toUpperCase()}`);
 
@@ -57,7 +57,10 @@
   }
 }
 
-/** Encoded rows by their record and by the cluster's zones: only what changed since the last write is encoded again. */
+/**
+ * Caches encoded rows by record and by the cluster's zones, so that only what changed since the last write is encoded
+ * again.
+ */
 const encodedRows = new WeakMap<ChunkRecord, Map<string, string>>();
 
 /** Encodes a page of chunk records; `zones` are the cluster's zones, in the order of the settings. */
@@ -70,7 +73,7 @@
     const cached = cachedRows.get(zonesKey);
     if (cached !== undefined) return cached;
     const row = encodeRow(entry, zoneTable);
-    // A row after which a zone was appended, now or before, depends on what else the page holds.
+    // If a zone was appended, for this row or for an earlier one, the row depends on the other rows of the page.
     if (zoneTable.names.length === zones.length) cachedRows.set(zonesKey, row);
     return row;
   });
@@ -87,10 +90,10 @@
 const encodeAssignment = (assignment: AssignmentRecord, zones: ZoneTable): string =>
   `${assignment.taskIndex}.${assignment.attempt}.${escapeName(assignment.machineName)}.${assignment.agentEpoch}.${zones.indexOf(assignment.zone)}`;
 
-/** Job id, chunk, highest attempt, completed runs, assignments. */
+/** Captures job id, chunk, highest attempt, completed runs and assignments. */
 const ROW = /^([^/ ]+)\/(\d+) a(\d+) c\d+,\d+ ([\d,-]*) (.*)$/;
 
-/** Decodes a page of chunk records; throws {@link MalformedRecordError}. */
+/** Decodes a page of chunk records; throws {@link MalformedRecordError} if it is malformed. */
 export function decodePage(value: unknown): PageEntry[] {
   if (typeof value !== 'string') throw new MalformedRecordError('page', 'not a text');
   const [zoneSection = '', ...rows] = value.split('|');
@@ -124,19 +127,19 @@
   };
 }
 
-/** How many tasks of a job one chunk records. */
+/** Numbers of completed and assigned tasks of a job that one chunk records. */
 export interface ChunkTaskCount {
   readonly jobId: string;
   readonly completed: number;
   readonly assigned: number;
 }
 
-/** The beginning of a row, up to its counts. */
+/** Captures job id and task counts from the start of a row. */
 const ROW_HEAD = /^([^/ ]+)\/\d+ a\d+ c(\d+),(\d+) /;
-/** Longer than the beginning of any row, whose job id has at most 22 characters. */
+/** Longer than the start of any row, because a job id has at most 22 characters. */
 const MAX_ROW_HEAD_LENGTH = 79;
 
-/** The task counts of a page's chunks, read without decoding the page; none if the value is not a page. */
+/** Returns the task counts of a page's chunks without decoding the page; none if the value is not a page. */
 export function taskCountsIn(value: unknown): ChunkTaskCount[] {
   if (typeof value !== 'string') return [];
   const counts: ChunkTaskCount[] = [];
--- a/src/wire/state-store-protocol.ts
+++ b/src/wire/state-store-protocol.ts
@@ -1,13 +1,13 @@
 /**
- * @file The state store's interface: paths, transactions, leases, reads and the watch. The words of that interface
- * (`ledgerRev`, `stamp`, `permit`, `holds`, `news`, ...) are mapped to the terms used inside here and are known nowhere
- * else.
+ * @file The state store's interface: paths, transactions, leases, reads and the watch. The names of that interface
+ * (`ledgerRev`, `stamp`, `permit`, `holds`, `news`, ...) are mapped to the program's own terms in this module and are
+ * used nowhere else.
  */
 import * as z from 'zod';
 import { parseBody, type ParseResult } from './parse-result.js';
 import { count } from './schema-parts.js';
 
-/** A condition of a transaction: the key must have this mod revision; 0: the key must not exist. */
+/** A compare condition of a transaction: the key must have this mod revision, or must not exist if it is 0. */
 export interface CompareCondition {
   readonly key: string;
   readonly modRevision: number;
@@ -28,14 +28,17 @@
 export const leaseRenewalPath = (leaseId: number): string => `${leasePath(leaseId)}/touch`;
 /** The path of one key. */
 export const keyPath = (key: string): string => `/store/${key}`;
-/** The path of a page of all keys with a prefix, in order, from the one after `after`; null: from the first. */
+/**
+ * Returns the path of a page of all keys with a prefix, in order, starting after the key `after`, or at the first key
+ * if `after` is null.
+ */
 export const keyRangePath = (prefix: string, limit: number, after: string | null): string =>
   `/store?under=${prefix}&page=${limit}${after === null ? '' : `&from=${after}`}`;
-/** The path of a watch: the changes since a revision, for which the state store waits up to `waitMs`. */
+/** Returns the path of a watch for the changes since a revision, for which the state store waits up to `waitMs`. */
 export const watchPath = (prefix: string, sinceRevision: number, waitMs: number): string =>
   `/follow?under=${prefix}&from=${sinceRevision}&holdMs=${waitMs}`;
 
-/** Encodes a transaction: all writes are carried out if every condition holds, and else none. */
+/** Encodes a transaction: all writes are carried out if every condition holds, otherwise none. */
 export const encodeTransaction = (
   conditions: readonly CompareCondition[],
   operations: readonly WriteOperation[],
@@ -49,7 +52,7 @@
     ? { write: operation.key, value: operation.value, permit: operation.leaseId }
     : { delete: operation.key };
 
-/** Encodes the request for a lease that expires unless it is renewed within this time. */
+/** Encodes the request for a lease that expires unless it is renewed within `ttlMs`. */
 export const encodeLeaseGrant = (ttlMs: number): unknown => ({ ttlMs });
 
 const commitResponse = z.object({ ledgerRev: count });
@@ -60,7 +63,9 @@
 
 const conflictResponse = z.object({ failed: z.array(z.string()), ledgerRev: count });
 
-/** Why a transaction was not carried out: the keys whose conditions failed, as of a revision. */
+/**
+ * The keys whose conditions failed, which is why a transaction was not carried out, and the revision of that check.
+ */
 export interface Conflict {
   readonly failedKeys: readonly string[];
   readonly revision: number;
@@ -98,7 +103,7 @@
 /** A page of keys as of a revision. */
 export interface KeyRangePage {
   readonly items: readonly KeyValue[];
-  /** Whether further pages follow. */
+  /** True if further pages follow. */
   readonly hasMore: boolean;
   readonly revision: number;
 }
@@ -129,7 +134,7 @@
   readonly revision: number;
 }
 
-/** Decodes the response of a watch; changes that name no key are left out. */
+/** Decodes the response of a watch; changes without a key are omitted. */
 export const parseWatchBatch = (body: unknown): ParseResult<WatchBatch> =>
   parseBody(watchResponse, body, ({ news, ledgerRev }) => {
     const events: KeyValue[] = [];
--- a/src/wire/user-protocol.ts
+++ b/src/wire/user-protocol.ts
@@ -1,6 +1,6 @@
 /**
- * @file The users' interface: decodes submissions and encodes job states. The words of that interface (`docket`, `desk`,
- * `tickets`, ...) are mapped to the terms used inside here and are known nowhere else.
+ * @file The users' interface: decodes submissions and encodes job states. The names of that interface (`docket`,
+ * `desk`, `tickets`, ...) are mapped to the program's own terms in this module and are used nowhere else.
  */
 import * as z from 'zod';
 import type { JobKind, JobSpec, Priority } from '../core/model/job.js';
@@ -48,12 +48,12 @@
   idle: 'low',
 };
 
-/** Whether a text has the form of a job id. */
+/** True if a text has the form of a job id. */
 export const isJobId = (text: string): boolean => JOB_ID.test(text);
 
 /**
- * The job id of a submission whose other fields may be malformed, or null if there is none. A known job is answered
- * with its state whatever else the submission holds.
+ * Returns the job id of a submission whose other fields may be malformed, or null if it has none. For an existing
+ * job, the answer is the job's state, whatever else the submission contains.
  */
 export function jobIdOf(body: unknown): string | null {
   if (body === null || typeof body !== 'object') return null;
@@ -61,7 +61,7 @@
   return typeof ref === 'string' && isJobId(ref) ? ref : null;
 }
 
-/** Decodes a submission. Whether the cluster can ever run such a job is not checked here. */
+/** Decodes a submission. Does not check whether the cluster can ever run such a job. */
 export function parseSubmission(body: unknown): ParseResult<JobSpec> {
   const parsed = parseBody(submission, body, jobSpecOf);
   if (parsed.ok && parsed.value.dependencies.includes(parsed.value.id))
@@ -95,17 +95,17 @@
   };
 }
 
-/** A job's status as the users' interface names it. */
+/** A job's status under its name in the users' interface. */
 export type UserJobStatus = 'pending' | 'running' | 'done' | 'cancelled';
 
-/** How many of a job's tasks are done and running; `id` repeats the job id where the interface asks for it. */
+/** Numbers of done and running tasks of a job; `id` repeats the job id where the interface requires it. */
 export interface TaskTotals {
   readonly id?: string;
   readonly done: number;
   readonly running: number;
 }
 
-/** Encodes a job's state; without totals only its status is told. */
+/** Encodes a job's state; without totals, only its status is included. */
 export function encodeJobStatus(jobId: string, status: UserJobStatus, totals?: TaskTotals): unknown {
   if (totals === undefined) return { ref: jobId, standing: status };
   return { ref: jobId, standing: status, id: totals.id, done: totals.done, running: totals.running };
--- a/src/wire/worker-protocol.ts
+++ b/src/wire/worker-protocol.ts
@@ -1,6 +1,7 @@
 /**
- * @file The workers' interface: decodes heartbeats and encodes commands and redirects. The words of that interface
- * (`rig`, `shift`, `tick`, `baton`, ...) are mapped to the terms used inside here and are known nowhere else.
+ * @file The workers' interface: decodes heartbeats and encodes commands and redirects. The names of that interface
+ * (`rig`, `shift`, `tick`, `baton`, ...) are mapped to the program's own terms in this module and are used nowhere
+ * else.
  */
 import * as z from 'zod';
 import type { Heartbeat, ReportedTask } from '../core/model/heartbeat.js';
@@ -9,7 +10,7 @@
 import { parseBody, type ParseResult } from './parse-result.js';
 import { MAX_AMOUNT, amount, count, orNull } from './schema-parts.js';
 
-/** Paths of a worker's own HTTP interface that the controller calls. */
+/** Paths of a worker's HTTP interface that the controller calls. */
 export const WORKER_PATHS = { commands: '/commands' } as const;
 
 const taskName = z.string().regex(/^.{1,200}\/[0-9]{1,9}$/);
@@ -46,7 +47,8 @@
 
 /** Decodes a heartbeat. */
 export function parseHeartbeat(body: unknown): ParseResult<Heartbeat> {
-  // Hundreds come a second: the plain form is decoded directly, and what deviates from it in any way goes to the schema.
+  // Hundreds of heartbeats arrive per second: the plain form is decoded directly, and a body that deviates from it in
+  // any way is decoded with the schema.
   const plain = parsePlainHeartbeat(body);
   if (plain !== null) return { ok: true, value: plain };
   return parseBody(heartbeatMessage, body, heartbeatOf);
@@ -81,8 +83,8 @@
 const isName = (v: unknown): v is string => typeof v === 'string' && v.length > 0;
 const isAmount = (v: unknown): v is number => typeof v === 'number' && v >= 0 && v <= MAX_AMOUNT;
 
-/** A heartbeat in the form in which nearly all come, or null if the schema has to decide. */
-// Hundreds a second are read here: one check a field, none of them through a table or a closure.
+/** Decodes a heartbeat in the form that nearly all have; returns null if the schema has to decide. */
+// Hundreds of heartbeats per second are decoded here: each field is checked once, without a table or a closure.
 // eslint-disable-next-line complexity
 function parsePlainHeartbeat(body: unknown): Heartbeat | null {
   if (body === null || typeof body !== 'object') return null;
@@ -113,8 +115,8 @@
   };
 }
 
-/** One task of a heartbeat in the plain form, or null if the schema has to decide. */
-// As above: a heartbeat names dozens of tasks.
+/** Decodes one task of a heartbeat in the plain form; returns null if the schema has to decide. */
+// Written like the function above, because a heartbeat lists dozens of tasks.
 // eslint-disable-next-line complexity
 function parsePlainTask(message: unknown): ReportedTask | null {
   if (message === null || typeof message !== 'object') return null;
@@ -140,7 +142,7 @@
 
 const COMMAND_VERBS = { start: 'run', stop: 'halt', forget: 'forget' } as const;
 
-/** Encodes commands for one worker. Without an agent epoch they are meant for whichever agent process runs there. */
+/** Encodes commands for one worker. Without an agent epoch, they are meant for whichever agent process runs there. */
 export function encodeCommands(
   fencingToken: number,
   commands: readonly WorkerCommand[],
@@ -158,6 +160,6 @@
   };
 }
 
-/** Encodes which controller leads and takes heartbeats; null: none is known. */
+/** Encodes which controller leads and accepts heartbeats; an empty object if `leaderLabel` is null. */
 export const encodeRedirect = (leaderLabel: string | null): unknown =>
   leaderLabel === null ? {} : { foreman: leaderLabel };
