--- a/src/wire/controller-status-frame.ts
+++ b/src/wire/controller-status-frame.ts
@@ -78,8 +78,9 @@
       const frameBytes = HEADER_BYTES + this.buffered.readUInt16BE(4);
       if (frameBytes > MAX_FRAME_BYTES) throw new MalformedFrameError('too long');
       if (this.buffered.length < frameBytes) break;
-      const known = this.buffered.readUInt8(2) === VERSION && this.buffered.readUInt8(3) === KIND_STATUS;
-      if (known) statuses.push(decodeStatus(this.buffered.subarray(HEADER_BYTES, frameBytes)));
+      const isSupported =
+        this.buffered.readUInt8(2) === VERSION && this.buffered.readUInt8(3) === KIND_STATUS;
+      if (isSupported) statuses.push(decodeStatus(this.buffered.subarray(HEADER_BYTES, frameBytes)));
       this.buffered = this.buffered.subarray(frameBytes);
     }
     return statuses;
