--- a/src/edge/state-store/finished-job-compactor.ts
+++ b/src/edge/state-store/finished-job-compactor.ts
@@ -26,7 +26,7 @@
 
   constructor(
     private readonly stateStore: ReplicaView,
-    private readonly counts: Pick<TaskCounts, 'of'>,
+    private readonly taskCounts: Pick<TaskCounts, 'of'>,
   ) {}
 
   /** Watches the replica until unsubscribed. */
@@ -43,7 +43,8 @@
   /** Compacts the finished jobs that have no assigned tasks left. */
   sweep(): void {
     if (this.stateStore.reloading) return;
-    for (const jobId of this.uncompactedJobs) if (this.counts.of(jobId).assigned === 0) this.compact(jobId);
+    for (const jobId of this.uncompactedJobs)
+      if (this.taskCounts.of(jobId).assigned === 0) this.compact(jobId);
   }
 
   private compact(jobId: string): void {
--- a/src/edge/state-store/image-cache-observer.ts
+++ b/src/edge/state-store/image-cache-observer.ts
@@ -56,7 +56,7 @@
   constructor(
     private readonly stateStore: ReplicaEntries,
     private readonly logger: Logger,
-    private readonly pages: DecodedPageCache,
+    private readonly pageCache: DecodedPageCache,
     /**
      * True while this controller is the leader: it then observes nothing, because it receives the images with the
      * heartbeats.
@@ -99,7 +99,7 @@
 
   private observe(page: ReplicaEntry): void {
     const now = this.clock();
-    for (const { jobId, record } of this.pages.entriesOf(page)) {
+    for (const { jobId, record } of this.pageCache.entriesOf(page)) {
       if (record.assignments.length === 0) continue;
       const job = this.stateStore.replica.get(jobKey(jobId));
       if (job === undefined || job.value instanceof FinishedJobSummary) continue;
--- a/src/edge/state-store/state-store.ts
+++ b/src/edge/state-store/state-store.ts
@@ -31,7 +31,7 @@
 export class StateStore implements ReplicaView {
   private readonly client: StateStoreClient;
   private readonly watchedReplica: WatchedReplica;
-  private readonly barrier = new CoalescedRead(BARRIER_INTERVAL_MS, () => this.readBarrier());
+  private readonly barrierRead = new CoalescedRead(BARRIER_INTERVAL_MS, () => this.readBarrier());
   private syncedAt = 0n;
 
   constructor(
@@ -97,7 +97,7 @@
    * this call, or to false if that fails or takes too long.
    */
   async syncReplica(timeoutMs: number): Promise<boolean> {
-    const barrier = await this.barrier.request();
+    const barrier = await this.barrierRead.request();
     if (barrier === null) return false;
     const synced = await this.watchedReplica.waitForRevision(barrier.revision, timeoutMs);
     if (synced && barrier.sentAt > this.syncedAt) this.syncedAt = barrier.sentAt;
