--- a/src/edge/state-store/finished-job-compactor.ts
+++ b/src/edge/state-store/finished-job-compactor.ts
@@ -13,8 +13,8 @@
 
 /**
  * Finished jobs must be kept permanently, but their specs are no longer needed once none of their tasks is assigned:
- * the replica then keeps a summary. No part of the summary is older than the full record was, because a finished job
- * does not change.
+ * the replica then keeps a summary. The summary is never older than the full record was, because a finished job does
+ * not change.
  *
  * A finished job gets no new assignments, because assignments are committed under its mod revision. A replica of a
  * single revision that shows no assignments of the job therefore proves that there are none. While the replica is
--- a/src/edge/state-store/image-cache-observer.ts
+++ b/src/edge/state-store/image-cache-observer.ts
@@ -22,8 +22,8 @@
 const FETCH_STARTUP_MS = 2000;
 const FETCH_SAFETY_FACTOR = 1.5;
 /**
- * How long an assignment must have existed, in milliseconds, for its machine to have the image even with the slowest
- * fetch that is likely.
+ * How long an assignment must have existed, in milliseconds, for its machine to have the image at the slowest likely
+ * fetch.
  */
 const expectedFetchMs = (sizeGb: number, fetchGbPerS: number): number =>
   FETCH_STARTUP_MS + (1000 * FETCH_SAFETY_FACTOR * sizeGb) / fetchGbPerS;
@@ -57,10 +57,7 @@
     private readonly stateStore: ReplicaEntries,
     private readonly logger: Logger,
     private readonly pageCache: DecodedPageCache,
-    /**
-     * True while this controller is the leader: it then observes nothing, because it receives the images with the
-     * heartbeats.
-     */
+    /** True while this controller is the leader: it receives the images with the heartbeats and observes nothing. */
     private readonly isLeader: () => boolean,
     private readonly clock: () => bigint = monotonicNow,
   ) {}
@@ -128,7 +125,9 @@
     machine.images.set(image, { sizeGb, firstSeenAt: now, lastSeenAt: now });
   }
 
-  /** Entries are limited by age and not by number, because a fleet may be of any size. */
+  /**
+   * Removes machines last seen too long ago. Entries are limited by age, not by number: a fleet may be of any size.
+   */
   private removeExpired(now: bigint): void {
     for (const [machineName, { lastSeenAt }] of this.byMachine) {
       if (millisecondsBetween(lastSeenAt, now) < RETENTION_MS) return;
