--- a/src/edge/http/http-server.ts
+++ b/src/edge/http/http-server.ts
@@ -7,7 +7,7 @@
 import type { Socket } from 'node:net';
 import { Observable, Subscription } from 'rxjs';
 import type { ConnectionLimits } from '../config/connection-limits.js';
-import { parseTarget } from '../net/target.js';
+import { parseHostAndPort } from '../net/host-and-port.js';
 import { HeartbeatEndpoint, type HeartbeatEndpointDependencies } from './heartbeat-endpoint.js';
 import { HeartbeatQueue } from './heartbeat-queue.js';
 import { readHeartbeats, type HeartbeatReaderOptions } from './heartbeat-reader.js';
@@ -45,7 +45,7 @@
       handOver: (socket) => handOver(socket, userServer, connections),
       rotates: () => connections.rotatesWorkers(),
     };
-    const listener = new Listener(parseTarget(address), (socket) =>
+    const listener = new Listener(parseHostAndPort(address), (socket) =>
       acceptConnection(socket, connections, readerOptions, server),
     );
     server.add(listener.open().subscribe(subscriber));
--- a/src/edge/http/listener.ts
+++ b/src/edge/http/listener.ts
@@ -1,7 +1,7 @@
 /** @file The listening socket. It owns no connection: those it has accepted are its caller's. */
 import { createServer, type Server, type Socket } from 'node:net';
 import { Observable } from 'rxjs';
-import type { Target } from '../net/target.js';
+import type { HostAndPort } from '../net/host-and-port.js';
 import { millisecondsSince, monotonicNow } from '../runtime/clock.js';
 
 /** The timeout of a worker's connection is 4 s: sooner after reopening, none in the backlog can have timed out. */
@@ -20,7 +20,7 @@
   private listen: () => void = () => undefined;
 
   constructor(
-    private readonly target: Target,
+    private readonly target: HostAndPort,
     private readonly onConnection: (socket: Socket) => void,
   ) {}
 
--- a/src/edge/net/http-client.ts
+++ b/src/edge/net/http-client.ts
@@ -6,11 +6,11 @@
  */
 import { encode } from '../../wire/cbor.js';
 import { HttpConnection, type Outcome, type PendingRequest } from './http-connection.js';
-import { parseTarget, type Target } from './target.js';
+import { parseHostAndPort, type HostAndPort } from './host-and-port.js';
 
 /** A client of one outside system: connections that are kept alive, CBOR bodies, and a limit on every wait. */
 export class HttpClient {
-  private readonly target: Target;
+  private readonly target: HostAndPort;
   private readonly open = new Set<HttpConnection>();
   /** The one used last is taken first, so that connections that are not needed become idle and are closed. */
   private readonly idle: HttpConnection[] = [];
@@ -20,7 +20,7 @@
     private readonly address: string,
     private readonly maxConnections: number,
   ) {
-    this.target = parseTarget(address);
+    this.target = parseHostAndPort(address);
   }
 
   /** Closes all connections; the requests that they carried have an unknown outcome. */
--- a/src/edge/net/http-connection.ts
+++ b/src/edge/net/http-connection.ts
@@ -5,7 +5,7 @@
 import { connect, type Socket } from 'node:net';
 import { decode } from '../../wire/cbor.js';
 import { ResponseReader, type HttpResponse } from './http-response.js';
-import type { Target } from './target.js';
+import type { HostAndPort } from './host-and-port.js';
 
 /** What became of a request. `unsent`: no connection came about, so it can never be carried out. */
 export type Outcome =
@@ -43,7 +43,7 @@
   private retired = false;
 
   constructor(
-    target: Target,
+    target: HostAndPort,
     private readonly onIdle: (connection: HttpConnection) => void,
     private readonly onRetired: (connection: HttpConnection) => void,
   ) {
--- a/src/edge/peers/peer-dialer.ts
+++ b/src/edge/peers/peer-dialer.ts
@@ -6,7 +6,7 @@
 import { Subscription, interval } from 'rxjs';
 import { encodeStatus, type ControllerStatus } from '../../wire/controller-status-frame.js';
 import { sleep } from '../runtime/supervised-task.js';
-import { parseTarget } from '../net/target.js';
+import { parseHostAndPort } from '../net/host-and-port.js';
 import { jittered } from '../runtime/jitter.js';
 
 const STATUS_INTERVAL_MS = 400;
@@ -34,7 +34,7 @@
   signal: AbortSignal,
 ): Promise<void> {
   return new Promise((resolve) => {
-    const { host, port } = parseTarget(endpoint);
+    const { host, port } = parseHostAndPort(endpoint);
     const socket = connect({ host, port });
     const connection = new Subscription(() => socket.destroy());
     const connectTimeout = setTimeout(() => socket.destroy(), CONNECT_TIMEOUT_MS);
--- a/src/edge/peers/peer-listener.ts
+++ b/src/edge/peers/peer-listener.ts
@@ -6,7 +6,7 @@
 import { Observable, Subscription, fromEvent, takeUntil } from 'rxjs';
 import { FrameReader, type ControllerStatus } from '../../wire/controller-status-frame.js';
 import { errorMessage } from '../runtime/supervised-task.js';
-import { parseTarget } from '../net/target.js';
+import { parseHostAndPort } from '../net/host-and-port.js';
 import { warnRateLimited, type Logger } from '../runtime/logger.js';
 
 const IDLE_TIMEOUT_MS = 5000;
@@ -42,7 +42,7 @@
   server.maxConnections = CONNECTIONS_PER_PEER * Math.max(1, peerCount);
   // Without a listener the controller goes on like one that receives no peer's status.
   server.on('error', (e) => logger.warn({ error: errorMessage(e) }, 'peer listener failed'));
-  const { host, port } = parseTarget(address);
+  const { host, port } = parseHostAndPort(address);
   server.listen(port, host);
 }
 
--- a/test/leader-overload.test.ts
+++ b/test/leader-overload.test.ts
@@ -9,7 +9,7 @@
 import type { Effect } from '../src/core/model/effects.js';
 import type { WorkerCommand } from '../src/core/model/worker-command.js';
 import { Listener } from '../src/edge/http/listener.js';
-import { parseTarget } from '../src/edge/net/target.js';
+import { parseHostAndPort } from '../src/edge/net/host-and-port.js';
 import { isHealthy } from '../src/edge/http/health.js';
 import { HeartbeatQueue } from '../src/edge/http/heartbeat-queue.js';
 import { readHeartbeats } from '../src/edge/http/heartbeat-reader.js';
@@ -191,7 +191,7 @@
 
 test('reopening the listener resets connections that are not accepted yet, and keeps the accepted ones', async () => {
   const taken: Socket[] = [];
-  const at = parseTarget(reserveAddress());
+  const at = parseHostAndPort(reserveAddress());
   const listener = new Listener(at, (socket) => taken.push(socket.on('error', () => undefined)));
   const running = listener.open().subscribe();
   const client = (): { readonly socket: Socket; over: boolean } => {
