--- a/src/edge/cloud/cloud-client.ts
+++ b/src/edge/cloud/cloud-client.ts
@@ -16,7 +16,7 @@
 import { RateLimiter } from '../runtime/rate-limiter.js';
 import { sleep } from '../runtime/supervised-task.js';
 import { HttpClient } from '../net/http-client.js';
-import type { Outcome } from '../net/http-connection.js';
+import type { RequestOutcome } from '../net/http-connection.js';
 import { jittered } from '../runtime/jitter.js';
 import { warnRateLimited, type Logger } from '../runtime/logger.js';
 
@@ -45,7 +45,7 @@
   /** Returns the available machine types, or null if they could not be read. */
   async listMachineTypes(signal: AbortSignal): Promise<MachineType[] | null> {
     const response = await this.request('GET', CLOUD_PATHS.types, undefined, signal);
-    if (response.kind !== 'answer' || response.status !== 200) return null;
+    if (response.kind !== 'response' || response.status !== 200) return null;
     const parsed = parseMachineTypes(response.body);
     return parsed.ok ? parsed.value : this.logMalformed(parsed.reason);
   }
@@ -61,7 +61,7 @@
         undefined,
         signal,
       );
-      if (response.kind !== 'answer' || response.status !== 200) return null;
+      if (response.kind !== 'response' || response.status !== 200) return null;
       const parsed = parseInventory(response.body);
       if (!parsed.ok) return this.logMalformed(parsed.reason);
       instances.push(...parsed.value.machines);
@@ -78,7 +78,7 @@
     const machines = await this.withRetries(signal, async () => {
       const body = encodeScaleOut(name, request);
       const response = await this.request('POST', CLOUD_PATHS.machines, body, signal);
-      if (response.kind !== 'answer') return undefined;
+      if (response.kind !== 'response') return undefined;
       if (response.status === 200) return this.parseMachineNames(response.body);
       if (response.status === 400 || response.status === 503) return null;
       return undefined;
@@ -107,7 +107,7 @@
         REQUEST_TIMEOUT_MS,
         signal,
       );
-      return response.kind === 'answer' && response.status === 200 ? true : undefined;
+      return response.kind === 'response' && response.status === 200 ? true : undefined;
     });
     return released ?? false;
   }
@@ -138,7 +138,12 @@
     return null;
   }
 
-  private async request(method: string, path: string, body: unknown, signal: AbortSignal): Promise<Outcome> {
+  private async request(
+    method: string,
+    path: string,
+    body: unknown,
+    signal: AbortSignal,
+  ): Promise<RequestOutcome> {
     await this.waitForRateLimit(signal);
     return this.client.request(method, path, body, REQUEST_TIMEOUT_MS, signal);
   }
--- a/src/edge/net/http-client.ts
+++ b/src/edge/net/http-client.ts
@@ -5,7 +5,7 @@
  * `npm run load`). It must report each request's outcome once, and never repeat a request itself.
  */
 import { encode } from '../../wire/cbor.js';
-import { HttpConnection, type Outcome, type PendingRequest } from './http-connection.js';
+import { HttpConnection, type RequestOutcome, type PendingRequest } from './http-connection.js';
 import { parseHostAndPort, type HostAndPort } from './host-and-port.js';
 
 /** A client of one outside system: connections that are kept alive, CBOR bodies, and a limit on every wait. */
@@ -35,7 +35,7 @@
     body: unknown,
     timeoutMs: number,
     signal?: AbortSignal,
-  ): Promise<Outcome> {
+  ): Promise<RequestOutcome> {
     return new Promise((resolve) => {
       const pending: PendingRequest = {
         bytes: this.encodeRequest(method, path, body),
--- a/src/edge/net/http-connection.ts
+++ b/src/edge/net/http-connection.ts
@@ -8,8 +8,8 @@
 import type { HostAndPort } from './host-and-port.js';
 
 /** What became of a request. `unsent`: no connection came about, so it can never be carried out. */
-export type Outcome =
-  | { readonly kind: 'answer'; readonly status: number; readonly body: unknown }
+export type RequestOutcome =
+  | { readonly kind: 'response'; readonly status: number; readonly body: unknown }
   | { readonly kind: 'unsent'; readonly reason: string }
   | { readonly kind: 'unknown'; readonly reason: string };
 
@@ -20,15 +20,15 @@
 export interface PendingRequest {
   /** Head and body, written at once. */
   readonly bytes: Buffer;
-  readonly settle: (outcome: Outcome) => void;
+  readonly settle: (outcome: RequestOutcome) => void;
   /** The connection that carries it; null while it waits for one. */
   connection: HttpConnection | null;
 }
 
-function outcomeOf(response: HttpResponse): Outcome {
+function outcomeOf(response: HttpResponse): RequestOutcome {
   try {
     const body = response.body.length === 0 ? null : decode(response.body);
-    return { kind: 'answer', status: response.status, body };
+    return { kind: 'response', status: response.status, body };
   } catch {
     return { kind: 'unknown', reason: 'the answer is not CBOR' };
   }
--- a/src/edge/state-store/state-store-client.ts
+++ b/src/edge/state-store/state-store-client.ts
@@ -130,7 +130,7 @@
   /** Reads one key from the state store, bypassing the replica. */
   async read(key: string, timeoutMs: number): Promise<ReadResult> {
     const outcome = await this.requests.request('GET', keyPath(key), undefined, timeoutMs);
-    if (outcome.kind !== 'answer') return { kind: 'unread' };
+    if (outcome.kind !== 'response') return { kind: 'unread' };
     if (outcome.status === 404) return { kind: 'absent' };
     const parsed = parseKeyValue(outcome.body);
     if (outcome.status !== 200 || !parsed.ok || !isDecodable(key, parsed.value)) return { kind: 'unread' };
@@ -141,7 +141,7 @@
   async grantLease(ttlMs: number): Promise<number | null> {
     const body = encodeLeaseGrant(ttlMs);
     const outcome = await this.requests.request('POST', LEASES_PATH, body, REQUEST_TIMEOUT_MS);
-    if (outcome.kind !== 'answer' || outcome.status !== 200) return null;
+    if (outcome.kind !== 'response' || outcome.status !== 200) return null;
     const leaseId = parseLeaseId(outcome.body);
     return leaseId.ok ? leaseId.value : null;
   }
@@ -150,7 +150,7 @@
   async renewLease(leaseId: number): Promise<LeaseRenewal> {
     const path = leaseRenewalPath(leaseId);
     const outcome = await this.requests.request('POST', path, undefined, REQUEST_TIMEOUT_MS);
-    if (outcome.kind !== 'answer') return 'unknown';
+    if (outcome.kind !== 'response') return 'unknown';
     if (outcome.status === 200) return 'renewed';
     return outcome.status === 404 ? 'expired' : 'unknown';
   }
@@ -170,7 +170,7 @@
   async listKeys(after: string | null): Promise<KeyRangePage | null> {
     const path = keyRangePath(KEY_PREFIX, KEYS_PER_PAGE, after);
     const outcome = await this.requests.request('GET', path, undefined, KEY_RANGE_TIMEOUT_MS);
-    if (outcome.kind !== 'answer' || outcome.status !== 200) return null;
+    if (outcome.kind !== 'response' || outcome.status !== 200) return null;
     return valueOrThrow('key range response', parseKeyRange(outcome.body));
   }
 
@@ -181,7 +181,7 @@
   async watch(sinceRevision: number, signal: AbortSignal): Promise<WatchResult> {
     const path = watchPath(KEY_PREFIX, sinceRevision, WATCH_WAIT_MS);
     const outcome = await this.watches.request('GET', path, undefined, WATCH_TIMEOUT_MS, signal);
-    if (outcome.kind !== 'answer') return { kind: 'unavailable' };
+    if (outcome.kind !== 'response') return { kind: 'unavailable' };
     if (outcome.status === 410) return { kind: 'compacted' };
     if (outcome.status !== 200) return { kind: 'unavailable' };
     return { kind: 'changes', batch: valueOrThrow('watch response', parseWatchBatch(outcome.body)) };
--- a/src/edge/workers/worker-command-sender.ts
+++ b/src/edge/workers/worker-command-sender.ts
@@ -8,7 +8,7 @@
 import type { Heartbeat } from '../../core/model/heartbeat.js';
 import type { WorkerCommand } from '../../core/model/worker-command.js';
 import { WORKER_PATHS, encodeCommands, parseHeartbeat } from '../../wire/worker-protocol.js';
-import type { Outcome } from '../net/http-connection.js';
+import type { RequestOutcome } from '../net/http-connection.js';
 import { KeyedTaskQueue } from './keyed-task-queue.js';
 import { WorkerConnectionPool } from './worker-connection-pool.js';
 
@@ -34,7 +34,7 @@
 const isProbe = (batch: CommandBatch): boolean => batch.commands.length === 0;
 
 /** Converts a worker's response to a result. */
-function resultOf(batch: CommandBatch, fencingToken: number, response: Outcome): CommandResult {
+function resultOf(batch: CommandBatch, fencingToken: number, response: RequestOutcome): CommandResult {
   if (response.kind === 'unsent') return { batch, fencingToken, outcome: 'refused', heartbeat: null };
   if (response.kind === 'unknown') return { batch, fencingToken, outcome: 'unknown', heartbeat: null };
   const parsed = parseHeartbeat(response.body);
--- a/src/edge/workers/worker-connection-pool.ts
+++ b/src/edge/workers/worker-connection-pool.ts
@@ -3,7 +3,7 @@
  * the requests in flight. It owns the clients and closes them; it does not depend on what is sent.
  */
 import { HttpClient } from '../net/http-client.js';
-import type { Outcome } from '../net/http-connection.js';
+import type { RequestOutcome } from '../net/http-connection.js';
 
 /** The client of one worker, which holds at most one connection. */
 interface WorkerClient {
@@ -49,7 +49,7 @@
   }
 
   /** Sends one POST request to a worker. */
-  async post(endpoint: string, request: WorkerRequest): Promise<Outcome> {
+  async post(endpoint: string, request: WorkerRequest): Promise<RequestOutcome> {
     const worker = this.clientFor(endpoint);
     worker.requestsInFlight += 1;
     const outcome = await worker.client.request('POST', request.path, request.body, request.timeoutMs);
--- a/test/http-client.test.ts
+++ b/test/http-client.test.ts
@@ -96,7 +96,7 @@
   const answers = await Promise.all(
     [1, 2, 3, 4, 5, 6].map(() => client.request('GET', '/', undefined, 1000)),
   );
-  assert.deepEqual(new Set(answers.map((a) => (a.kind === 'answer' ? a.status : a.kind))), new Set([200]));
+  assert.deepEqual(new Set(answers.map((a) => (a.kind === 'response' ? a.status : a.kind))), new Set([200]));
   assert.equal(sockets.size, 2);
   client.close();
   // A pool that was closed starts anew.
