--- a/test/http-client.test.ts
+++ b/test/http-client.test.ts
@@ -100,7 +100,7 @@
   assert.equal(sockets.size, 2);
   client.close();
   // A pool that was closed starts anew.
-  assert.equal((await client.request('GET', '/', undefined, 1000)).kind, 'answer');
+  assert.equal((await client.request('GET', '/', undefined, 1000)).kind, 'response');
   client.close();
   server.close();
 });
