--- a/src/edge/net/http-client.ts
+++ b/src/edge/net/http-client.ts
@@ -11,10 +11,10 @@
 /** A client of one outside system: connections that are kept alive, CBOR bodies, and a limit on every wait. */
 export class HttpClient {
   private readonly target: HostAndPort;
-  private readonly open = new Set<HttpConnection>();
+  private readonly openConnections = new Set<HttpConnection>();
   /** The one used last is taken first, so that connections that are not needed become idle and are closed. */
-  private readonly idle: HttpConnection[] = [];
-  private readonly queue: PendingRequest[] = [];
+  private readonly idleConnections: HttpConnection[] = [];
+  private readonly waitingRequests: PendingRequest[] = [];
 
   constructor(
     private readonly address: string,
@@ -25,7 +25,7 @@
 
   /** Closes all connections; the requests that they carried have an unknown outcome. */
   close(): void {
-    for (const connection of [...this.open]) connection.fail('closed');
+    for (const connection of [...this.openConnections]) connection.fail('closed');
   }
 
   /** Sends a request; `timeoutMs` bounds the whole of it, waiting for a connection included. */
@@ -66,40 +66,40 @@
   }
 
   private dispatch(pending: PendingRequest): void {
-    const connection = this.idle.pop() ?? this.connect();
-    if (connection === null) this.queue.push(pending);
+    const connection = this.idleConnections.pop() ?? this.connect();
+    if (connection === null) this.waitingRequests.push(pending);
     else connection.send(pending);
   }
 
   private connect(): HttpConnection | null {
-    if (this.open.size >= this.maxConnections) return null;
+    if (this.openConnections.size >= this.maxConnections) return null;
     const connection = new HttpConnection(
       this.target,
       (idle) => this.reuse(idle),
       (retired) => this.remove(retired),
     );
-    this.open.add(connection);
+    this.openConnections.add(connection);
     return connection;
   }
 
   private reuse(connection: HttpConnection): void {
-    const next = this.queue.shift();
-    if (next === undefined) this.idle.push(connection);
+    const next = this.waitingRequests.shift();
+    if (next === undefined) this.idleConnections.push(connection);
     else connection.send(next);
   }
 
   private remove(connection: HttpConnection): void {
-    this.open.delete(connection);
-    const index = this.idle.indexOf(connection);
-    if (index >= 0) this.idle.splice(index, 1);
-    const next = this.queue.shift();
+    this.openConnections.delete(connection);
+    const index = this.idleConnections.indexOf(connection);
+    if (index >= 0) this.idleConnections.splice(index, 1);
+    const next = this.waitingRequests.shift();
     if (next !== undefined) this.dispatch(next);
   }
 
   private abandon(pending: PendingRequest, reason: string): void {
     if (pending.connection !== null) return pending.connection.fail(reason);
-    const index = this.queue.indexOf(pending);
-    if (index >= 0) this.queue.splice(index, 1);
+    const index = this.waitingRequests.indexOf(pending);
+    if (index >= 0) this.waitingRequests.splice(index, 1);
     pending.settle({ kind: 'unsent', reason });
   }
 }
