--- a/src/edge/net/http-response.ts
+++ b/src/edge/net/http-response.ts
@@ -57,7 +57,7 @@
 }
 
 /** Decodes a chunked body as it comes. */
-class ChunkedBody {
+class ChunkedBodyDecoder {
   private readonly chunks: Buffer[] = [];
   private inTrailer = false;
 
@@ -96,7 +96,7 @@
   private received: Buffer[] = [];
   private size = 0;
   private head: Head | null = null;
-  private chunked = new ChunkedBody();
+  private chunked = new ChunkedBodyDecoder();
 
   /** Adds received bytes; returns the response once it is whole. */
   push(data: Buffer): HttpResponse | null {
@@ -114,7 +114,7 @@
       // 1xx announces the response that follows it.
       if (head.status >= 200) this.head = head;
     }
-    return this.body(this.head);
+    return this.responseIfComplete(this.head);
   }
 
   /** The connection has ended, which completes a body without a length; null: any other is incomplete. */
@@ -123,7 +123,7 @@
     return { status: this.head.status, body: this.receivedBytes(), keepAlive: false };
   }
 
-  private body(head: Head): HttpResponse | null {
+  private responseIfComplete(head: Head): HttpResponse | null {
     const { status, keepAlive, framing } = head;
     if (framing.kind === 'until-close') return null;
     if (framing.kind === 'length') {
