--- a/src/edge/http/heartbeat-queue.ts
+++ b/src/edge/http/heartbeat-queue.ts
@@ -5,9 +5,9 @@
 import { monotonicNow } from '../runtime/clock.js';
 
 /** The longest that heartbeats are answered without a return to the event loop, on a whole core. */
-const BATCH_NS = 10_000_000;
+const MAX_BATCH_NS = 10_000_000;
 /** So many new connections in a row whose worker had given up when its turn came: the kernel's backlog is stale. */
-const STALE_CONNECTIONS = 32;
+const STALE_BACKLOG_THRESHOLD = 32;
 
 /**
  * Heartbeats that wait for their response, the oldest first, at most one of each connection. The engine accepts one new
@@ -19,11 +19,11 @@
 export class HeartbeatQueue {
   /** What waits, oldest first, with the number of the batch before which it was pushed. */
   private readonly waiting = new Map<() => void, number>();
-  private batches = 0;
+  private completedBatches = 0;
   /** New connections in a row that were found closed when their turn came. */
-  private closedInRow = 0;
+  private consecutiveClosedConnections = 0;
   private nextBatch: NodeJS.Immediate | null = null;
-  private readonly batchNs: bigint;
+  private readonly maxBatchNs: bigint;
 
   /** `coreShare`: batches are as much shorter as the share of a core is smaller. */
   constructor(
@@ -33,7 +33,7 @@
     private readonly clock: () => bigint = monotonicNow,
     private readonly schedule: (run: () => void) => NodeJS.Immediate = setImmediate,
   ) {
-    this.batchNs = BigInt(Math.round(BATCH_NS * coreShare));
+    this.maxBatchNs = BigInt(Math.round(MAX_BATCH_NS * coreShare));
   }
 
   /** How many wait. */
@@ -44,20 +44,20 @@
   /** Has `respond` called when its turn comes; returns what withdraws it, to be called once the connection is closed. */
   push(respond: () => void, firstOnConnection: boolean): () => void {
     const entry = (): void => {
-      if (firstOnConnection) this.closedInRow = 0;
+      if (firstOnConnection) this.consecutiveClosedConnections = 0;
       respond();
     };
-    this.waiting.set(entry, this.batches);
+    this.waiting.set(entry, this.completedBatches);
     this.scheduleBatch();
     return () => {
-      if (this.waiting.delete(entry) && firstOnConnection) this.countClosed();
+      if (this.waiting.delete(entry) && firstOnConnection) this.countClosedConnection();
     };
   }
 
-  private countClosed(): void {
-    this.closedInRow += 1;
-    if (this.closedInRow < STALE_CONNECTIONS) return;
-    this.closedInRow = 0;
+  private countClosedConnection(): void {
+    this.consecutiveClosedConnections += 1;
+    if (this.consecutiveClosedConnections < STALE_BACKLOG_THRESHOLD) return;
+    this.consecutiveClosedConnections = 0;
     this.onStaleBacklog();
   }
 
@@ -68,14 +68,14 @@
   private runBatch(): void {
     this.nextBatch = null;
     const startedAt = this.clock();
-    for (const [entry, pushedBefore] of this.waiting) {
+    for (const [entry, pushedBeforeBatch] of this.waiting) {
       // What came since the last batch waits for the next: by then a closed connection has been noticed.
-      if (pushedBefore === this.batches) break;
+      if (pushedBeforeBatch === this.completedBatches) break;
       this.waiting.delete(entry);
       entry();
-      if (this.clock() - startedAt >= this.batchNs) break;
+      if (this.clock() - startedAt >= this.maxBatchNs) break;
     }
-    this.batches += 1;
+    this.completedBatches += 1;
     if (this.waiting.size > 0) this.scheduleBatch();
   }
 
