--- a/src/edge/http/http-server.ts
+++ b/src/edge/http/http-server.ts
@@ -43,7 +43,7 @@
       queue,
       respond: (body) => heartbeats.respond(body),
       handOver: (socket) => handOver(socket, userServer, connections),
-      rotates: () => connections.rotatesWorkers(),
+      rotates: () => connections.rotatesWorkerConnections(),
     };
     const listener = new Listener(parseHostAndPort(address), (socket) =>
       acceptConnection(socket, connections, readerOptions, server),
@@ -88,7 +88,7 @@
 }
 
 function handOver(socket: Socket, userServer: Server, connections: InboundConnections): void {
-  if (connections.refusesUsers) connections.markOverUserLimit(socket);
+  if (connections.refusesNewUsers) connections.markOverUserLimit(socket);
   userServer.emit('connection', socket);
   socket.resume();
 }
--- a/src/edge/http/inbound-connections.ts
+++ b/src/edge/http/inbound-connections.ts
@@ -8,7 +8,7 @@
 import type { Logger } from '../runtime/logger.js';
 
 /** For how long workers' connections are rotated after the limit was last exceeded. */
-const ROTATE_WORKERS_NS = 60_000_000_000n;
+const WORKER_ROTATION_NS = 60_000_000_000n;
 
 /**
  * Sheds in this order: users' connections are rotated, then new users refused, then workers' connections rotated, and
@@ -43,12 +43,12 @@
   }
 
   /** Users' connections are closed after each response. */
-  get rotatesUsers(): boolean {
+  get rotatesUserConnections(): boolean {
     return this.count > this.limits.rotateUsersAbove;
   }
 
   /** Users that connect now are refused. */
-  get refusesUsers(): boolean {
+  get refusesNewUsers(): boolean {
     return this.count > this.limits.userLimit;
   }
 
@@ -66,7 +66,7 @@
    * goes on for a while after the limit was last exceeded. Ended at once, it would let connections fill up again to the
    * limit, where each scheduling cycle, in which no connection is accepted, has a burst of workers find no socket.
    */
-  rotatesWorkers(): boolean {
+  rotatesWorkerConnections(): boolean {
     const now = this.clock();
     if (this.count > this.limits.rotateWorkersAbove) {
       if (this.overLimitAt === null)
@@ -76,6 +76,6 @@
         );
       this.overLimitAt = now;
     }
-    return this.overLimitAt !== null && now - this.overLimitAt < ROTATE_WORKERS_NS;
+    return this.overLimitAt !== null && now - this.overLimitAt < WORKER_ROTATION_NS;
   }
 }
--- a/src/edge/http/user-app.ts
+++ b/src/edge/http/user-app.ts
@@ -49,7 +49,7 @@
 function addConnectionRules(app: Express, connections: InboundConnections, isHealthy: () => boolean): void {
   app.use((_request: Request, response: Response, next: NextFunction) => {
     // A user keeps the connection it has: closing it lets the next request come to a controller that is healthy.
-    if (connections.rotatesUsers || !isHealthy()) response.setHeader('connection', 'close');
+    if (connections.rotatesUserConnections || !isHealthy()) response.setHeader('connection', 'close');
     next();
   });
   // Refused before the body is read. The load balancer's health check is answered all the same.
--- a/test/connection-limits.test.ts
+++ b/test/connection-limits.test.ts
@@ -179,15 +179,15 @@
   const shares = connectionLimitsFor(600);
   const connections = new InboundConnections(shares, logger, () => clock);
   for (let n = 0; n < shares.rotateWorkersAbove; n++) assert.ok(connections.admit());
-  assert.equal(connections.rotatesWorkers(), false);
-  assert.ok(connections.refusesUsers && connections.rotatesUsers, 'users come first');
-  while (connections.admit()) assert.ok(connections.rotatesWorkers());
+  assert.equal(connections.rotatesWorkerConnections(), false);
+  assert.ok(connections.refusesNewUsers && connections.rotatesUserConnections, 'users come first');
+  while (connections.admit()) assert.ok(connections.rotatesWorkerConnections());
   assert.equal(connections.open, shares.inbound);
   while (connections.open > 0) connections.release();
   clock += 59_000_000_000n;
-  assert.ok(connections.rotatesWorkers());
+  assert.ok(connections.rotatesWorkerConnections());
   clock += 2_000_000_000n;
-  assert.equal(connections.rotatesWorkers(), false);
+  assert.equal(connections.rotatesWorkerConnections(), false);
   assert.equal(lines.length, 1);
 });
 
