--- a/measure/memory.ts
+++ b/measure/memory.ts
@@ -96,7 +96,7 @@
     queue: new HeartbeatQueue(),
     respond: () => ({ status: 503, body: Buffer.alloc(0) }),
     handOver: () => undefined,
-    rotates: () => false,
+    rotatesConnections: () => false,
   };
   const inbound = new Set<Socket>();
   const server = createServer((socket) => {
--- a/src/edge/http/heartbeat-reader.ts
+++ b/src/edge/http/heartbeat-reader.ts
@@ -23,7 +23,7 @@
   /** Takes over a connection that carries something else. It is paused, and what was received is unread. */
   readonly handOver: (socket: Socket) => void;
   /** Whether a connection is closed after its response, so that another worker gets its socket. */
-  readonly rotates: () => boolean;
+  readonly rotatesConnections: () => boolean;
 }
 
 /** Reads a connection until it ends or is handed over; returns what closes it. */
@@ -37,7 +37,7 @@
   private requestStartedAt = 0n;
   private isFirst = true;
   /** Withdraws the heartbeat that waits for its response; null: none does. */
-  private withdraw: (() => void) | null = null;
+  private removeFromQueue: (() => void) | null = null;
   private readonly timeoutCheck: NodeJS.Timeout;
 
   constructor(
@@ -64,8 +64,8 @@
 
   private readonly detach = (): void => {
     clearInterval(this.timeoutCheck);
-    this.withdraw?.();
-    this.withdraw = null;
+    this.removeFromQueue?.();
+    this.removeFromQueue = null;
     this.socket.off('data', this.onData);
     this.socket.off('end', this.detach);
     this.socket.off('close', this.detach);
@@ -75,7 +75,7 @@
     if (this.received.length === 0) this.requestStartedAt = monotonicNow();
     this.received = this.received.length === 0 ? data : Buffer.concat([this.received, data]);
     // Requests are not pipelined: what comes ahead of a response is kept, and beyond one request held back by TCP.
-    if (this.withdraw === null) this.readRequest();
+    if (this.removeFromQueue === null) this.readRequest();
     else if (this.received.length > MAX_HEAD_BYTES + this.options.maxBodyBytes) this.socket.pause();
   };
 
@@ -89,13 +89,13 @@
     }
     const body = this.received.subarray(head.bodyStart, head.bodyEnd);
     this.received = this.received.subarray(head.bodyEnd);
-    this.withdraw = this.options.queue.push(() => this.respond(body, head.close), this.isFirst);
+    this.removeFromQueue = this.options.queue.push(() => this.respond(body, head.close), this.isFirst);
     this.isFirst = false;
   }
 
   private respond(body: Buffer, closeRequested: boolean): void {
-    this.withdraw = null;
-    const close = closeRequested || this.options.rotates();
+    this.removeFromQueue = null;
+    const close = closeRequested || this.options.rotatesConnections();
     this.socket.write(encodeResponse(this.options.respond(body), close));
     if (close) {
       this.detach();
--- a/src/edge/http/http-server.ts
+++ b/src/edge/http/http-server.ts
@@ -43,7 +43,7 @@
       queue,
       respond: (body) => heartbeats.respond(body),
       handOver: (socket) => handOver(socket, userServer, connections),
-      rotates: () => connections.rotatesWorkerConnections(),
+      rotatesConnections: () => connections.rotatesWorkerConnections(),
     };
     const listener = new Listener(parseHostAndPort(address), (socket) =>
       acceptConnection(socket, connections, readerOptions, server),
--- a/test/leader-overload.test.ts
+++ b/test/leader-overload.test.ts
@@ -144,7 +144,7 @@
       queue,
       respond: answer,
       handOver: () => assert.fail('not a heartbeat'),
-      rotates: () => false,
+      rotatesConnections: () => false,
     });
     return socket;
   };
