--- a/src/edge/http/heartbeat-endpoint.ts
+++ b/src/edge/http/heartbeat-endpoint.ts
@@ -23,7 +23,7 @@
 /** Answers heartbeats from their bodies. */
 export class HeartbeatEndpoint {
   /** Most responses carry no commands and differ by the fencing token alone: their body is encoded once for each. */
-  private withoutCommands: { readonly fencingToken: number; readonly body: Buffer } | null = null;
+  private responseWithoutCommands: { readonly fencingToken: number; readonly body: Buffer } | null = null;
 
   constructor(private readonly dependencies: HeartbeatEndpointDependencies) {}
 
@@ -37,10 +37,10 @@
       return this.malformed('not CBOR');
     }
     const parsed = parseHeartbeat(body);
-    return parsed.ok ? this.process(parsed.value) : this.malformed(parsed.reason);
+    return parsed.ok ? this.processHeartbeat(parsed.value) : this.malformed(parsed.reason);
   }
 
-  private process(heartbeat: Heartbeat): HeartbeatResponse {
+  private processHeartbeat(heartbeat: Heartbeat): HeartbeatResponse {
     try {
       const answer = this.dependencies.onHeartbeat(heartbeat);
       if (answer === null) return this.redirect();
@@ -64,8 +64,8 @@
 
   private encodeAnswer(fencingToken: number, commands: readonly WorkerCommand[]): Buffer {
     if (commands.length > 0) return encode(encodeCommands(fencingToken, commands));
-    if (this.withoutCommands?.fencingToken !== fencingToken)
-      this.withoutCommands = { fencingToken, body: encode(encodeCommands(fencingToken, [])) };
-    return this.withoutCommands.body;
+    if (this.responseWithoutCommands?.fencingToken !== fencingToken)
+      this.responseWithoutCommands = { fencingToken, body: encode(encodeCommands(fencingToken, [])) };
+    return this.responseWithoutCommands.body;
   }
 }
