--- a/src/edge/http/cancellations.ts
+++ b/src/edge/http/cancellations.ts
@@ -10,8 +10,8 @@
 import type { RequestAdmission } from './request-admission.js';
 import {
   STATE_STORE_UNAVAILABLE,
-  changed,
-  found,
+  changedJob,
+  existingJob,
   isFinal,
   type JobView,
   type RequestResult,
@@ -35,14 +35,14 @@
     const startedAt = monotonicNow();
     for (let retries = 0; millisecondsSince(startedAt) < CANCELLATION_TIMEOUT_MS; retries++) {
       const view = this.queries.view(id);
-      if (view !== null && isFinal(view)) return found(view);
+      if (view !== null && isFinal(view)) return existingJob(view);
       if (this.admission.disconnected) return STATE_STORE_UNAVAILABLE;
       if (retries > 0 || !this.stateStore.replica.has(jobKey(id))) {
         const current = await this.queries.status(id, STATUS_TIMEOUT_MS);
         if (current.kind !== 'ok' || isFinal(current.value)) return current;
       }
       const result = await this.commitCancellation(id);
-      if (result === 'committed') return changed(id, 'cancelled');
+      if (result === 'committed') return changedJob(id, 'cancelled');
       if (result === 'refused') await sleep(jittered(RETRY_BASE_MS * 2 ** retries));
     }
     return STATE_STORE_UNAVAILABLE;
--- a/src/edge/http/request-result.ts
+++ b/src/edge/http/request-result.ts
@@ -12,7 +12,7 @@
 /** What became of a request. */
 export type RequestResult<T> =
   /** `created`: this request made the change, where an idempotent repeat finds it made. */
-  | { readonly kind: 'ok'; readonly value: T; readonly created: boolean }
+  | { readonly kind: 'ok'; readonly value: T; readonly changedByRequest: boolean }
   /** Refused for good. */
   | { readonly kind: 'rejected'; readonly reason: string }
   | { readonly kind: 'not-found' }
@@ -20,12 +20,16 @@
   | { readonly kind: 'unavailable'; readonly retryAfterS: number; readonly reason: string };
 
 /** A job as it was found. */
-export const found = (view: JobView): RequestResult<JobView> => ({ kind: 'ok', value: view, created: false });
+export const existingJob = (view: JobView): RequestResult<JobView> => ({
+  kind: 'ok',
+  value: view,
+  changedByRequest: false,
+});
 
 /** A job to which the request has just given a status; nothing of it runs. */
-export const changed = (id: string, status: UserJobStatus): RequestResult<JobView> => ({
+export const changedJob = (id: string, status: UserJobStatus): RequestResult<JobView> => ({
   kind: 'ok',
-  created: true,
+  changedByRequest: true,
   value: { id, status, completedTasks: 0, runningTasks: 0 },
 });
 
--- a/src/edge/http/responses.ts
+++ b/src/edge/http/responses.ts
@@ -33,11 +33,11 @@
 export function sendResult(
   response: ServerResponse,
   result: RequestResult<JobView>,
-  createdStatus: 200 | 201,
+  statusIfChanged: 200 | 201,
 ): void {
   switch (result.kind) {
     case 'ok':
-      sendCbor(response, result.created ? createdStatus : 200, encodeJobView(result.value));
+      sendCbor(response, result.changedByRequest ? statusIfChanged : 200, encodeJobView(result.value));
       break;
     case 'not-found':
       sendNoSuchJob(response);
--- a/src/edge/http/status-queries.ts
+++ b/src/edge/http/status-queries.ts
@@ -8,7 +8,7 @@
 import type { RequestAdmission } from './request-admission.js';
 import {
   STATE_STORE_UNAVAILABLE,
-  found,
+  existingJob,
   isFinal,
   type JobView,
   type RequestResult,
@@ -44,7 +44,7 @@
   /** A job's status: at once if it is final, else by a linearizable read. */
   async status(id: string, syncTimeoutMs = SYNC_TIMEOUT_MS): Promise<RequestResult<JobView>> {
     const known = this.view(id);
-    if (known !== null && isFinal(known)) return found(known);
+    if (known !== null && isFinal(known)) return existingJob(known);
     if (this.admission.disconnected) return STATE_STORE_UNAVAILABLE;
     return this.admission.run(() => this.readStatus(id, syncTimeoutMs));
   }
@@ -57,6 +57,6 @@
       { jobId: id, status: view?.status ?? 'absent', revision: this.stateStore.revision },
       'job status read',
     );
-    return view === null ? { kind: 'not-found' } : found(view);
+    return view === null ? { kind: 'not-found' } : existingJob(view);
   }
 }
--- a/src/edge/http/submissions.ts
+++ b/src/edge/http/submissions.ts
@@ -18,7 +18,7 @@
   MACHINE_TYPES_UNKNOWN,
   STATE_STORE_UNAVAILABLE,
   UPGRADE_IN_PROGRESS,
-  changed,
+  changedJob,
   type JobView,
   type RequestResult,
 } from './request-result.js';
@@ -96,7 +96,7 @@
         [{ key, modRevision: 0 }],
         [{ kind: 'put', key, value: encodeJob(record) }],
       );
-      if (result.kind === 'committed') return changed(spec.id, 'pending');
+      if (result.kind === 'committed') return changedJob(spec.id, 'pending');
       if (result.kind === 'conflict')
         return this.existing(spec.id, result.revision, SUBMISSION_TIMEOUT_MS - millisecondsSince(startedAt));
       const pauseMs = jittered(RETRY_BASE_MS * 2 ** retries);
