--- a/src/edge/http/status-queries.ts
+++ b/src/edge/http/status-queries.ts
@@ -43,8 +43,8 @@
 
   /** A job's status: at once if it is final, else by a linearizable read. */
   async status(id: string, syncTimeoutMs = SYNC_TIMEOUT_MS): Promise<RequestResult<JobView>> {
-    const known = this.view(id);
-    if (known !== null && isFinal(known)) return existingJob(known);
+    const view = this.view(id);
+    if (view !== null && isFinal(view)) return existingJob(view);
     if (this.admission.disconnected) return STATE_STORE_UNAVAILABLE;
     return this.admission.run(() => this.readStatus(id, syncTimeoutMs));
   }
--- a/src/edge/http/submissions.ts
+++ b/src/edge/http/submissions.ts
@@ -52,13 +52,11 @@
     if (reason !== null) return this.reject(id, reason);
     if (this.admission.disconnected) return STATE_STORE_UNAVAILABLE;
     if (!this.stateStore.loaded || this.machineTypes().length === 0) return MACHINE_TYPES_UNKNOWN;
-    return this.admission.run(
-      async () => (await this.refuseForDependencies(spec)) ?? (await this.create(spec)),
-    );
+    return this.admission.run(async () => (await this.checkDependencies(spec)) ?? (await this.create(spec)));
   }
 
   /** Why a job with such dependencies is refused, for good or for now; null if it is not. */
-  private async refuseForDependencies(spec: JobSpec): Promise<RequestResult<JobView> | null> {
+  private async checkDependencies(spec: JobSpec): Promise<RequestResult<JobView> | null> {
     const { dependencies } = spec;
     if (dependencies.length === 0) return null;
     if (!this.versions.allSupport(DEPENDENCIES_FEATURE)) return UPGRADE_IN_PROGRESS;
@@ -98,7 +96,11 @@
       );
       if (result.kind === 'committed') return changedJob(spec.id, 'pending');
       if (result.kind === 'conflict')
-        return this.existing(spec.id, result.revision, SUBMISSION_TIMEOUT_MS - millisecondsSince(startedAt));
+        return this.existingStatus(
+          spec.id,
+          result.revision,
+          SUBMISSION_TIMEOUT_MS - millisecondsSince(startedAt),
+        );
       const pauseMs = jittered(RETRY_BASE_MS * 2 ** retries);
       const timeoutMs = result.kind === 'refused' ? REFUSED_TIMEOUT_MS : SUBMISSION_TIMEOUT_MS;
       if (millisecondsSince(startedAt) + pauseMs > timeoutMs) return STATE_STORE_UNAVAILABLE;
@@ -107,7 +109,11 @@
   }
 
   /** The status of a job whose record was there already, at a revision that the replica may not have reached. */
-  private async existing(id: string, revision: number, timeoutMs: number): Promise<RequestResult<JobView>> {
+  private async existingStatus(
+    id: string,
+    revision: number,
+    timeoutMs: number,
+  ): Promise<RequestResult<JobView>> {
     const reached = await this.stateStore.waitForRevision(revision, timeoutMs);
     return reached ? this.queries.status(id, EXISTING_STATUS_TIMEOUT_MS) : STATE_STORE_UNAVAILABLE;
   }
--- a/src/edge/http/user-app.ts
+++ b/src/edge/http/user-app.ts
@@ -91,10 +91,10 @@
 async function respondForJob(
   id: string,
   response: Response,
-  request: (id: string) => Promise<RequestResult<JobView>>,
+  handleRequest: (id: string) => Promise<RequestResult<JobView>>,
 ): Promise<void> {
   if (!isJobId(id)) return sendNoSuchJob(response);
-  sendResult(response, await request(id), 200);
+  sendResult(response, await handleRequest(id), 200);
 }
 
 function addHealthRoute(app: Express, isHealthy: () => boolean): void {
