--- a/src/edge/http/health.ts
+++ b/src/edge/http/health.ts
@@ -5,7 +5,7 @@
 /** If another controller has a current replica, only ours is cut off, and users are better served there. */
 const MAX_REPLICA_AGE_WITH_PEERS_MS = 3000;
 /** If fewer others serve users, too much would depend on a single controller. */
-const MIN_PEERS_FOR_LEADER = 2;
+const MIN_PEERS_TO_OFFLOAD_LEADER = 2;
 
 /** What a controller's health towards users follows from. */
 export interface HealthInputs {
@@ -33,6 +33,6 @@
   if (!inputs.ready) return false;
   if (inputs.peersServing === 0) return inputs.replicaAgeMs < MAX_REPLICA_AGE_MS;
   const allPeersServe = inputs.peersServing === inputs.peerCount;
-  if (inputs.isLeader && allPeersServe && inputs.peerCount >= MIN_PEERS_FOR_LEADER) return false;
+  if (inputs.isLeader && allPeersServe && inputs.peerCount >= MIN_PEERS_TO_OFFLOAD_LEADER) return false;
   return !inputs.overloaded && inputs.replicaAgeMs < MAX_REPLICA_AGE_WITH_PEERS_MS;
 }
