--- a/src/edge/peers/peer-links.ts
+++ b/src/edge/peers/peer-links.ts
@@ -19,7 +19,7 @@
 /** A status older than this says nothing about the present. */
 const MAX_STATUS_AGE_MS = 1500;
 /** A peer whose last contact with the state store is older than this does not count as served by it. */
-const MAX_CONTACT_AGE_MS = 2 * MAX_STATUS_AGE_MS;
+const MAX_STATE_STORE_CONTACT_AGE_MS = 2 * MAX_STATUS_AGE_MS;
 
 /** A peer's last status, and when it came. */
 interface ReceivedStatus {
@@ -54,7 +54,7 @@
       if (
         ageMs < MAX_STATUS_AGE_MS &&
         status.stateStoreContactMs !== null &&
-        status.stateStoreContactMs + ageMs < MAX_CONTACT_AGE_MS
+        status.stateStoreContactMs + ageMs < MAX_STATE_STORE_CONTACT_AGE_MS
       )
         serving += 1;
     }
@@ -63,21 +63,21 @@
 
   /** Listens and dials until unsubscribed. */
   start(): Subscription {
-    const routines = new Subscription();
+    const subscriptions = new Subscription();
     const listener = listenForPeers({
       address: this.address,
       peerCount: this.peerCount,
       onStatus: (status) => this.receive(status),
       logger: this.logger,
     });
-    routines.add(listener.subscribe());
+    subscriptions.add(listener.subscribe());
     for (const peer of this.peers)
-      routines.add(
+      subscriptions.add(
         supervise(`peer ${peer.label}`, this.logger, (signal) =>
           sendStatuses(peer.endpoint, this.ownStatus, signal),
         ),
       );
-    return routines;
+    return subscriptions;
   }
 
   private receive(status: ControllerStatus): void {
