--- a/src/edge/config/features.ts
+++ b/src/edge/config/features.ts
@@ -15,22 +15,22 @@
 export type Features = ReadonlySet<Feature>;
 
 /** Reads features from text such as `(features zone-recovery)`; a mistake is a SettingsError with its line. */
-export function parseFeatures(text: string, name: string): Features {
+export function parseFeatures(text: string, sourceName: string): Features {
   const features = new Set<Feature>();
-  for (const form of readForms(text, name)) {
-    const [head, ...entries] = listOf(form, name);
-    const group = atomOf(head, form, name);
-    if (group !== 'features') failAt(form, name, `unknown group "${group}" (known: features)`);
-    for (const entry of entries) features.add(parseFeature(entry, form, name));
+  for (const form of readForms(text, sourceName)) {
+    const [head, ...entries] = listOf(form, sourceName);
+    const group = atomOf(head, form, sourceName);
+    if (group !== 'features') failAt(form, sourceName, `unknown group "${group}" (known: features)`);
+    for (const entry of entries) features.add(parseFeature(entry, form, sourceName));
   }
   return features;
 }
 
-function parseFeature(entry: Node, form: Node, name: string): Feature {
-  const wanted = atomOf(entry, form, name);
+function parseFeature(entry: Node, form: Node, sourceName: string): Feature {
+  const featureName = atomOf(entry, form, sourceName);
   return (
-    KNOWN_FEATURES.find((feature) => feature === wanted) ??
-    failAt(entry, name, `unknown feature "${wanted}" (known: ${KNOWN_FEATURES.join(', ')})`)
+    KNOWN_FEATURES.find((feature) => feature === featureName) ??
+    failAt(entry, sourceName, `unknown feature "${featureName}" (known: ${KNOWN_FEATURES.join(', ')})`)
   );
 }
 
--- a/src/edge/config/operator-settings.ts
+++ b/src/edge/config/operator-settings.ts
@@ -54,15 +54,15 @@
 };
 
 /** Reads operators' settings from text; a mistake is a SettingsError with its line. */
-export function parseOperatorSettings(text: string, name: string): OperatorSettings {
+export function parseOperatorSettings(text: string, sourceName: string): OperatorSettings {
   const settings: Mutable<OperatorSettings> = { ...DEFAULT_SETTINGS };
-  for (const form of readForms(text, name)) {
-    const [head, ...entries] = listOf(form, name);
-    const group = atomOf(head, form, name);
+  for (const form of readForms(text, sourceName)) {
+    const [head, ...entries] = listOf(form, sourceName);
+    const group = atomOf(head, form, sourceName);
     const ranges =
       SETTING_RANGES[group] ??
-      failAt(form, name, `unknown group "${group}" (known: ${Object.keys(SETTING_RANGES).join(', ')})`);
-    for (const entry of entries) applySetting(settings, entry, group, ranges, name);
+      failAt(form, sourceName, `unknown group "${group}" (known: ${Object.keys(SETTING_RANGES).join(', ')})`);
+    for (const entry of entries) applySetting(settings, entry, group, ranges, sourceName);
   }
   return settings;
 }
@@ -72,15 +72,15 @@
   entry: Node,
   group: string,
   ranges: Readonly<Record<string, SettingRange>>,
-  name: string,
+  sourceName: string,
 ): void {
-  const parts = listOf(entry, name);
-  const key = atomOf(parts[0], entry, name);
-  const range = ranges[key] ?? failAt(entry, name, `unknown setting "${key}" in ${group}`);
-  const value = Number(atomOf(parts[1], entry, name));
-  if (parts.length !== 2 || !Number.isFinite(value)) failAt(entry, name, `${key} takes one number`);
+  const parts = listOf(entry, sourceName);
+  const key = atomOf(parts[0], entry, sourceName);
+  const range = ranges[key] ?? failAt(entry, sourceName, `unknown setting "${key}" in ${group}`);
+  const value = Number(atomOf(parts[1], entry, sourceName));
+  if (parts.length !== 2 || !Number.isFinite(value)) failAt(entry, sourceName, `${key} takes one number`);
   if (value < range.low || value > range.high)
-    failAt(entry, name, `${key} must be from ${range.low} to ${range.high}`);
+    failAt(entry, sourceName, `${key} must be from ${range.low} to ${range.high}`);
   range.apply(settings, value);
 }
 
--- a/src/edge/config/sexpr.ts
+++ b/src/edge/config/sexpr.ts
@@ -3,27 +3,27 @@
 import { SettingsError } from './settings-error.js';
 
 /** The forms of a text; `name` stands for the text in messages. */
-export function readForms(text: string, name: string): Node[] {
+export function readForms(text: string, sourceName: string): Node[] {
   try {
     return parse(text);
   } catch (error) {
-    throw new SettingsError(`${name}: ${error instanceof Error ? error.message : String(error)}`, {
+    throw new SettingsError(`${sourceName}: ${error instanceof Error ? error.message : String(error)}`, {
       cause: error,
     });
   }
 }
 
 /** Throws the error for a mistake at a form. */
-export function failAt(node: Node, name: string, reason: string): never {
-  throw new SettingsError(`${name}:${node.location.start.line}: ${reason}`);
+export function failAt(node: Node, sourceName: string, reason: string): never {
+  throw new SettingsError(`${sourceName}:${node.location.start.line}: ${reason}`);
 }
 
 /** The elements of a list. */
-export const listOf = (node: Node, name: string): Node[] =>
-  node.type === 'list' ? node.content : failAt(node, name, 'expected a list');
+export const listOf = (node: Node, sourceName: string): Node[] =>
+  node.type === 'list' ? node.content : failAt(node, sourceName, 'expected a list');
 
 /** The text of an atom; if there is none, the error names the line of `parent`. */
-export const atomOf = (node: Node | undefined, parent: Node, name: string): string =>
+export const atomOf = (node: Node | undefined, parent: Node, sourceName: string): string =>
   node !== undefined && node.type === 'atom'
     ? node.content
-    : failAt(node ?? parent, name, 'expected a name or a number');
+    : failAt(node ?? parent, sourceName, 'expected a name or a number');
