--- a/src/edge/config/operator-settings.ts
+++ b/src/edge/config/operator-settings.ts
@@ -11,9 +11,9 @@
 type Mutable<T> = { -readonly [K in keyof T]: T[K] };
 
 /** One setting: the range of its values, both ends included, and how a value is applied. */
-interface SettingRange {
-  readonly low: number;
-  readonly high: number;
+interface SettingDefinition {
+  readonly min: number;
+  readonly max: number;
   readonly apply: (settings: Mutable<OperatorSettings>, value: number) => void;
 }
 
@@ -31,23 +31,23 @@
 };
 
 /** All settings by group, under the names that the file uses. */
-export const SETTING_RANGES: Readonly<Record<string, Readonly<Record<string, SettingRange>>>> = {
+export const SETTING_DEFINITIONS: Readonly<Record<string, Readonly<Record<string, SettingDefinition>>>> = {
   placement: {
-    alpha: { low: 0.25, high: 0.75, apply: (settings, value) => (settings.alpha = value) },
-    lambda: { low: 0, high: 60, apply: (settings, value) => (settings.lambda = value) },
-    'beta-cs': { low: 0, high: 60, apply: (settings, value) => (settings.betaCs = value) },
-    'beta-rc': { low: 0, high: 60, apply: (settings, value) => (settings.betaRc = value) },
-    phi: { low: 0.01, high: 1, apply: (settings, value) => (settings.phi = value) },
-    bandwidth: { low: 0.001, high: 1000, apply: (settings, value) => (settings.bandwidth = value) },
+    alpha: { min: 0.25, max: 0.75, apply: (settings, value) => (settings.alpha = value) },
+    lambda: { min: 0, max: 60, apply: (settings, value) => (settings.lambda = value) },
+    'beta-cs': { min: 0, max: 60, apply: (settings, value) => (settings.betaCs = value) },
+    'beta-rc': { min: 0, max: 60, apply: (settings, value) => (settings.betaRc = value) },
+    phi: { min: 0.01, max: 1, apply: (settings, value) => (settings.phi = value) },
+    bandwidth: { min: 0.001, max: 1000, apply: (settings, value) => (settings.bandwidth = value) },
   },
   fleet: {
-    'idle-s': { low: 5, high: 86_400, apply: (settings, value) => (settings.idleTimeout = seconds(value)) },
-    reserve: { low: 0, high: 5, apply: (settings, value) => (settings.reserveShare = value) },
+    'idle-s': { min: 5, max: 86_400, apply: (settings, value) => (settings.idleTimeout = seconds(value)) },
+    reserve: { min: 0, max: 5, apply: (settings, value) => (settings.reserveShare = value) },
   },
   machines: {
     'fault-jobs': {
-      low: 1,
-      high: 100,
+      min: 1,
+      max: 100,
       apply: (settings, value) => (settings.quarantineThreshold = Math.round(value)),
     },
   },
@@ -59,10 +59,14 @@
   for (const form of readForms(text, sourceName)) {
     const [head, ...entries] = listOf(form, sourceName);
     const group = atomOf(head, form, sourceName);
-    const ranges =
-      SETTING_RANGES[group] ??
-      failAt(form, sourceName, `unknown group "${group}" (known: ${Object.keys(SETTING_RANGES).join(', ')})`);
-    for (const entry of entries) applySetting(settings, entry, group, ranges, sourceName);
+    const definitions =
+      SETTING_DEFINITIONS[group] ??
+      failAt(
+        form,
+        sourceName,
+        `unknown group "${group}" (known: ${Object.keys(SETTING_DEFINITIONS).join(', ')})`,
+      );
+    for (const entry of entries) applySetting(settings, entry, group, definitions, sourceName);
   }
   return settings;
 }
@@ -71,17 +75,17 @@
   settings: Mutable<OperatorSettings>,
   entry: Node,
   group: string,
-  ranges: Readonly<Record<string, SettingRange>>,
+  definitions: Readonly<Record<string, SettingDefinition>>,
   sourceName: string,
 ): void {
   const parts = listOf(entry, sourceName);
   const key = atomOf(parts[0], entry, sourceName);
-  const range = ranges[key] ?? failAt(entry, sourceName, `unknown setting "${key}" in ${group}`);
+  const definition = definitions[key] ?? failAt(entry, sourceName, `unknown setting "${key}" in ${group}`);
   const value = Number(atomOf(parts[1], entry, sourceName));
   if (parts.length !== 2 || !Number.isFinite(value)) failAt(entry, sourceName, `${key} takes one number`);
-  if (value < range.low || value > range.high)
-    failAt(entry, sourceName, `${key} must be from ${range.low} to ${range.high}`);
-  range.apply(settings, value);
+  if (value < definition.min || value > definition.max)
+    failAt(entry, sourceName, `${key} must be from ${definition.min} to ${definition.max}`);
+  definition.apply(settings, value);
 }
 
 /** Reads operators' settings from a file; the defaults without one. */
--- a/test/golden-settings.test.ts
+++ b/test/golden-settings.test.ts
@@ -11,7 +11,7 @@
 import { parseFeatures, readFeatures } from '../src/edge/config/features.js';
 import {
   DEFAULT_SETTINGS,
-  SETTING_RANGES,
+  SETTING_DEFINITIONS,
   parseOperatorSettings,
   readOperatorSettings,
 } from '../src/edge/config/operator-settings.js';
@@ -245,8 +245,8 @@
 ];
 
 test('operator settings have known names and ranges', () => {
-  const ranges = Object.entries(SETTING_RANGES).flatMap(([group, all]) =>
-    Object.entries(all).map(([name, { low, high }]) => `${group} ${name} ${low} ${high}`),
+  const ranges = Object.entries(SETTING_DEFINITIONS).flatMap(([group, all]) =>
+    Object.entries(all).map(([name, { min: low, max: high }]) => `${group} ${name} ${low} ${high}`),
   );
   assert.deepEqual(ranges, RANGES);
 });
