--- a/src/edge/config/platform-settings.ts
+++ b/src/edge/config/platform-settings.ts
@@ -13,18 +13,18 @@
 
 const BYTES_PER_KB = 1024;
 
-const amount = z.number().nonnegative();
+const nonNegative = z.number().nonnegative();
 const address = z.string().regex(/^[^\s:]+:[0-9]{1,5}$/, 'must be HOST:PORT');
 
 /** A value that counts as absent if it cannot be read. */
-const optionalOrInvalid = <T extends z.ZodType>(type: T) => type.optional().catch(undefined);
+const absentIfInvalid = <T extends z.ZodType>(schema: T) => schema.optional().catch(undefined);
 
 /** The limits that the state store is announced to have later. Whatever of them cannot be read is ignored. */
-const announcedLimits = optionalOrInvalid(
+const announcedLimits = absentIfInvalid(
   z.object({
-    write_rps: optionalOrInvalid(z.number().positive()),
-    value_kb: optionalOrInvalid(z.number().positive()),
-    txn_ops: optionalOrInvalid(z.number().int().positive()),
+    write_rps: absentIfInvalid(z.number().positive()),
+    value_kb: absentIfInvalid(z.number().positive()),
+    txn_ops: absentIfInvalid(z.number().int().positive()),
   }),
 );
 
@@ -38,14 +38,20 @@
   facts: z.object({
     zones: z.array(z.string()),
     teams: z.array(
-      z.object({ name: z.string().min(1), cpus: amount, cpus_max: amount, gpus: amount, gpus_max: amount }),
+      z.object({
+        name: z.string().min(1),
+        cpus: nonNegative,
+        cpus_max: nonNegative,
+        gpus: nonNegative,
+        gpus_max: nonNegative,
+      }),
     ),
     objectives: z
       .array(
         z.object({
           kind: z.string(),
           class: z.string().optional(),
-          within_s: amount.optional(),
+          within_s: nonNegative.optional(),
           share: z.number().optional(),
         }),
       )
@@ -53,8 +59,8 @@
     workers: z.object({
       report_s: z.number().positive(),
       lease_s: z.number().positive(),
-      gang_wait_s: amount,
-      gang_peer_s: amount,
+      gang_wait_s: nonNegative,
+      gang_peer_s: nonNegative,
       cancel_s: z.number().positive(),
     }),
     state: z.object({
@@ -64,7 +70,7 @@
       txn_ops: z.number().int().positive(),
       next: announcedLimits,
     }),
-    cloud: z.object({ rps: z.number().positive(), list_lag_s: amount }),
+    cloud: z.object({ rps: z.number().positive(), list_lag_s: nonNegative }),
     limits: z
       .object({
         core_share: z.number().positive(),
@@ -72,7 +78,7 @@
         max_sockets: z.number().min(MIN_SOCKETS, `at least ${MIN_SOCKETS} are needed`),
       })
       .optional(),
-    skew_ms: amount.default(0),
+    skew_ms: nonNegative.default(0),
   }),
 });
 
