--- a/src/edge/config/feature-loader.ts
+++ b/src/edge/config/feature-loader.ts
@@ -16,7 +16,7 @@
 }
 
 /** Creates the policy for lost and returning zones, one for each leadership term; null: the feature is off. */
-export function zonePolicyFor(features: Features, config: ClusterConfig): (() => ZonePolicy) | null {
+export function zonePolicyFactory(features: Features, config: ClusterConfig): (() => ZonePolicy) | null {
   if (!features.has('zone-recovery')) return null;
   const { ZoneRecovery } = loadFeature('zone-recovery') as typeof ZoneRecoveryModule;
   return () => new ZoneRecovery(config);
--- a/src/edge/service.ts
+++ b/src/edge/service.ts
@@ -8,7 +8,7 @@
 import { CloudClient } from './cloud/cloud-client.js';
 import { startMachineTypeRefresh } from './cloud/machine-type-refresh.js';
 import { connectionLimitsFor, type ConnectionLimits } from './config/connection-limits.js';
-import { zonePolicyFor } from './config/feature-loader.js';
+import { zonePolicyFactory } from './config/feature-loader.js';
 import type { Features } from './config/features.js';
 import { clusterConfigFrom, type PlatformSettings } from './config/platform-settings.js';
 import { isHealthy } from './http/health.js';
@@ -124,7 +124,7 @@
     imageObserver,
     pageCache,
     maxWorkerConnections: connectionLimits.workerCommands,
-    newZonePolicy: zonePolicyFor(features, config),
+    newZonePolicy: zonePolicyFactory(features, config),
   });
 }
 
--- a/test/features.test.ts
+++ b/test/features.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { ZoneRecovery } from '../packages/zone-recovery/src/index.js';
-import { zonePolicyFor } from '../src/edge/config/feature-loader.js';
+import { zonePolicyFactory } from '../src/edge/config/feature-loader.js';
 import { parseFeatures, readFeatures } from '../src/edge/config/features.js';
 import { SettingsError } from '../src/edge/config/settings-error.js';
 import { CLUSTER_CONFIG } from './fixtures/cluster-config.js';
@@ -26,7 +26,7 @@
 });
 
 test('the code of a feature is used only where it is enabled', () => {
-  assert.equal(zonePolicyFor(new Set(), CLUSTER_CONFIG), null);
-  const make = zonePolicyFor(new Set(['zone-recovery']), CLUSTER_CONFIG);
+  assert.equal(zonePolicyFactory(new Set(), CLUSTER_CONFIG), null);
+  const make = zonePolicyFactory(new Set(['zone-recovery']), CLUSTER_CONFIG);
   assert.equal(make?.().constructor.name, ZoneRecovery.name);
 });
