--- a/src/edge/runtime/logger.ts
+++ b/src/edge/runtime/logger.ts
@@ -43,7 +43,7 @@
 const RATE_LIMIT_MS = 10_000;
 
 interface LoggedEvent {
-  readonly at: bigint;
+  readonly loggedAt: bigint;
   /** How often the event came since without being logged. */
   suppressed: number;
 }
@@ -58,10 +58,10 @@
   const events = lastLogged.get(logger) ?? new Map<string, LoggedEvent>();
   lastLogged.set(logger, events);
   const last = events.get(key);
-  if (last !== undefined && millisecondsSince(last.at) < RATE_LIMIT_MS) {
+  if (last !== undefined && millisecondsSince(last.loggedAt) < RATE_LIMIT_MS) {
     last.suppressed += 1;
     return;
   }
   logger.warn(last === undefined ? fields : { ...fields, suppressed: last.suppressed }, event);
-  events.set(key, { at: monotonicNow(), suppressed: 0 });
+  events.set(key, { loggedAt: monotonicNow(), suppressed: 0 });
 }
--- a/src/edge/runtime/memory-monitor.ts
+++ b/src/edge/runtime/memory-monitor.ts
@@ -42,9 +42,9 @@
 }
 
 /** What a check leads to, by the shares of the limit that are used now and were used after the last collection. */
-export function memoryAction(used: number, usedAfterCollection: number): 'collect' | 'shed' | 'rest' {
+export function memoryAction(used: number, usedAfterCollection: number): 'collect' | 'shed' | 'none' {
   if (used >= COLLECT_SHARE && used >= usedAfterCollection + MIN_GROWTH_SHARE) return 'collect';
-  return used >= SHED_SHARE ? 'shed' : 'rest';
+  return used >= SHED_SHARE ? 'shed' : 'none';
 }
 
 /** Collects garbage in time, and says when requests are to be refused. */
--- a/src/edge/sexpr-plus.d.ts
+++ b/src/edge/sexpr-plus.d.ts
@@ -1,12 +1,12 @@
 /** @file Types of the package sexpr-plus, which has none of its own: what of it is used here. */
 declare module 'sexpr-plus' {
-  interface Place {
+  interface Position {
     readonly offset: number;
     readonly line: number;
     readonly column: number;
   }
   interface Located {
-    readonly location: { readonly start: Place; readonly end: Place };
+    readonly location: { readonly start: Position; readonly end: Position };
   }
   /** A form as it was read, with its place in the text. */
   export type Node = Located &
--- a/test/connection-limits.test.ts
+++ b/test/connection-limits.test.ts
@@ -31,10 +31,10 @@
 import { TaskHistory, WorkerStandIn } from './standins/worker.js';
 
 test('memory: collects after much growth since the last collection, and refuses users when that does not help', () => {
-  assert.equal(memoryAction(0.5, 0), 'rest');
+  assert.equal(memoryAction(0.5, 0), 'none');
   assert.equal(memoryAction(0.82, 0.5), 'collect');
   // Just collected and nothing gained: not again and again.
-  assert.equal(memoryAction(0.83, 0.82), 'rest');
+  assert.equal(memoryAction(0.83, 0.82), 'none');
   assert.equal(memoryAction(0.92, 0.91), 'shed');
   assert.equal(memoryAction(0.95, 0.91), 'collect');
 });
