--- a/src/edge/http/cancellations.ts
+++ b/src/edge/http/cancellations.ts
@@ -30,7 +30,7 @@
     private readonly admission: RequestAdmission,
   ) {}
 
-  /** Cancels a job. It is confirmed only when the cancellation, or an earlier end, is committed. */
+  /** Cancels a job. Returns success only once the cancellation, or an earlier end of the job, is committed. */
   async cancel(id: string): Promise<RequestResult<JobView>> {
     const startedAt = monotonicNow();
     for (let retries = 0; millisecondsSince(startedAt) < CANCELLATION_TIMEOUT_MS; retries++) {
@@ -48,11 +48,11 @@
     return STATE_STORE_UNAVAILABLE;
   }
 
-  /** `retry`: the record changed meanwhile, or it is unknown whether the commit was carried out. */
+  /** Returns `retry` if the record has changed in the meantime, or if it is unknown whether the commit was applied. */
   private async commitCancellation(id: string): Promise<'committed' | 'refused' | 'retry'> {
     const key = jobKey(id);
     const entry = this.stateStore.replica.get(key);
-    // A job that ended a moment ago is found as such by the next try.
+    // If the job has just ended, the next iteration of the loop returns its final status.
     if (entry === undefined || entry.value instanceof FinishedJobSummary) return 'retry';
     const record: JobRecord = { ...decodeJob(entry.value), status: 'cancelled' };
     const result = await this.stateStore.commit(
--- a/src/edge/http/health.ts
+++ b/src/edge/http/health.ts
@@ -1,33 +1,40 @@
-/** @file Whether users should come to this controller. A pure decision; the load balancer asks for it. */
+/**
+ * @file Decides whether the load balancer should send users to this controller. The decision is a pure function of its
+ * inputs.
+ */
 
-/** With a replica older than this a controller is unhealthy, whatever the others say. */
+/** A controller whose replica is older than this is unhealthy, regardless of the other controllers. */
 const MAX_REPLICA_AGE_MS = 15_000;
-/** If another controller has a current replica, only ours is cut off, and users are better served there. */
+/**
+ * Limit while another controller has a current replica: then only this controller is cut off, and users are better
+ * served by the other one.
+ */
 const MAX_REPLICA_AGE_WITH_PEERS_MS = 3000;
-/** If fewer others serve users, too much would depend on a single controller. */
+/** With fewer other controllers serving users, too much would depend on a single controller. */
 const MIN_PEERS_TO_OFFLOAD_LEADER = 2;
 
-/** What a controller's health towards users follows from. */
+/** The inputs of the health decision. */
 export interface HealthInputs {
-  /** Jobs can be accepted and looked up at all. */
+  /** True if jobs can be accepted and looked up at all. */
   readonly ready: boolean;
-  /** How old the replica of the state store is. */
+  /** Age of the replica of the state store. */
   readonly replicaAgeMs: number;
-  /** This controller leads, and so answers all workers. */
+  /** True if this controller is the leader, which answers all workers. */
   readonly isLeader: boolean;
-  /** This controller leads, and answers workers late. */
+  /** True if this controller is the leader and answers workers late. */
   readonly overloaded: boolean;
-  /** How many other controllers there are. */
+  /** Number of other controllers. */
   readonly peerCount: number;
-  /** How many of them the state store has answered lately: they can serve users. */
+  /** Number of other controllers that the state store has answered recently, and that can therefore serve users. */
   readonly peersServing: number;
 }
 
 /**
- * Whether users should come here. The leader alone answers workers and assigns tasks: where all other controllers can
- * serve users, and there are enough of them, it leaves users to them from the start instead of once it is overloaded.
- * A controller whose replica alone is old is no use to users either. Where no other controller serves them, being
- * unhealthy would only keep users out for longer.
+ * Returns whether the load balancer should send users to this controller. Only the leader answers workers and assigns
+ * tasks. If all other controllers can serve users, and there are enough of them, the leader leaves users to them from
+ * the start instead of only once it is overloaded. A controller is also unhealthy if only its own replica is old,
+ * because it is then of no use to users. If no other controller can serve users, reporting unhealthy would only keep
+ * users out for longer.
  */
 export function isHealthy(inputs: HealthInputs): boolean {
   if (!inputs.ready) return false;
--- a/src/edge/http/heartbeat-endpoint.ts
+++ b/src/edge/http/heartbeat-endpoint.ts
@@ -1,6 +1,6 @@
 /**
- * @file What a heartbeat is answered with, whatever way it came: the leader's commands, or the redirect to the leader.
- * An error while one heartbeat is processed must not end the process.
+ * @file Determines the response to a heartbeat, regardless of how it was received: the leader's commands, or a redirect
+ * to the leader. An error while one heartbeat is processed must not end the process.
  */
 import type { Heartbeat } from '../../core/model/heartbeat.js';
 import type { HeartbeatAnswer, WorkerCommand } from '../../core/model/worker-command.js';
@@ -10,25 +10,26 @@
 import { errorMessage } from '../runtime/supervised-task.js';
 import type { HeartbeatResponse } from './heartbeat-response.js';
 
-/** What the endpoint needs to know of the leadership. */
+/** The dependencies of the endpoint: the log and the state of the leadership. */
 export interface HeartbeatEndpointDependencies {
   readonly logger: Logger;
   readonly isLeader: () => boolean;
-  /** Processes a heartbeat; null: this controller does not lead, or may not answer. */
+  /** Processes a heartbeat. Returns null if this controller is not the leader or may not answer. */
   readonly onHeartbeat: (heartbeat: Heartbeat) => HeartbeatAnswer | null;
-  /** Another controller that leads; null: unknown. */
+  /** Returns the label of another controller that is the leader, or null if none is known. */
   readonly leaderLabel: () => string | null;
 }
 
-/** Answers heartbeats from their bodies. */
+/** Decodes the bodies of heartbeats and returns the responses. */
 export class HeartbeatEndpoint {
-  /** Most responses carry no commands and differ by the fencing token alone: their body is encoded once for each. */
+  /** Most responses carry no commands and differ only in the fencing token, so their body is encoded once per token. */
   private responseWithoutCommands: { readonly fencingToken: number; readonly body: Buffer } | null = null;
 
   constructor(private readonly dependencies: HeartbeatEndpointDependencies) {}
 
   respond(raw: Buffer): HeartbeatResponse {
-    // Only the leader parses heartbeats: after a failover the others redirect hundreds of workers within seconds.
+    // Only the leader parses heartbeats, because after a failover the other controllers redirect hundreds of workers
+    // within seconds.
     if (!this.dependencies.isLeader()) return this.redirect();
     let body: unknown;
     try {
@@ -46,7 +47,7 @@
       if (answer === null) return this.redirect();
       return { status: 200, body: this.encodeAnswer(answer.fencingToken, answer.commands) };
     } catch (error) {
-      // The worker goes on to the next controller.
+      // After this response the worker tries the next controller.
       const fields = { error: errorMessage(error) };
       warnRateLimited(this.dependencies.logger, fields, 'heartbeat processing failed');
       return { status: 503, body: encode({ error: 'internal trouble' }) };
--- a/src/edge/http/heartbeat-head.ts
+++ b/src/edge/http/heartbeat-head.ts
@@ -1,26 +1,29 @@
 /**
- * @file Finds the body of a heartbeat in the bytes of a connection. It reads the plain form only, `POST` to the
- * heartbeat path with a `Content-Length`, and must take nothing else for a heartbeat: the general server reads the rest.
+ * @file Finds the body of a heartbeat in the bytes of a connection. It accepts only the plain form, a `POST` to the
+ * heartbeat path with a `Content-Length`, and must not accept anything else as a heartbeat. All other requests are read
+ * by the general HTTP server.
  */
 import { API_PATHS } from '../../wire/api-paths.js';
 
 const REQUEST_LINE = `POST ${API_PATHS.heartbeat} HTTP/1.1\r\n`;
 const HEAD_END = Buffer.from('\r\n\r\n');
-/** No worker sends a longer head: it is left to the general server, with that server's own limit. */
+/**
+ * No worker sends a longer head. A request with a longer one is left to the general server, which has its own limit.
+ */
 export const MAX_HEAD_BYTES = 8 * 1024;
 
-/** What the bytes received so far are. */
+/** Classification of the bytes received so far. */
 export type ParsedHead =
-  /** A whole heartbeat; `close`: the worker asks for the connection to be closed after the response. */
+  /** A complete heartbeat. `close` is true if the worker requests that the connection be closed after the response. */
   | {
       readonly kind: 'heartbeat';
       readonly bodyStart: number;
       readonly bodyEnd: number;
       readonly close: boolean;
     }
-  /** The beginning of what may be a heartbeat. */
+  /** The beginning of a request that may be a heartbeat. */
   | { readonly kind: 'incomplete' }
-  /** Something for the general server. */
+  /** A request for the general server. */
   | { readonly kind: 'other' };
 
 interface HeadFields {
@@ -28,7 +31,7 @@
   readonly close: boolean;
 }
 
-/** Reads the beginning of `raw`, which may hold less or more than one request. */
+/** Parses the request at the start of `raw`, which may hold less or more than one request. */
 export function parseHead(raw: Buffer, maxBodyBytes: number): ParsedHead {
   const compared = Math.min(raw.length, REQUEST_LINE.length);
   if (raw.toString('latin1', 0, compared) !== REQUEST_LINE.slice(0, compared)) return { kind: 'other' };
@@ -42,7 +45,7 @@
   return { kind: 'heartbeat', bodyStart, bodyEnd, close: fields.close };
 }
 
-/** The header fields that matter; null if they are not those of a plain heartbeat. */
+/** Returns the relevant header fields, or null if they are not those of a plain heartbeat. */
 function parseFields(text: string): HeadFields | null {
   let contentLength = -1;
   let close = false;
--- a/src/edge/http/heartbeat-queue.ts
+++ b/src/edge/http/heartbeat-queue.ts
@@ -1,33 +1,37 @@
 /**
- * @file The heartbeats that were received whole and wait for their response. It decides when each is answered, and must
- * not know what a heartbeat says or how it is answered.
+ * @file The queue of heartbeats that have been received completely and wait for their response. It decides when each
+ * one is answered, and must not depend on the content of heartbeats or of their responses.
  */
 import { monotonicNow } from '../runtime/clock.js';
 
-/** The longest that heartbeats are answered without a return to the event loop, on a whole core. */
+/** After this time a batch of responses ends and returns to the event loop, if the controller has a whole core. */
 const MAX_BATCH_NS = 10_000_000;
-/** So many new connections in a row whose worker had given up when its turn came: the kernel's backlog is stale. */
+/**
+ * If this many consecutive new connections are closed by their workers before it is their turn, the kernel's backlog is
+ * stale.
+ */
 const STALE_BACKLOG_THRESHOLD = 32;
 
 /**
- * Heartbeats that wait for their response, the oldest first, at most one of each connection. The engine accepts one new
- * connection in each iteration of the event loop: with every heartbeat answered as it was read, an overloaded leader ran
- * a few dozen iterations a second, and workers that reconnected after a failover waited for longer than their timeout of
- * 4 s, gave up and connected again. Responses are given in short batches, so that the loop iterates often; a heartbeat
- * whose worker has disconnected meanwhile is dropped, since its response would reach nobody and its next one says more.
+ * Heartbeats that wait for their response, oldest first, at most one per connection. Node.js accepts one new connection
+ * in each iteration of the event loop. When every heartbeat was answered as soon as it was read, an overloaded leader
+ * ran a few dozen iterations per second, and workers that reconnected after a failover waited for longer than their
+ * timeout of 4 s, gave up and connected again. Responses are therefore sent in short batches, so that the loop iterates
+ * often. A heartbeat whose worker has disconnected in the meantime is dropped, because its response would reach nobody
+ * and the worker's next heartbeat carries more information.
  */
 export class HeartbeatQueue {
-  /** What waits, oldest first, with the number of the batch before which it was pushed. */
+  /** The waiting heartbeats, oldest first, each with the number of batches completed when it was pushed. */
   private readonly waiting = new Map<() => void, number>();
   private completedBatches = 0;
-  /** New connections in a row that were found closed when their turn came. */
+  /** Number of consecutive new connections that were closed before it was their turn. */
   private consecutiveClosedConnections = 0;
   private nextBatch: NodeJS.Immediate | null = null;
   private readonly maxBatchNs: bigint;
 
-  /** `coreShare`: batches are as much shorter as the share of a core is smaller. */
+  /** `coreShare` is the share of a core that the controller has; the length of a batch is proportional to it. */
   constructor(
-    /** New connections wait for longer than their workers' timeout. */
+    /** Called when new connections wait for longer than their workers' timeout. */
     private readonly onStaleBacklog: () => void = () => undefined,
     coreShare = 1,
     private readonly clock: () => bigint = monotonicNow,
@@ -36,12 +40,15 @@
     this.maxBatchNs = BigInt(Math.round(MAX_BATCH_NS * coreShare));
   }
 
-  /** How many wait. */
+  /** Number of waiting heartbeats. */
   get size(): number {
     return this.waiting.size;
   }
 
-  /** Has `respond` called when its turn comes; returns what withdraws it, to be called once the connection is closed. */
+  /**
+   * Adds a heartbeat; `respond` is called when it is its turn. Returns a function that removes it from the queue, to be
+   * called once the connection is closed.
+   */
   push(respond: () => void, firstOnConnection: boolean): () => void {
     const entry = (): void => {
       if (firstOnConnection) this.consecutiveClosedConnections = 0;
@@ -69,7 +76,7 @@
     this.nextBatch = null;
     const startedAt = this.clock();
     for (const [entry, pushedBeforeBatch] of this.waiting) {
-      // What came since the last batch waits for the next: by then a closed connection has been noticed.
+      // Heartbeats pushed since the last batch wait for the next one: by then a closed connection has been detected.
       if (pushedBeforeBatch === this.completedBatches) break;
       this.waiting.delete(entry);
       entry();
--- a/src/edge/http/heartbeat-reader.ts
+++ b/src/edge/http/heartbeat-reader.ts
@@ -1,8 +1,9 @@
 /**
- * @file Reads heartbeats straight from a connection. They come hundreds of times a second over connections that carry
- * nothing else: of some 0.6 ms a heartbeat (profile of a leader with 213 workers on loopback) the core took 0.05,
- * express with its body parser about 0.2 and the general HTTP server most of the rest. Whatever is no plain heartbeat
- * is handed to the general server from that request on, with every byte; none may be lost or read twice.
+ * @file Reads heartbeats directly from a connection, without the general HTTP server. Hundreds of heartbeats arrive per
+ * second, over connections that carry nothing else. Of about 0.6 ms per heartbeat (profile of a leader with 213 workers
+ * on loopback) the scheduler's core took 0.05 ms, express with its body parser about 0.2 ms and the general HTTP server
+ * most of the remainder. At its first request that is not a plain heartbeat, a connection is handed over to the general
+ * server with every byte from that request on; no byte may be lost or read twice.
  */
 import type { Socket } from 'node:net';
 import { monotonicNow } from '../runtime/clock.js';
@@ -10,23 +11,28 @@
 import type { HeartbeatQueue } from './heartbeat-queue.js';
 import { encodeResponse, type HeartbeatResponse } from './heartbeat-response.js';
 
-/** A request that has begun must be whole in this time; checked as often. */
+/** A request must be complete within this time after its first bytes. The check runs at the same interval. */
 const REQUEST_TIMEOUT_MS = 15_000;
 const REQUEST_TIMEOUT_NS = BigInt(REQUEST_TIMEOUT_MS) * 1_000_000n;
 const IDLE_TIMEOUT_MS = 120_000;
 
-/** What all connections share. */
+/** Options shared by all connections. */
 export interface HeartbeatReaderOptions {
   readonly maxBodyBytes: number;
   readonly queue: HeartbeatQueue;
   readonly respond: (body: Buffer) => HeartbeatResponse;
-  /** Takes over a connection that carries something else. It is paused, and what was received is unread. */
+  /**
+   * Takes over a connection that carries any other request. The socket is paused, and the bytes received have been
+   * pushed back into it.
+   */
   readonly handOver: (socket: Socket) => void;
-  /** Whether a connection is closed after its response, so that another worker gets its socket. */
+  /** Returns true if a connection is to be closed after its response, so that another worker can use its socket. */
   readonly rotatesConnections: () => boolean;
 }
 
-/** Reads a connection until it ends or is handed over; returns what closes it. */
+/**
+ * Reads heartbeats from a connection until it ends or is handed over. Returns a function that closes the connection.
+ */
 export function readHeartbeats(socket: Socket, options: HeartbeatReaderOptions): () => void {
   const connection = new HeartbeatConnection(socket, options);
   return () => connection.destroy();
@@ -36,7 +42,7 @@
   private received: Buffer = Buffer.alloc(0);
   private requestStartedAt = 0n;
   private isFirst = true;
-  /** Withdraws the heartbeat that waits for its response; null: none does. */
+  /** Removes the heartbeat that waits for its response from the queue; null if none is waiting. */
   private removeFromQueue: (() => void) | null = null;
   private readonly timeoutCheck: NodeJS.Timeout;
 
@@ -74,7 +80,8 @@
   private readonly onData = (data: Buffer): void => {
     if (this.received.length === 0) this.requestStartedAt = monotonicNow();
     this.received = this.received.length === 0 ? data : Buffer.concat([this.received, data]);
-    // Requests are not pipelined: what comes ahead of a response is kept, and beyond one request held back by TCP.
+    // Requests are not pipelined: bytes that arrive before the response are buffered, and beyond the size of one
+    // request TCP flow control stops the sender.
     if (this.removeFromQueue === null) this.readRequest();
     else if (this.received.length > MAX_HEAD_BYTES + this.options.maxBodyBytes) this.socket.pause();
   };
--- a/src/edge/http/heartbeat-response.ts
+++ b/src/edge/http/heartbeat-response.ts
@@ -1,6 +1,6 @@
-/** @file The response to a heartbeat and its bytes on a connection that is read by hand. */
+/** @file The response to a heartbeat, and its encoding for connections that bypass the general HTTP server. */
 
-/** The response to a heartbeat; 421: another controller leads. */
+/** The response to a heartbeat. Status 421 means that another controller is the leader. */
 export interface HeartbeatResponse {
   readonly status: 200 | 400 | 421 | 503;
   readonly body: Buffer;
@@ -13,7 +13,7 @@
   503: 'Service Unavailable',
 } as const;
 
-/** The response with its head; `close`: no other request is read from the connection. */
+/** Encodes a response with its head. If `close` is true, no further request is read from the connection. */
 export function encodeResponse({ status, body }: HeartbeatResponse, close: boolean): Buffer {
   const head =
     `HTTP/1.1 ${status} ${REASON_PHRASES[status]}\r\nContent-Type: application/cbor\r\n` +
--- a/src/edge/http/http-server.ts
+++ b/src/edge/http/http-server.ts
@@ -1,7 +1,7 @@
 /**
- * @file Dispatches inbound connections: each begins with the heartbeat reader and goes to the general server with the
- * first request that is no plain heartbeat. It owns the listener, the general server and every open connection, and
- * closes all of them when it is unsubscribed from.
+ * @file Dispatches inbound connections: each one starts with the heartbeat reader and moves to the general HTTP server
+ * at its first request that is not a plain heartbeat. This module owns the listener, the general server and every open
+ * connection, and closes all of them when it is unsubscribed from.
  */
 import http, { type Server } from 'node:http';
 import type { Socket } from 'node:net';
@@ -18,7 +18,7 @@
 const KEEP_ALIVE_MS = 120_000;
 const REQUEST_TIMEOUT_MS = 15_000;
 
-/** What the HTTP interface needs. */
+/** The dependencies of the HTTP server. */
 export interface HttpServerDependencies extends UserAppDependencies, HeartbeatEndpointDependencies {
   readonly address: string;
   readonly connectionLimits: ConnectionLimits;
@@ -26,7 +26,7 @@
   readonly coreShare: number;
 }
 
-/** Listens until unsubscribed; emits the port each time it begins to listen. */
+/** Listens until unsubscribed. Emits the port each time it starts to listen. */
 export function startHttpServer(dependencies: HttpServerDependencies): Observable<{ readonly port: number }> {
   return new Observable((subscriber) => {
     const { address, connectionLimits, coreShare, logger } = dependencies;
--- a/src/edge/http/inbound-connections.ts
+++ b/src/edge/http/inbound-connections.ts
@@ -1,24 +1,24 @@
 /**
- * @file Counts the inbound connections and decides what is shed when there are more than the settings allow. It opens
- * and closes none itself.
+ * @file Counts inbound connections and decides which ones are rotated or refused when there are more than the settings
+ * allow. It does not open or close connections itself.
  */
 import type { Socket } from 'node:net';
 import type { ConnectionLimits } from '../config/connection-limits.js';
 import { monotonicNow } from '../runtime/clock.js';
 import type { Logger } from '../runtime/logger.js';
 
-/** For how long workers' connections are rotated after the limit was last exceeded. */
+/** How long worker connections are rotated after the limit was last exceeded. */
 const WORKER_ROTATION_NS = 60_000_000_000n;
 
 /**
- * Sheds in this order: users' connections are rotated, then new users refused, then workers' connections rotated, and
- * only then is a connection closed unread. Workers come last because a lease that is not renewed costs tasks.
+ * Sheds load in this order: rotates user connections, then refuses new users, then rotates worker connections, and only
+ * then closes new connections unread. Workers come last because a worker lease that is not renewed costs tasks.
  */
 export class InboundConnections {
   private count = 0;
-  /** When there were last too many connections to keep workers' open; null: never. */
+  /** The last time when there were too many connections to keep worker connections open; null if there never were. */
   private overLimitAt: bigint | null = null;
-  /** Users' connections that were opened above the limit. */
+  /** User connections that were opened above the limit. */
   private readonly overUserLimit = new WeakSet<Socket>();
 
   constructor(
@@ -31,7 +31,7 @@
     return this.count;
   }
 
-  /** Counts a new connection; false: there is no socket for it. */
+  /** Counts a new connection. Returns false if there is no socket for it. */
   admit(): boolean {
     if (this.count >= this.limits.inbound) return false;
     this.count += 1;
@@ -42,17 +42,17 @@
     this.count -= 1;
   }
 
-  /** Users' connections are closed after each response. */
+  /** True if user connections are closed after each response. */
   get rotatesUserConnections(): boolean {
     return this.count > this.limits.rotateUsersAbove;
   }
 
-  /** Users that connect now are refused. */
+  /** True if users that connect now are refused. */
   get refusesNewUsers(): boolean {
     return this.count > this.limits.userLimit;
   }
 
-  /** Has all requests on a user's connection refused. */
+  /** Marks a user connection, so that all requests on it are refused. */
   markOverUserLimit(socket: Socket): void {
     this.overUserLimit.add(socket);
   }
@@ -62,9 +62,10 @@
   }
 
   /**
-   * Workers' connections are closed after each response: more workers than sockets are served one after the other. That
-   * goes on for a while after the limit was last exceeded. Ended at once, it would let connections fill up again to the
-   * limit, where each scheduling cycle, in which no connection is accepted, has a burst of workers find no socket.
+   * Returns true if worker connections are closed after each response, so that more workers than there are sockets can
+   * be served one after the other. Rotation continues for a while after the limit was last exceeded. If it stopped at
+   * once, connections would fill up to the limit again, and each scheduling cycle, during which no connection is
+   * accepted, would then leave a burst of workers without a socket.
    */
   rotatesWorkerConnections(): boolean {
     const now = this.clock();
--- a/src/edge/http/listener.ts
+++ b/src/edge/http/listener.ts
@@ -1,22 +1,26 @@
-/** @file The listening socket. It owns no connection: those it has accepted are its caller's. */
+/** @file The listening socket. Accepted connections belong to the caller. */
 import { createServer, type Server, type Socket } from 'node:net';
 import { Observable } from 'rxjs';
 import type { HostAndPort } from '../net/host-and-port.js';
 import { millisecondsSince, monotonicNow } from '../runtime/clock.js';
 
-/** The timeout of a worker's connection is 4 s: sooner after reopening, none in the backlog can have timed out. */
+/**
+ * A worker's connection times out after 4 s, so within this time after reopening no connection in the backlog can have
+ * timed out.
+ */
 const MIN_REOPEN_INTERVAL_MS = 4000;
 
 /**
- * Accepts connections. Those that wait are in the kernel's backlog, first come, first served, from which the engine
- * accepts one in each iteration of the event loop. Once the wait exceeds the clients' timeout, every connection that is
- * accepted has been given up, and it stays so, since its client connects again at the end of the backlog. Reopening the
- * socket resets all that wait; they connect again, to a short backlog. Accepted connections are not touched.
+ * Accepts connections. Waiting connections are in the kernel's backlog, a first-in, first-out queue from which Node.js
+ * accepts one in each iteration of the event loop. Once the wait exceeds the clients' timeout, every accepted
+ * connection has already been given up by its client, and this does not recover, because the client connects again at
+ * the end of the backlog. Reopening the socket resets all waiting connections, whose clients then connect again to a
+ * short backlog. Accepted connections are not affected.
  */
 export class Listener {
   private server: Server | null = null;
   private openedAt = 0n;
-  /** Opens the socket; does nothing before `open` and after the unsubscription. */
+  /** Opens the socket. Does nothing before `open` is subscribed to and after it is unsubscribed from. */
   private listen: () => void = () => undefined;
 
   constructor(
@@ -24,7 +28,7 @@
     private readonly onConnection: (socket: Socket) => void,
   ) {}
 
-  /** Listens until unsubscribed; emits the port each time it begins to listen. */
+  /** Listens until unsubscribed. Emits the port each time it starts to listen. */
   open(): Observable<{ readonly port: number }> {
     return new Observable((subscriber) => {
       this.listen = () => {
@@ -44,7 +48,7 @@
     });
   }
 
-  /** Resets the backlog; false: the socket was opened a moment ago, and nothing is done. */
+  /** Resets the backlog. Returns false and does nothing if the socket was opened less than `minIntervalMs` ago. */
   reopen(minIntervalMs = MIN_REOPEN_INTERVAL_MS): boolean {
     if (millisecondsSince(this.openedAt) < minIntervalMs) return false;
     this.server?.close();
--- a/src/edge/http/request-handler.ts
+++ b/src/edge/http/request-handler.ts
@@ -1,6 +1,7 @@
 /**
- * @file What users request of any controller, leader or not: submissions, cancellations and status queries. It connects
- * their modules and owns what they share; everything is read from the replica and written by compare-and-swap.
+ * @file Handles user requests on any controller, leader or not: submissions, cancellations and status queries. It
+ * connects the modules for these and owns what they share. Everything is read from the replica and written by
+ * compare-and-swap.
  */
 import type { JobSpec } from '../../core/model/job.js';
 import type { MachineType } from '../../core/model/machine.js';
@@ -16,10 +17,10 @@
 import type { SubmissionLimits } from './submission-checks.js';
 import { Submissions } from './submissions.js';
 
-/** Serves users' requests. */
+/** Handles user requests. */
 export class RequestHandler {
   readonly counts: TaskCounts;
-  /** What the cloud offers; empty until it has been listed. */
+  /** The machine types that the cloud offers; empty until the cloud has listed them. */
   machineTypes: readonly MachineType[] = [];
   private readonly queries: StatusQueries;
   private readonly submissions: Submissions;
@@ -47,17 +48,17 @@
     this.cancellations = new Cancellations(stateStore, this.queries, admission);
   }
 
-  /** Jobs can be accepted and looked up. */
+  /** True if jobs can be accepted and looked up. */
   get ready(): boolean {
     return this.stateStore.loaded && this.machineTypes.length > 0;
   }
 
-  /** A job's status, by a linearizable read unless it is final. */
+  /** Returns a job's status, after a linearizable read unless the status is final. */
   status(id: string): Promise<RequestResult<JobView>> {
     return this.queries.status(id);
   }
 
-  /** Accepts a job; `spec` is the reason if its body could not be read. */
+  /** Accepts or refuses a job. If the body of the request could not be read, `spec` is the reason. */
   submit(id: string, spec: JobSpec | string): Promise<RequestResult<JobView>> {
     return this.submissions.submit(id, spec);
   }
--- a/src/edge/http/request-result.ts
+++ b/src/edge/http/request-result.ts
@@ -1,4 +1,4 @@
-/** @file What becomes of a user's request. Statuses and bytes of responses follow from it in responses.ts alone. */
+/** @file The result of a user request. Only responses.ts derives HTTP statuses and bodies from it. */
 import type { UserJobStatus } from '../../wire/user-protocol.js';
 
 /** A job as its user sees it. */
@@ -9,31 +9,34 @@
   readonly runningTasks: number;
 }
 
-/** What became of a request. */
+/** The result of a request. */
 export type RequestResult<T> =
-  /** `created`: this request made the change, where an idempotent repeat finds it made. */
+  /**
+   * `changedByRequest` is true if this request made the change, and false if an idempotent repeat found it already
+   * made.
+   */
   | { readonly kind: 'ok'; readonly value: T; readonly changedByRequest: boolean }
-  /** Refused for good. */
+  /** Refused permanently. */
   | { readonly kind: 'rejected'; readonly reason: string }
   | { readonly kind: 'not-found' }
-  /** Not now: the user may repeat the request after so many seconds. */
+  /** Refused for now. The user may repeat the request after `retryAfterS` seconds. */
   | { readonly kind: 'unavailable'; readonly retryAfterS: number; readonly reason: string };
 
-/** A job as it was found. */
+/** The result for a job that the request did not change. */
 export const existingJob = (view: JobView): RequestResult<JobView> => ({
   kind: 'ok',
   value: view,
   changedByRequest: false,
 });
 
-/** A job to which the request has just given a status; nothing of it runs. */
+/** The result for a job whose status this request has just set. No tasks of it are running. */
 export const changedJob = (id: string, status: UserJobStatus): RequestResult<JobView> => ({
   kind: 'ok',
   changedByRequest: true,
   value: { id, status, completedTasks: 0, runningTasks: 0 },
 });
 
-/** Whether the job's status can no longer change. */
+/** Returns whether the job's status can no longer change. */
 export const isFinal = ({ status }: JobView): boolean => status === 'done' || status === 'cancelled';
 
 const unavailable = (retryAfterS: number, reason: string): RequestResult<never> => ({
@@ -44,11 +47,11 @@
 
 /** The state store cannot be reached, or did not answer in time. */
 export const STATE_STORE_UNAVAILABLE = unavailable(1, 'the state service does not answer');
-/** More requests are being served than there is room for. */
+/** Too many requests are being served, or too little memory is left. */
 export const OVERLOADED = unavailable(1, 'too many requests');
 /** The cloud has not listed its machine types since this controller started. */
 export const MACHINE_TYPES_UNKNOWN = unavailable(2, 'machine types are not known yet');
-/** An older version would start a job without waiting for its dependencies. */
+/** A controller still runs an older version, which would start a job without waiting for its dependencies. */
 export const UPGRADE_IN_PROGRESS = unavailable(
   2,
   'not before all controllers run a version that knows dependencies',
--- a/src/edge/http/responses.ts
+++ b/src/edge/http/responses.ts
@@ -1,4 +1,4 @@
-/** @file The one place where results of requests become HTTP: status, `Retry-After` and body. */
+/** @file Maps the results of requests to HTTP responses: status, `Retry-After` and body. No other module does so. */
 import type { ServerResponse } from 'node:http';
 import { encode } from '../../wire/cbor.js';
 import { encodeJobStatus } from '../../wire/user-protocol.js';
@@ -9,13 +9,16 @@
   sendEncoded(response, status, encode(body));
 }
 
-/** Sends a response whose body is encoded already. */
+/** Sends a response whose body is already encoded. */
 export function sendEncoded(response: ServerResponse, status: number, body: Buffer): void {
   response.writeHead(status, { 'content-type': 'application/cbor', 'content-length': body.length });
   response.end(body);
 }
 
-/** Sends an error; `retryAfterS` asks the user to repeat the request after so many seconds. */
+/**
+ * Sends an error. If `retryAfterS` is not null, the response asks the user to repeat the request after that many
+ * seconds.
+ */
 export function sendError(
   response: ServerResponse,
   status: number,
@@ -26,10 +29,10 @@
   sendCbor(response, status, { error: reason });
 }
 
-/** The response for a job id that does not exist or cannot exist. */
+/** Sends the response for a job id that does not exist or cannot exist. */
 export const sendNoSuchJob = (response: ServerResponse): void => sendError(response, 404, 'no such job');
 
-/** Sends the result of a request; `createdStatus` is the status if the request itself made the change. */
+/** Sends the result of a request. `statusIfChanged` is the HTTP status if the request itself made the change. */
 export function sendResult(
   response: ServerResponse,
   result: RequestResult<JobView>,
--- a/src/edge/http/status-queries.ts
+++ b/src/edge/http/status-queries.ts
@@ -1,4 +1,4 @@
-/** @file The status of jobs as users see it, from the replica of the state store. It writes nothing. */
+/** @file Looks up the status of jobs, as users see it, in the replica of the state store. It writes nothing. */
 import { jobKey } from '../../wire/keys.js';
 import { jobSummaryOf } from '../../wire/finished-job-summary.js';
 import type { Logger } from '../runtime/logger.js';
@@ -16,7 +16,7 @@
 
 const SYNC_TIMEOUT_MS = 1500;
 
-/** Answers what the status of a job is. */
+/** Looks up the status of jobs. */
 export class StatusQueries {
   constructor(
     private readonly stateStore: StateStore,
@@ -26,13 +26,13 @@
     private readonly logger: Logger,
   ) {}
 
-  /** A job as the replica has it now; null if it has none. */
+  /** Returns the job as it currently is in the replica, or null if the replica does not contain it. */
   view(id: string): JobView | null {
     const entry = this.stateStore.replica.get(jobKey(id));
     if (entry === undefined) return null;
     const job = jobSummaryOf(entry.value);
     if (job.status === 'done') return { id, status: 'done', completedTasks: job.taskCount, runningTasks: 0 };
-    // Cancelled because a dependency was; it had no task then, and has none since.
+    // The job is cancelled because a dependency was cancelled; it had no task then, and has had none since.
     if (job.status === 'open' && this.dependencies.isCancelled(id))
       return { id, status: 'cancelled', completedTasks: 0, runningTasks: 0 };
     const { completed, assigned } = this.counts.of(id);
@@ -41,7 +41,7 @@
     return { id, status, completedTasks: completed, runningTasks: assigned };
   }
 
-  /** A job's status: at once if it is final, else by a linearizable read. */
+  /** Returns a job's status: immediately if it is final, otherwise after a linearizable read. */
   async status(id: string, syncTimeoutMs = SYNC_TIMEOUT_MS): Promise<RequestResult<JobView>> {
     const view = this.view(id);
     if (view !== null && isFinal(view)) return existingJob(view);
--- a/src/edge/http/submission-checks.ts
+++ b/src/edge/http/submission-checks.ts
@@ -1,4 +1,7 @@
-/** @file Why a job can never run, whatever the state of the cluster. Pure: it reads no state and sends nothing. */
+/**
+ * @file Checks whether a job can ever run, regardless of the state of the cluster. Pure: it reads no state and sends
+ * nothing.
+ */
 import type { ClusterConfig } from '../../core/model/cluster-config.js';
 import type { JobRecord, JobSpec } from '../../core/model/job.js';
 import type { MachineType } from '../../core/model/machine.js';
@@ -8,7 +11,7 @@
 /** The part of the configuration that submissions are checked against. */
 export type SubmissionLimits = Pick<ClusterConfig, 'teams' | 'maxValueBytes'>;
 
-/** Why the job is rejected for good; null if it is not. While no machine types are known, any may fit. */
+/** Returns why the job is rejected permanently, or null if it is not. While no machine types are known, any may fit. */
 export function rejectionReason(
   spec: JobSpec,
   limits: SubmissionLimits,
@@ -31,8 +34,8 @@
   spec.memory <= type.memory;
 
 /**
- * The size of the largest record that the job may ever have: one that fits only while the job is open could neither be
- * cancelled nor, if a dependency is cancelled, be closed.
+ * Returns the size in bytes of the largest record that the job can ever have. A job whose record fits only while the
+ * job is open could neither be cancelled nor, if a dependency is cancelled, be closed.
  */
 function largestRecordBytes(spec: JobSpec): number {
   const record: JobRecord = { spec, submittedAt: new Date(), status: 'cancelled' };
--- a/src/edge/http/submissions.ts
+++ b/src/edge/http/submissions.ts
@@ -1,6 +1,6 @@
 /**
  * @file Accepts jobs: checks a submission and creates the job's record by compare-and-swap. Submissions are idempotent:
- * one whose job is known gets the job's status, whatever else is wrong with it.
+ * if the job already exists, its status is returned, even if the repeated submission is invalid.
  */
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { JobRecord, JobSpec } from '../../core/model/job.js';
@@ -25,9 +25,9 @@
 import type { StatusQueries } from './status-queries.js';
 import { rejectionReason, type SubmissionLimits } from './submission-checks.js';
 
-/** The whole of a submission takes no longer, since its user waits for it. */
+/** Upper bound on the time for a whole submission, because its user waits for it. */
 const SUBMISSION_TIMEOUT_MS = 3500;
-/** A commit that the state store refuses is not repeated for longer than this. */
+/** A commit that the state store refuses is not retried for longer than this. */
 const REFUSED_TIMEOUT_MS = 1200;
 const RETRY_BASE_MS = 150;
 const DEPENDENCY_READ_TIMEOUT_MS = 1500;
@@ -44,7 +44,7 @@
     private readonly machineTypes: () => readonly MachineType[],
   ) {}
 
-  /** Accepts a job. `spec` is the reason if the body could not be read. */
+  /** Accepts or refuses a job. If the body of the request could not be read, `spec` is the reason. */
   async submit(id: string, spec: JobSpec | string): Promise<RequestResult<JobView>> {
     if (this.stateStore.replica.has(jobKey(id))) return this.queries.status(id, SUBMISSION_TIMEOUT_MS);
     if (typeof spec === 'string') return this.reject(id, spec);
@@ -55,7 +55,7 @@
     return this.admission.run(async () => (await this.checkDependencies(spec)) ?? (await this.create(spec)));
   }
 
-  /** Why a job with such dependencies is refused, for good or for now; null if it is not. */
+  /** Returns why a job with these dependencies is refused, permanently or for now, or null if it is not refused. */
   private async checkDependencies(spec: JobSpec): Promise<RequestResult<JobView> | null> {
     const { dependencies } = spec;
     if (dependencies.length === 0) return null;
@@ -71,20 +71,25 @@
     return null;
   }
 
-  /** A dependency from the replica or, if another controller accepted it a moment ago, from the state store. */
+  /**
+   * Reads a dependency from the replica or, if another controller accepted it only a moment ago, from the state store.
+   */
   private async readDependency(id: string): Promise<ReadResult> {
     const entry = this.stateStore.replica.get(jobKey(id));
     if (entry !== undefined) return { kind: 'found', value: entry.value };
     return this.stateStore.read(jobKey(id), DEPENDENCY_READ_TIMEOUT_MS);
   }
 
-  /** Rejects a submission for good, unless it repeats one that was accepted. */
+  /** Rejects a submission permanently, unless it repeats one that was accepted. */
   private async reject(id: string, reason: string): Promise<RequestResult<JobView>> {
     const existing = await this.queries.status(id, SUBMISSION_TIMEOUT_MS);
     return existing.kind === 'not-found' ? { kind: 'rejected', reason } : existing;
   }
 
-  /** Creates the job's record. Repeating the commit is safe: it holds only while there is no record. */
+  /**
+   * Creates the job's record. Repeating the commit is safe, because its compare condition holds only while there is no
+   * record.
+   */
   private async create(spec: JobSpec): Promise<RequestResult<JobView>> {
     const startedAt = monotonicNow();
     const record: JobRecord = { spec, submittedAt: new Date(), status: 'open' };
@@ -108,7 +113,7 @@
     }
   }
 
-  /** The status of a job whose record was there already, at a revision that the replica may not have reached. */
+  /** Returns the status of a job whose record already existed, at a revision that the replica may not have reached. */
   private async existingStatus(
     id: string,
     revision: number,
--- a/src/edge/http/user-app.ts
+++ b/src/edge/http/user-app.ts
@@ -1,6 +1,7 @@
 /**
- * @file The express application: users' requests, the load balancer's health check, and heartbeats in an unusual form.
- * It maps requests to the request handler and results to responses, and must decide nothing about jobs itself.
+ * @file The express application: user requests, the load balancer's health check, and heartbeats that are not in the
+ * plain form. It passes requests to the request handler and maps results to responses. It must not make decisions about
+ * jobs itself.
  */
 import express, { type Express, type NextFunction, type Request, type Response } from 'express';
 import { decode } from '../../wire/cbor.js';
@@ -14,21 +15,21 @@
 import type { JobView, RequestResult } from './request-result.js';
 import { sendCbor, sendEncoded, sendError, sendNoSuchJob, sendResult } from './responses.js';
 
-/** A larger body gets 400, which users do not repeat: it would be too large each time. */
+/** A larger body is answered with 400, which users do not retry, because the body would be too large each time. */
 export const MAX_BODY_BYTES = 64 * 1024;
 
 const JOB_PATH = `${API_PATHS.jobs}/:id` as const;
 const CANCEL_PATH = `${JOB_PATH}/${API_PATHS.cancel}` as const;
 const ALL_PATHS = [API_PATHS.heartbeat, API_PATHS.jobs, JOB_PATH, CANCEL_PATH, API_PATHS.health];
 
-/** What the application needs. */
+/** The dependencies of the application. */
 export interface UserAppDependencies {
   readonly requests: RequestHandler;
   readonly logger: Logger;
   readonly isHealthy: () => boolean;
 }
 
-/** Creates the application. Users' connections are shed and rotated as `connections` says. */
+/** Creates the application. `connections` decides which user connections are refused or rotated. */
 export function createUserApp(
   { requests, logger, isHealthy }: UserAppDependencies,
   heartbeats: HeartbeatEndpoint,
@@ -48,11 +49,12 @@
 
 function addConnectionRules(app: Express, connections: InboundConnections, isHealthy: () => boolean): void {
   app.use((_request: Request, response: Response, next: NextFunction) => {
-    // A user keeps the connection it has: closing it lets the next request come to a controller that is healthy.
+    // Users keep their connections open. Closing a connection lets the user's next request reach a healthy controller.
     if (connections.rotatesUserConnections || !isHealthy()) response.setHeader('connection', 'close');
     next();
   });
-  // Refused before the body is read. The load balancer's health check is answered all the same.
+  // Requests on refused connections are rejected before the body is read. The load balancer's health check is still
+  // answered.
   app.use((request: Request, response: Response, next: NextFunction) => {
     if (!connections.isOverUserLimit(request.socket) || request.path === API_PATHS.health) return next();
     response.setHeader('retry-after', '1');
@@ -116,7 +118,10 @@
   });
 }
 
-/** The body parser's errors carry a status: bodies that are too large or cannot be read are the sender's mistake. */
+/**
+ * Returns whether an error is the client's. The errors of the body parser have a status: a body that is too large or
+ * cannot be read is the client's mistake.
+ */
 function isClientError(error: unknown): boolean {
   const status = (error as { status?: unknown }).status;
   return typeof status === 'number' && status >= 400 && status < 500;
@@ -124,7 +129,7 @@
 
 const rawBody = (request: Request): Buffer | null => (Buffer.isBuffer(request.body) ? request.body : null);
 
-/** The body as data; undefined if it is no CBOR. */
+/** Returns the decoded body, or undefined if it is missing or not CBOR. */
 function decodedBody(request: Request): unknown {
   const raw = rawBody(request);
   if (raw === null || raw.length === 0) return undefined;
