--- a/src/edge/net/host-and-port.ts
+++ b/src/edge/net/host-and-port.ts
@@ -1,4 +1,4 @@
-/** @file The addresses that the settings and workers give. */
+/** @file Parses the addresses in the settings and in messages from workers. */
 
 /** An IPv4 address and port. */
 export interface HostAndPort {
@@ -6,7 +6,7 @@
   readonly port: number;
 }
 
-/** Reads `HOST:PORT`. */
+/** Parses `HOST:PORT`. */
 export function parseHostAndPort(address: string): HostAndPort {
   const colon = address.lastIndexOf(':');
   return { host: address.slice(0, colon), port: Number(address.slice(colon + 1)) };
--- a/src/edge/net/http-client.ts
+++ b/src/edge/net/http-client.ts
@@ -1,18 +1,21 @@
 /**
- * @file The HTTP client for state store, cloud and workers: a pool of connections to one address. It is built on `net`,
- * since the client of node:http took several times as long over a request as the request's content does; after a
- * failover direct commands and requests to the state store were the largest part of a small core (flat profile of
- * `npm run load`). It must report each request's outcome once, and never repeat a request itself.
+ * @file The HTTP client for the state store, the cloud and workers: a pool of connections to one address. It is built
+ * on `node:net`, because the client of `node:http` took several times as long for a request as the processing of the
+ * request's content. After a failover, direct commands and requests to the state store were the largest part of the
+ * load on a small core (flat profile of `npm run load`). The client must report each request's outcome once, and must
+ * never repeat a request itself.
  */
 import { encode } from '../../wire/cbor.js';
 import { HttpConnection, type RequestOutcome, type PendingRequest } from './http-connection.js';
 import { parseHostAndPort, type HostAndPort } from './host-and-port.js';
 
-/** A client of one outside system: connections that are kept alive, CBOR bodies, and a limit on every wait. */
+/** A client of one external system, with keep-alive connections, CBOR bodies and a timeout on every wait. */
 export class HttpClient {
   private readonly target: HostAndPort;
   private readonly openConnections = new Set<HttpConnection>();
-  /** The one used last is taken first, so that connections that are not needed become idle and are closed. */
+  /**
+   * The most recently used connection is taken first, so that connections that are not needed stay idle and are closed.
+   */
   private readonly idleConnections: HttpConnection[] = [];
   private readonly waitingRequests: PendingRequest[] = [];
 
@@ -23,12 +26,12 @@
     this.target = parseHostAndPort(address);
   }
 
-  /** Closes all connections; the requests that they carried have an unknown outcome. */
+  /** Closes all connections. The requests in flight on them get an unknown outcome. */
   close(): void {
     for (const connection of [...this.openConnections]) connection.fail('closed');
   }
 
-  /** Sends a request; `timeoutMs` bounds the whole of it, waiting for a connection included. */
+  /** Sends a request. `timeoutMs` bounds the whole request, including the wait for a connection. */
   request(
     method: string,
     path: string,
--- a/src/edge/net/http-connection.ts
+++ b/src/edge/net/http-connection.ts
@@ -1,24 +1,28 @@
 /**
- * @file One client connection over HTTP/1.1. It settles each request that it was given exactly once; whether a request
- * may have been carried out is decided here: it is `unsent` only if the connection was never established.
+ * @file One client connection over HTTP/1.1. It settles each request that it was given exactly once, and decides
+ * whether the request may have been executed: a request is `unsent` only if the connection was never established.
  */
 import { connect, type Socket } from 'node:net';
 import { decode } from '../../wire/cbor.js';
 import { ResponseReader, type HttpResponse } from './http-response.js';
 import type { HostAndPort } from './host-and-port.js';
 
-/** What became of a request. `unsent`: no connection came about, so it can never be carried out. */
+/**
+ * The outcome of a request. `unsent` means that no connection was established, so the request can never be executed.
+ */
 export type RequestOutcome =
   | { readonly kind: 'response'; readonly status: number; readonly body: unknown }
   | { readonly kind: 'unsent'; readonly reason: string }
   | { readonly kind: 'unknown'; readonly reason: string };
 
-/** Idle connections are closed: on a large fleet one to each worker would take most of the sockets. */
+/**
+ * Idle connections are closed, because in a large fleet one connection to each worker would use most of the sockets.
+ */
 const IDLE_TIMEOUT_MS = 20_000;
 
-/** One request on its way through the pool. */
+/** A request that waits for a connection of the pool or is in flight on one. */
 export interface PendingRequest {
-  /** Head and body, written at once. */
+  /** Head and body, sent in one write. */
   readonly bytes: Buffer;
   readonly settle: (outcome: RequestOutcome) => void;
   /** The connection that carries it; null while it waits for one. */
@@ -34,7 +38,7 @@
   }
 }
 
-/** One connection, which carries one request at a time and is kept open between them. */
+/** One connection, which carries one request at a time and is kept open between requests. */
 export class HttpConnection {
   private readonly socket: Socket;
   private reader = new ResponseReader();
@@ -69,7 +73,7 @@
     if (this.connected) this.write();
   }
 
-  /** Closes the connection, and with it settles the request that it carries. */
+  /** Closes the connection and settles the request that it carries. */
   fail(reason: string): void {
     const { request } = this;
     this.request = null;
@@ -77,7 +81,7 @@
     request?.settle({ kind: this.connected ? 'unknown' : 'unsent', reason });
   }
 
-  /** Leaves the pool at once: no request may be sent on a connection that is about to close. */
+  /** Closes the connection and removes it from the pool at once: no request may be sent on a closing connection. */
   private retire(): void {
     this.socket.destroy();
     if (this.retired) return;
@@ -90,7 +94,7 @@
   }
 
   private onData(data: Buffer): void {
-    // A response without a request: the state of the connection is unknown.
+    // Without a request in flight no response is expected, so the state of the connection is unknown.
     if (this.request === null) return this.retire();
     try {
       const response = this.reader.push(data);
--- a/src/edge/net/http-response.ts
+++ b/src/edge/net/http-response.ts
@@ -1,9 +1,9 @@
 /**
- * @file Reads an HTTP/1.1 response from the bytes of a connection. It must accept no more than one response, and throw
- * at whatever is none.
+ * @file Parses an HTTP/1.1 response from the bytes of a connection. It must accept at most one response, and must throw
+ * if the bytes are not a response.
  */
 
-/** A whole response. */
+/** A complete response. */
 export interface HttpResponse {
   readonly status: number;
   readonly body: Buffer;
@@ -11,7 +11,7 @@
   readonly keepAlive: boolean;
 }
 
-/** What was received is no HTTP/1.1 response, or its head is too long. */
+/** The received bytes are not an HTTP/1.1 response, or the head of the response is too long. */
 export class MalformedResponseError extends Error {
   override readonly name = 'MalformedResponseError';
 }
@@ -21,11 +21,11 @@
 const MAX_HEAD_BYTES = 16 * 1024;
 const STATUS_LINE = /^HTTP\/1\.[01] ([1-5]\d\d)(?: |$)/;
 
-/** How the length of a body is known. */
+/** How the end of a body is determined. */
 type Framing =
   | { readonly kind: 'length'; readonly length: number }
   | { readonly kind: 'chunked' }
-  /** The body ends with the connection. */
+  /** The body ends when the connection is closed. */
   | { readonly kind: 'until-close' };
 
 interface Head {
@@ -56,12 +56,12 @@
   return { status, keepAlive, framing };
 }
 
-/** Decodes a chunked body as it comes. */
+/** Decodes a chunked body incrementally. */
 class ChunkedBodyDecoder {
   private readonly chunks: Buffer[] = [];
   private inTrailer = false;
 
-  /** Consumes the whole chunks of `raw`; returns whether the body is complete, and what is left over. */
+  /** Consumes the complete chunks of `raw`. Returns whether the body is complete, and the remaining bytes. */
   push(raw: Buffer): { readonly complete: boolean; readonly rest: Buffer } {
     let rest = raw;
     for (;;) {
@@ -91,14 +91,17 @@
   }
 }
 
-/** Reads one response from the bytes of a connection, however they are cut. */
+/** Parses one response from the bytes of a connection, however they are split. */
 export class ResponseReader {
   private received: Buffer[] = [];
   private size = 0;
   private head: Head | null = null;
   private chunked = new ChunkedBodyDecoder();
 
-  /** Adds received bytes; returns the response once it is whole. */
+  /**
+   * Adds received bytes. Returns the response once it is complete, and null before that. Throws a
+   * MalformedResponseError.
+   */
   push(data: Buffer): HttpResponse | null {
     this.received.push(data);
     this.size += data.length;
@@ -111,13 +114,16 @@
       }
       const head = parseHead(raw.toString('latin1', 0, end));
       this.setReceived(raw.subarray(end + HEAD_END.length));
-      // 1xx announces the response that follows it.
+      // A response with status 1xx is followed by the final response.
       if (head.status >= 200) this.head = head;
     }
     return this.responseIfComplete(this.head);
   }
 
-  /** The connection has ended, which completes a body without a length; null: any other is incomplete. */
+  /**
+   * Called when the connection has ended, which completes a body without a length. Returns null if the response is
+   * incomplete.
+   */
   close(): HttpResponse | null {
     if (this.head?.framing.kind !== 'until-close') return null;
     return { status: this.head.status, body: this.receivedBytes(), keepAlive: false };
