--- a/src/edge/peers/peer-dialer.ts
+++ b/src/edge/peers/peer-dialer.ts
@@ -1,6 +1,6 @@
 /**
- * @file The outgoing half of the link to one peer: it dials, sends this controller's status at an interval, and dials
- * again when the connection ends. It owns that one connection and takes no notice of what the peer sends on it.
+ * @file The outgoing half of the link to one peer: it connects, sends this controller's status at an interval, and
+ * reconnects when the connection ends. It owns that one connection and ignores what the peer sends on it.
  */
 import { connect, type Socket } from 'node:net';
 import { Subscription, interval } from 'rxjs';
@@ -12,10 +12,10 @@
 const STATUS_INTERVAL_MS = 400;
 const CONNECT_TIMEOUT_MS = 1000;
 const REDIAL_DELAY_MS = 1000;
-/** A peer that leaves more than so many bytes unread is half-open or stalled. */
+/** If a peer leaves more than this many bytes unread, it is stalled or its connection is half-open. */
 const MAX_UNSENT_BYTES = 4096;
 
-/** Sends statuses to a peer, over one connection after the other, until the signal is given. */
+/** Sends statuses to a peer until the signal is aborted, and reconnects whenever the connection ends. */
 export async function sendStatuses(
   endpoint: string,
   ownStatus: () => ControllerStatus,
@@ -27,7 +27,7 @@
   }
 }
 
-/** One connection: resolves once it is closed, by whichever side. */
+/** Sends statuses over one connection. Resolves once either side has closed it. */
 function sendUntilClosed(
   endpoint: string,
   ownStatus: () => ControllerStatus,
@@ -47,7 +47,7 @@
     signal.addEventListener('abort', stop);
     socket.on('error', () => socket.destroy());
     socket.on('close', stop);
-    // Without a reader the end of the connection would not be noticed.
+    // The end of the connection is detected only if its data is read.
     socket.on('data', () => undefined);
     socket.once('connect', () => {
       clearTimeout(connectTimeout);
--- a/src/edge/peers/peer-links.ts
+++ b/src/edge/peers/peer-links.ts
@@ -1,6 +1,7 @@
 /**
- * @file The links between controllers: what the other controllers last said of themselves. It owns the latest statuses;
- * nothing that must be safe may depend on them, since a peer may refuse, lie, stall or be partitioned from this one.
+ * @file The links between controllers. It owns the latest status received from each of the other controllers. Nothing
+ * that must be safe may depend on these statuses, because a peer may refuse contact, send false values, stall or be
+ * partitioned from this controller.
  */
 import { Subscription } from 'rxjs';
 import type { ControllerStatus } from '../../wire/controller-status-frame.js';
@@ -16,20 +17,21 @@
   readonly endpoint: string;
 }
 
-/** A status older than this says nothing about the present. */
+/** A status older than this is ignored, because it may be outdated. */
 const MAX_STATUS_AGE_MS = 1500;
 /** A peer whose last contact with the state store is older than this does not count as served by it. */
 const MAX_STATE_STORE_CONTACT_AGE_MS = 2 * MAX_STATUS_AGE_MS;
 
-/** A peer's last status, and when it came. */
+/** A peer's last status, and the time when it was received. */
 interface ReceivedStatus {
   readonly status: ControllerStatus;
   readonly receivedAt: bigint;
 }
 
 /**
- * Exchanges statuses with the other controllers: each controller dials all others and sends its status a few times a
- * second. This distinguishes an outage of the state store from a partition that cuts off only this controller.
+ * Exchanges statuses with the other controllers: each controller connects to all others and sends its status a few
+ * times per second. This distinguishes an outage of the state store from a partition that cuts off only this
+ * controller.
  */
 export class PeerLinks {
   private readonly statuses = new Map<string, ReceivedStatus>();
@@ -41,12 +43,12 @@
     private readonly logger: Logger,
   ) {}
 
-  /** How many other controllers there are. */
+  /** Number of other controllers. */
   get peerCount(): number {
     return this.peers.length;
   }
 
-  /** How many other controllers have lately been served by the state store. */
+  /** Returns the number of other controllers that the state store has served recently. */
   peersServing(): number {
     let serving = 0;
     for (const { status, receivedAt } of this.statuses.values()) {
@@ -61,7 +63,7 @@
     return serving;
   }
 
-  /** Listens and dials until unsubscribed. */
+  /** Listens for the other controllers and connects to them until unsubscribed. */
   start(): Subscription {
     const subscriptions = new Subscription();
     const listener = listenForPeers({
--- a/src/edge/peers/peer-listener.ts
+++ b/src/edge/peers/peer-listener.ts
@@ -1,6 +1,6 @@
 /**
- * @file The server for the other controllers' statuses. It owns the listening socket and the connections that peers
- * open, and ends a connection that is idle, broken or sends malformed frames; it never writes to one.
+ * @file The server that receives the other controllers' statuses. It owns the listening socket and the connections that
+ * peers open. It closes a connection that is idle, broken or sends malformed frames, and never writes to one.
  */
 import { createServer, type Server, type Socket } from 'node:net';
 import { Observable, Subscription, fromEvent, takeUntil } from 'rxjs';
@@ -13,7 +13,7 @@
 /** Leaves room for earlier connections of a peer that are not closed yet. */
 const CONNECTIONS_PER_PEER = 4;
 
-/** What the listener needs. */
+/** The options of the listener. */
 export interface PeerListenerOptions {
   readonly address: string;
   readonly peerCount: number;
@@ -40,7 +40,7 @@
 
 function listen(server: Server, { address, peerCount, logger }: PeerListenerOptions): void {
   server.maxConnections = CONNECTIONS_PER_PEER * Math.max(1, peerCount);
-  // Without a listener the controller goes on like one that receives no peer's status.
+  // Without a listener, the controller continues to run as if no peer sent its status.
   server.on('error', (e) => logger.warn({ error: errorMessage(e) }, 'peer listener failed'));
   const { host, port } = parseHostAndPort(address);
   server.listen(port, host);
