--- a/src/edge/config/connection-limits.ts
+++ b/src/edge/config/connection-limits.ts
@@ -1,23 +1,29 @@
 /**
- * @file How the sockets that the settings allow are divided. Without this, workers and users that connect in a burst
- * would take the last ones, and the controller could reach neither the state store nor a worker.
+ * @file Divides the sockets that the settings allow. Without these limits, a burst of connections from workers and
+ * users would use the last sockets, and the controller could reach neither the state store nor a worker.
  */
 
 /** The limits on connections of each kind. */
 export interface ConnectionLimits {
-  /** Connections to workers for direct commands, at once. */
+  /** Upper bound on concurrent connections to workers for direct commands. */
   readonly workerCommands: number;
-  /** Inbound connections of all kinds, at once. */
+  /** Upper bound on concurrent inbound connections of all kinds. */
   readonly inbound: number;
-  /** Above so many inbound connections no more users are admitted, so that workers that reconnect still find a socket. */
+  /**
+   * Above this number of inbound connections, no more users are admitted, so that reconnecting workers still find a
+   * socket.
+   */
   readonly userLimit: number;
-  /** Above so many, users' connections are rotated: each is closed after its response, so that all get a turn. */
+  /**
+   * Above this number of inbound connections, user connections are rotated: each is closed after its response, so that
+   * all users get a turn.
+   */
   readonly rotateUsersAbove: number;
-  /** Above so many, workers' connections are rotated too. */
+  /** Above this number of inbound connections, worker connections are rotated too. */
   readonly rotateWorkersAbove: number;
 }
 
-/** The limits of a controller whose settings name none. */
+/** The limits of a controller whose settings do not limit its sockets. */
 const UNLIMITED: ConnectionLimits = {
   workerCommands: 256,
   inbound: Infinity,
@@ -26,23 +32,27 @@
   rotateWorkersAbove: Infinity,
 };
 
-/** For the connections to state store, cloud and other controllers, the listeners, and the engine itself. */
+/**
+ * Sockets for the connections to the state store, the cloud and other controllers, for the listeners, and for Node.js
+ * itself.
+ */
 const RESERVED_SOCKETS = 32;
 const WORKER_COMMANDS_SHARE = 0.08;
 const MIN_WORKER_COMMANDS = 8;
-/** Inbound connections that only workers may use. */
+/** Share of the sockets that is reserved for inbound connections of workers. */
 const WORKERS_ONLY_SHARE = 0.04;
 const MIN_WORKERS_ONLY = 4;
 /**
- * Users send a request every few seconds and keep their connection. Were new ones merely refused, those that have a
- * connection would be served for good and the others never, though a single request takes little time. Seen in a
- * storm: 1,760 of 1,760 connections on the one controller that was left.
+ * Share of the user limit above which user connections are rotated. Users send a request every few seconds and keep
+ * their connections open. If new users were only refused, users with a connection would be served indefinitely and the
+ * others never, although a single request takes little time. This was observed during a connection storm, with 1,760 of
+ * 1,760 connections on the only remaining controller.
  */
 const ROTATE_USERS_SHARE = 0.75;
-/** With fewer sockets a controller cannot run at all. */
+/** A controller cannot run at all with fewer sockets. */
 export const MIN_SOCKETS = 64;
 
-/** Divides the sockets that the settings allow; null: they set no limit. */
+/** Divides the sockets that the settings allow; `maxSockets` is null if they set no limit. */
 export function connectionLimitsFor(maxSockets: number | null): ConnectionLimits {
   if (maxSockets === null) return UNLIMITED;
   const workerCommands = Math.max(MIN_WORKER_COMMANDS, Math.floor(maxSockets * WORKER_COMMANDS_SHARE));
--- a/src/edge/config/feature-loader.ts
+++ b/src/edge/config/feature-loader.ts
@@ -1,4 +1,7 @@
-/** @file Loads the code of features: only of those that are switched on, so that the others cost neither start nor memory. */
+/**
+ * @file Loads the code of the enabled features only, so that the other features increase neither startup time nor
+ * memory use.
+ */
 import { existsSync } from 'node:fs';
 import { createRequire } from 'node:module';
 import { join } from 'node:path';
@@ -9,13 +12,16 @@
 
 const requireModule = createRequire(__filename);
 
-/** A feature's code is a file of its own beside the built program; tests and tools load its source instead. */
+/** Loads a feature's code from its own file next to the built program; tests and tools load its source instead. */
 function loadFeature(name: Feature): unknown {
   const built = join(__dirname, `${name}.js`);
   return requireModule(existsSync(built) ? built : `@pumiceroad/${name}`);
 }
 
-/** Creates the policy for lost and returning zones, one for each leadership term; null: the feature is off. */
+/**
+ * Returns a function that creates the policy for lost and returning zones, called once per leadership term; null if the
+ * feature is disabled.
+ */
 export function zonePolicyFactory(features: Features, config: ClusterConfig): (() => ZonePolicy) | null {
   if (!features.has('zone-recovery')) return null;
   const { ZoneRecovery } = loadFeature('zone-recovery') as typeof ZoneRecoveryModule;
--- a/src/edge/config/features.ts
+++ b/src/edge/config/features.ts
@@ -1,20 +1,20 @@
 /**
- * @file Which features are switched on, by name. The code of a feature is loaded by feature-loader.ts, so that
- * reading the names loads none of it.
+ * @file Reads the names of the enabled features. The code of a feature is loaded by feature-loader.ts, so that reading
+ * the names loads none of it.
  */
 import type { Node } from 'sexpr-plus';
 import { readSettingsFile } from './settings-file.js';
 import { atomOf, failAt, listOf, readForms } from './sexpr.js';
 
-/** What may be switched on beyond what every controller does. */
+/** A feature that can be enabled in addition to what every controller does. */
 export type Feature = 'zone-recovery';
 
 const KNOWN_FEATURES: readonly Feature[] = ['zone-recovery'];
 
-/** The features that are switched on. */
+/** The enabled features. */
 export type Features = ReadonlySet<Feature>;
 
-/** Reads features from text such as `(features zone-recovery)`; a mistake is a SettingsError with its line. */
+/** Parses features from text such as `(features zone-recovery)`. Throws a SettingsError with the line of a mistake. */
 export function parseFeatures(text: string, sourceName: string): Features {
   const features = new Set<Feature>();
   for (const form of readForms(text, sourceName)) {
@@ -34,7 +34,7 @@
   );
 }
 
-/** Reads features from a file; none without one. */
+/** Reads features from a file. Without a path, no features are enabled. */
 export function readFeatures(path: string | undefined): Features {
   return path === undefined ? new Set() : parseFeatures(readSettingsFile(path), path);
 }
--- a/src/edge/config/operator-settings.ts
+++ b/src/edge/config/operator-settings.ts
@@ -1,6 +1,6 @@
 /**
- * @file The operators' own settings: S-expressions such as `(placement (alpha 0.25) (lambda 0.5))`, each with a checked
- * range. docs/settings.md says what each is for.
+ * @file Parses the operators' settings: S-expressions such as `(placement (alpha 0.25) (lambda 0.5))`, each value
+ * checked against a range. docs/settings.md describes the purpose of each setting.
  */
 import type { Node } from 'sexpr-plus';
 import type { OperatorSettings } from '../../core/model/operator-settings.js';
@@ -10,14 +10,14 @@
 
 type Mutable<T> = { -readonly [K in keyof T]: T[K] };
 
-/** One setting: the range of its values, both ends included, and how a value is applied. */
+/** The definition of a setting: the range of its values, both ends included, and how a value is applied. */
 interface SettingDefinition {
   readonly min: number;
   readonly max: number;
   readonly apply: (settings: Mutable<OperatorSettings>, value: number) => void;
 }
 
-/** The operators' settings where the file names none. */
+/** The values of the settings that the file does not set. */
 export const DEFAULT_SETTINGS: OperatorSettings = {
   alpha: 0.25,
   lambda: 0.5,
@@ -30,7 +30,7 @@
   quarantineThreshold: 2,
 };
 
-/** All settings by group, under the names that the file uses. */
+/** All settings by group, under their names in the file. */
 export const SETTING_DEFINITIONS: Readonly<Record<string, Readonly<Record<string, SettingDefinition>>>> = {
   placement: {
     alpha: { min: 0.25, max: 0.75, apply: (settings, value) => (settings.alpha = value) },
@@ -53,7 +53,7 @@
   },
 };
 
-/** Reads operators' settings from text; a mistake is a SettingsError with its line. */
+/** Parses operators' settings from text. Throws a SettingsError with the line of a mistake. */
 export function parseOperatorSettings(text: string, sourceName: string): OperatorSettings {
   const settings: Mutable<OperatorSettings> = { ...DEFAULT_SETTINGS };
   for (const form of readForms(text, sourceName)) {
@@ -88,7 +88,7 @@
   definition.apply(settings, value);
 }
 
-/** Reads operators' settings from a file; the defaults without one. */
+/** Reads operators' settings from a file. Without a path, returns the defaults. */
 export function readOperatorSettings(path: string | undefined): OperatorSettings {
   return path === undefined ? DEFAULT_SETTINGS : parseOperatorSettings(readSettingsFile(path), path);
 }
--- a/src/edge/config/platform-settings.ts
+++ b/src/edge/config/platform-settings.ts
@@ -1,6 +1,6 @@
 /**
- * @file The settings file that the platform hands over (JSON): its schema, how it is read and checked, and its facts in
- * the terms of the core. A file that is taken must be one that the controller can serve.
+ * @file The settings file (JSON) that the platform provides: its schema, its validation, and its conversion to the
+ * terms of the core. A file must be accepted only if the controller can run with it.
  */
 import * as z from 'zod';
 import type { ClusterConfig } from '../../core/model/cluster-config.js';
@@ -16,10 +16,10 @@
 const nonNegative = z.number().nonnegative();
 const address = z.string().regex(/^[^\s:]+:[0-9]{1,5}$/, 'must be HOST:PORT');
 
-/** A value that counts as absent if it cannot be read. */
+/** Makes a value optional; an invalid value is treated as absent. */
 const absentIfInvalid = <T extends z.ZodType>(schema: T) => schema.optional().catch(undefined);
 
-/** The limits that the state store is announced to have later. Whatever of them cannot be read is ignored. */
+/** The announced future limits of the state store. Invalid ones are ignored. */
 const announcedLimits = absentIfInvalid(
   z.object({
     write_rps: absentIfInvalid(z.number().positive()),
@@ -82,10 +82,10 @@
   }),
 });
 
-/** The settings file of the platform, checked. */
+/** The platform's settings after validation. */
 export type PlatformSettings = z.infer<typeof platformSchema>;
 
-/** Reads and checks the settings file of the platform; a mistake is a SettingsError. */
+/** Reads and validates the platform's settings file. Throws a SettingsError if it is invalid or cannot be read. */
 export function readPlatformSettings(path: string): PlatformSettings {
   const result = platformSchema.safeParse(parseJson(readSettingsFile(path, `settings ${path}`), path));
   if (!result.success) {
@@ -110,7 +110,10 @@
   }
 }
 
-/** The smaller of a value's present and announced limit: what is written must fit both. */
+/**
+ * Returns the smaller of the current and the announced limit on a value, in bytes, because what is written must fit
+ * both.
+ */
 const maxValueBytes = ({ facts: { state } }: PlatformSettings): number =>
   Math.floor(Math.min(state.value_kb, state.next?.value_kb ?? Infinity) * BYTES_PER_KB);
 
@@ -121,7 +124,7 @@
     );
 }
 
-/** The platform's settings as the core uses them. */
+/** Converts the platform's settings to the configuration of the core. */
 export function clusterConfigFrom(platform: PlatformSettings): ClusterConfig {
   const { zones, teams, objectives, workers, state, cloud } = platform.facts;
   return {
--- a/src/edge/config/settings-file.ts
+++ b/src/edge/config/settings-file.ts
@@ -1,8 +1,8 @@
-/** @file Reads the files that the program is started with. It must not interpret what they hold. */
+/** @file Reads the files that the program is started with. It must not interpret their contents. */
 import { readFileSync } from 'node:fs';
 import { SettingsError } from './settings-error.js';
 
-/** The text of a file; `description` names the file in the error's message. */
+/** Returns the text of a file. If it cannot be read, throws a SettingsError that names the file by `description`. */
 export function readSettingsFile(path: string, description = path): string {
   try {
     return readFileSync(path, 'utf8');
--- a/src/edge/config/sexpr.ts
+++ b/src/edge/config/sexpr.ts
@@ -1,8 +1,8 @@
-/** @file Reads S-expressions; every mistake is a SettingsError with the line at which it stands. */
+/** @file Parses S-expressions. Every mistake throws a SettingsError with its line. */
 import { parse, type Node } from 'sexpr-plus';
 import { SettingsError } from './settings-error.js';
 
-/** The forms of a text; `name` stands for the text in messages. */
+/** Parses a text into its forms; `sourceName` names the text in error messages. */
 export function readForms(text: string, sourceName: string): Node[] {
   try {
     return parse(text);
@@ -13,16 +13,19 @@
   }
 }
 
-/** Throws the error for a mistake at a form. */
+/** Throws the error for a mistake at `node`, with its line. */
 export function failAt(node: Node, sourceName: string, reason: string): never {
   throw new SettingsError(`${sourceName}:${node.location.start.line}: ${reason}`);
 }
 
-/** The elements of a list. */
+/** Returns the elements of a list. Throws if `node` is not a list. */
 export const listOf = (node: Node, sourceName: string): Node[] =>
   node.type === 'list' ? node.content : failAt(node, sourceName, 'expected a list');
 
-/** The text of an atom; if there is none, the error names the line of `parent`. */
+/**
+ * Returns the text of an atom. Throws if `node` is missing or not an atom; if it is missing, the error has the line of
+ * `parent`.
+ */
 export const atomOf = (node: Node | undefined, parent: Node, sourceName: string): string =>
   node !== undefined && node.type === 'atom'
     ? node.content
