--- a/src/edge/runtime/clock.ts
+++ b/src/edge/runtime/clock.ts
@@ -1,9 +1,9 @@
-/** @file The only place where the edge reads the clocks; the core is given the time with every event. */
+/** @file The only module in the edge layer that reads the clocks. The core receives the time with every event. */
 import type { Timestamp } from '../../core/model/time.js';
 
-/** The present moment by both clocks. */
+/** Returns the current time of the monotonic clock and of the wall clock. */
 export const currentTime = (): Timestamp => ({ monotonic: process.hrtime.bigint(), wall: new Date() });
-/** The present moment by the monotonic clock. */
+/** Returns the current time of the monotonic clock in nanoseconds. */
 export const monotonicNow = (): bigint => process.hrtime.bigint();
-/** Milliseconds since a moment of the monotonic clock. */
+/** Returns the milliseconds since a time of the monotonic clock. */
 export const millisecondsSince = (since: bigint): number => Number(process.hrtime.bigint() - since) / 1e6;
--- a/src/edge/runtime/logger.ts
+++ b/src/edge/runtime/logger.ts
@@ -1,11 +1,11 @@
 /**
- * @file The structured log: short event names, values in fields, one JSON object a line on standard error. It must not
- * buffer: a process that is killed leaves all that it logged.
+ * @file The structured log: short event names, values in fields, one JSON object per line on standard error. It must
+ * not buffer, so that a killed process leaves every line that it logged.
  */
 import pino from 'pino';
 import { millisecondsSince, monotonicNow } from './clock.js';
 
-/** What a field of a log line may hold. */
+/** The value of a field of a log line. */
 type LogValue = string | number | boolean | null | readonly LogValue[] | LogFields;
 
 /** The fields of a log line. */
@@ -15,7 +15,7 @@
 
 type LogMethod = (fields: LogFields, event: string) => void;
 
-/** The log, by level; pino underneath. */
+/** The log methods by level, implemented by pino. */
 export interface Logger {
   readonly debug: LogMethod;
   readonly info: LogMethod;
@@ -26,7 +26,10 @@
 const DEFAULT_LEVEL = 'info';
 const LEVELS: ReadonlySet<string> = new Set(['error', 'warn', 'info', 'debug']);
 
-/** The log of the controller with this label; `LOG_LEVEL` sets the lowest level that is written. */
+/**
+ * Creates the log of the controller with this label. The environment variable `LOG_LEVEL` sets the lowest level that is
+ * written.
+ */
 export function createLogger(label: string): Logger {
   const level = process.env['LOG_LEVEL'] ?? DEFAULT_LEVEL;
   return pino(
@@ -39,20 +42,21 @@
   );
 }
 
-/** An event is logged at most once in this time. */
+/** A rate-limited event is logged at most once in this time. */
 const RATE_LIMIT_MS = 10_000;
 
 interface LoggedEvent {
   readonly loggedAt: bigint;
-  /** How often the event came since without being logged. */
+  /** How often the event has occurred since then without being logged. */
   suppressed: number;
 }
 
 const lastLogged = new WeakMap<Logger, Map<string, LoggedEvent>>();
 
 /**
- * Warns of what may come in floods, such as malformed messages: each event at most once in `RATE_LIMIT_MS`, with the
- * number of those suppressed in between. Events with different keys are limited separately.
+ * Logs a warning about an event that may occur very often, such as a malformed message. Each event is logged at most
+ * once in `RATE_LIMIT_MS`, with the number of suppressed occurrences in between. Events with different keys are limited
+ * separately.
  */
 export function warnRateLimited(logger: Logger, fields: LogFields, event: string, key = event): void {
   const events = lastLogged.get(logger) ?? new Map<string, LoggedEvent>();
--- a/src/edge/runtime/memory-monitor.ts
+++ b/src/edge/runtime/memory-monitor.ts
@@ -1,8 +1,8 @@
 /**
- * @file Keeps the process below the memory limit of its settings; exceeding it ends the process. One start command
- * serves every deployment, so it sets no heap limit: the heap's growth is bounded here, by the settings. Above
- * `COLLECT_SHARE` of the limit garbage is collected at once instead of when the engine decides to; if what is left is
- * still above `SHED_SHARE`, users' requests are refused until it falls.
+ * @file Keeps the process below the memory limit of its settings, because exceeding the limit ends the process. All
+ * deployments use the same start command, so it sets no heap limit, and the growth of the heap is bounded here,
+ * according to the settings. Above `COLLECT_SHARE` of the limit, garbage is collected at once instead of when V8
+ * decides to. If usage is then still above `SHED_SHARE`, user requests are refused until it falls.
  */
 import { readFileSync } from 'node:fs';
 import { setFlagsFromString } from 'node:v8';
@@ -13,18 +13,22 @@
 const COLLECT_SHARE = 0.8;
 const SHED_SHARE = 0.9;
 const CHECK_INTERVAL_MS = 500;
-/** A collection stops everything for some tens of milliseconds: it is repeated only after this growth. */
+/** A collection stops the process for some tens of milliseconds, so it is repeated only after this growth. */
 const MIN_GROWTH_SHARE = 0.03;
-/** How far the heap may grow between two collections, in percent of what survived the last. */
+/** How far the heap may grow between two collections, in percent of the memory that survived the last one. */
 const HEAP_GROWING_PERCENT = 35;
 const BYTES_PER_MB = 1024 * 1024;
-/** The program, its heap and its buffers take about half of this before the first request; a failover needs the rest. */
+/**
+ * The program, its heap and its buffers take about half of this before the first request. A failover needs the
+ * remainder.
+ */
 export const MIN_MEMORY_MB = 96;
 
 /**
- * The part of the resident memory that is the process's own. File pages, the engine's code above all, are shared and
- * reclaimed by the kernel when memory is short. Counting them had a controller with two fifths of its memory left
- * refuse its users for the rest of the day. `statm`: size, resident, shared, … in pages.
+ * Returns the share of the resident memory that is private to the process. File pages, mainly the code of Node.js, are
+ * shared, and the kernel reclaims them when memory is short. When they were counted, a controller with two fifths of
+ * its memory left refused its users for the rest of the day. `statm` is the content of `/proc/self/statm`: size,
+ * resident, shared, … in pages. Returns 1 if it cannot be parsed.
  */
 export function privateShare(statm: string): number {
   const [, resident = NaN, shared = NaN] = statm.split(' ').map(Number);
@@ -41,13 +45,16 @@
   }
 }
 
-/** What a check leads to, by the shares of the limit that are used now and were used after the last collection. */
+/**
+ * Returns the action of a check, given the shares of the limit that are in use now and were in use after the last
+ * collection.
+ */
 export function memoryAction(used: number, usedAfterCollection: number): 'collect' | 'shed' | 'none' {
   if (used >= COLLECT_SHARE && used >= usedAfterCollection + MIN_GROWTH_SHARE) return 'collect';
   return used >= SHED_SHARE ? 'shed' : 'none';
 }
 
-/** Collects garbage in time, and says when requests are to be refused. */
+/** Collects garbage before the memory limit is reached, and reports when requests must be refused. */
 export class MemoryMonitor {
   private usedAfterCollection = 0;
   private shedding = false;
@@ -58,7 +65,7 @@
     private readonly logger: Logger,
   ) {}
 
-  /** So little memory is left that requests are better refused than the process ended. */
+  /** True if so little memory is left that requests must be refused, so that the process is not ended. */
   get underPressure(): boolean {
     return this.shedding;
   }
@@ -68,7 +75,7 @@
     setFlagsFromString(`--heap-growing-percent=${HEAP_GROWING_PERCENT}`);
     setFlagsFromString('--expose-gc');
     this.collectGarbage = runInNewContext('gc') as () => void;
-    // Until the first full collection the engine lets the heap grow to a size of its own choosing.
+    // Until the first full collection, V8 lets the heap grow to a size of its own choice.
     this.collectGarbage();
     return interval(CHECK_INTERVAL_MS).subscribe(() => this.check());
   }
--- a/src/edge/runtime/rate-limiter.ts
+++ b/src/edge/runtime/rate-limiter.ts
@@ -1,7 +1,7 @@
-/** @file A token bucket for calls to an outside system. It only counts; callers wait. */
+/** @file A token bucket for calls to an external system. It only counts tokens; its callers wait. */
 import { monotonicNow } from './clock.js';
 
-/** A constant rate with a small burst. */
+/** Limits calls to a constant rate with a small burst. */
 export class RateLimiter {
   private tokens: number;
   private refilledAt = monotonicNow();
@@ -13,7 +13,7 @@
     this.tokens = burst;
   }
 
-  /** Takes `count` tokens and returns for how many milliseconds to wait before they are used (0: not at all). */
+  /** Takes `count` tokens and returns how many milliseconds the caller must wait before using them (0: not at all). */
   take(count: number): number {
     const now = monotonicNow();
     const refill = (Number(now - this.refilledAt) / 1e9) * this.perSecond;
--- a/src/edge/runtime/supervised-task.ts
+++ b/src/edge/runtime/supervised-task.ts
@@ -1,4 +1,4 @@
-/** @file Background tasks that end with a subscription and are restarted after an error, and what they wait with. */
+/** @file Background tasks that are stopped by unsubscribing and restarted after an error, and helpers for them. */
 import { setTimeout as delay } from 'node:timers/promises';
 import type { Subscription } from 'rxjs';
 import { Observable, retry, timer } from 'rxjs';
@@ -6,14 +6,19 @@
 
 const RESTART_DELAY_MS = 250;
 
-/** The message of whatever was thrown. */
+/** Returns the message of any thrown value. */
 export const errorMessage = (error: unknown): string =>
   error instanceof Error ? error.message : String(error);
 
-/** Whether the signal is aborted; a function, since the type checker takes the property for one that cannot change. */
+/**
+ * Returns whether the signal is aborted. This is a function because the type checker assumes that the property never
+ * changes.
+ */
 export const isAborted = (signal: AbortSignal): boolean => signal.aborted;
 
-/** Waits; resolves early when the signal is aborted, so callers check the signal afterwards. */
+/**
+ * Waits for `ms` milliseconds. Resolves early when the signal is aborted, so callers must check the signal afterwards.
+ */
 export async function sleep(ms: number, signal: AbortSignal): Promise<void> {
   try {
     await delay(ms, undefined, { signal });
@@ -23,8 +28,8 @@
 }
 
 /**
- * Runs a background task until unsubscribed from, which aborts its signal. An error is logged under the task's name and
- * the task restarted after a delay.
+ * Runs a background task until unsubscribed from, which aborts the task's signal. An error is logged with the task's
+ * name, and the task is restarted after a delay.
  */
 export function supervise(
   name: string,
--- a/src/edge/runtime/wake-signal.ts
+++ b/src/edge/runtime/wake-signal.ts
@@ -1,6 +1,6 @@
-/** @file The wait of a background loop that is woken when there is something to do. */
+/** @file Lets a background loop wait until it is woken because there is work. */
 
-/** Wakes one waiting loop; a wake that comes while nothing waits ends the next wait at once. */
+/** Wakes one waiting loop. If no loop is waiting, the next wait ends at once. */
 export class WakeSignal {
   private pending = false;
   private endWait: (() => void) | null = null;
@@ -10,7 +10,7 @@
     this.endWait?.();
   }
 
-  /** Waits for a wake, but no longer than `ms` and not once the signal is aborted. */
+  /** Waits to be woken, but for at most `ms` milliseconds and only until the signal is aborted. */
   async wait(ms: number, signal: AbortSignal): Promise<void> {
     if (!this.pending && !signal.aborted) await this.waitForWake(ms, signal);
     this.pending = false;
