--- a/src/edge/sexpr-plus.d.ts
+++ b/src/edge/sexpr-plus.d.ts
@@ -1,4 +1,4 @@
-/** @file Types of the package sexpr-plus, which has none of its own: what of it is used here. */
+/** @file Type declarations for the parts of the package sexpr-plus that are used here; it has none of its own. */
 declare module 'sexpr-plus' {
   interface Position {
     readonly offset: number;
@@ -8,13 +8,13 @@
   interface Located {
     readonly location: { readonly start: Position; readonly end: Position };
   }
-  /** A form as it was read, with its place in the text. */
+  /** A parsed form with its position in the text. */
   export type Node = Located &
     (
       | { readonly type: 'list'; readonly content: Node[] }
       | { readonly type: 'atom'; readonly content: string }
       | { readonly type: 'string'; readonly content: string }
     );
-  /** Reads all forms of a text; throws at the first mistake. */
+  /** Parses all forms of a text. Throws at the first mistake. */
   export function parse(text: string): Node[];
 }
--- a/src/main.ts
+++ b/src/main.ts
@@ -1,6 +1,6 @@
 /**
- * @file The command line: reads and checks the settings, starts the service and ends it on a signal. Exit codes: 2 for
- * a mistake in options or settings, 1 if the service cannot run. It must hold no logic of the service.
+ * @file The command line: reads and checks the settings, starts the service and stops it on a signal. Exit codes: 2 for
+ * a mistake in options or settings, 1 if the service cannot run. It must contain no logic of the service.
  */
 import { Command, CommanderError } from 'commander';
 import { version } from '../package.json';
