--- a/test/trace-language.ts
+++ b/test/trace-language.ts
@@ -34,14 +34,14 @@
 }
 
 /** The value of a numeric argument. */
-export const numberOf = (value: string | undefined, fallback: number): number =>
+export const parseNumber = (value: string | undefined, fallback: number): number =>
   value === undefined ? fallback : Number(value);
 
 /** The value of a yes/no argument. */
-export const flagOf = (value: string | undefined): boolean => value === 'yes';
+export const parseFlag = (value: string | undefined): boolean => value === 'yes';
 
 /** The values of a comma-separated argument. */
-export const listOf = (value: string | undefined): string[] => (value ?? '').split(',').filter(Boolean);
+export const parseList = (value: string | undefined): string[] => (value ?? '').split(',').filter(Boolean);
 
 /** One attempt at a task, written `job/index#attempt`. */
 export interface TaskReference {
--- a/test/trace-runner.ts
+++ b/test/trace-runner.ts
@@ -14,11 +14,11 @@
 import { timeAt } from './fixtures/clock.js';
 import { jobSpec } from './fixtures/cluster-config.js';
 import {
-  flagOf,
+  parseFlag,
   formatCommand,
-  listOf,
+  parseList,
   listedInstance,
-  numberOf,
+  parseNumber,
   parseReportedTask,
   parseTaskReference,
   parseTraceLine,
@@ -65,10 +65,10 @@
   }
 
   private handle(event: Event): void {
-    for (const effect of this.scheduler.handle(event, this.now())) this.record(effect);
+    for (const effect of this.scheduler.handle(event, this.now())) this.recordEffect(effect);
   }
 
-  private record(effect: Effect): void {
+  private recordEffect(effect: Effect): void {
     if (effect.kind === 'send-commands' && effect.commands.length > 0)
       for (const command of effect.commands)
         this.effects.push(`send ${effect.machineName} ${formatCommand(command)}`);
@@ -131,7 +131,7 @@
         return this.handle({
           kind: 'instance-inventory',
           machines: operands.map(listedInstance),
-          requestedAt: seconds(1000 + numberOf(args['requested'], this.secondsIntoTerm)),
+          requestedAt: seconds(1000 + parseNumber(args['requested'], this.secondsIntoTerm)),
         });
       case 'released':
         return this.handle({ kind: 'scale-in-answered', machines: [machine], succeeded: true });
@@ -145,18 +145,18 @@
       kind: (args['kind'] ?? 'array') as JobSpec['kind'],
       team: args['team'] ?? 'red',
       priority: (args['priority'] ?? 'normal') as JobSpec['priority'],
-      taskCount: numberOf(args['tasks'], 1),
-      gpus: numberOf(args['gpus'], 1),
-      cpus: numberOf(args['cpus'], 2),
-      singleZone: flagOf(args['single-zone']),
-      spreadAcrossZones: flagOf(args['spread']),
-      checkpointInterval: seconds(numberOf(args['checkpoint-interval'], 0)),
-      checkpointDuration: seconds(numberOf(args['checkpoint-duration'], 0)),
+      taskCount: parseNumber(args['tasks'], 1),
+      gpus: parseNumber(args['gpus'], 1),
+      cpus: parseNumber(args['cpus'], 2),
+      singleZone: parseFlag(args['single-zone']),
+      spreadAcrossZones: parseFlag(args['spread']),
+      checkpointInterval: seconds(parseNumber(args['checkpoint-interval'], 0)),
+      checkpointDuration: seconds(parseNumber(args['checkpoint-duration'], 0)),
       image: args['image'] ?? 'img',
-      imageGb: numberOf(args['image-gb'], 2),
-      estimatedDuration: seconds(numberOf(args['duration'], 30)),
+      imageGb: parseNumber(args['image-gb'], 2),
+      estimatedDuration: seconds(parseNumber(args['duration'], 30)),
       deadline: args['deadline'] === undefined ? null : seconds(Number(args['deadline'])),
-      dependencies: listOf(args['after']),
+      dependencies: parseList(args['after']),
     });
     this.changeJob({ spec, submittedAt: this.now().wall, status: 'open' });
   }
@@ -178,12 +178,12 @@
       taskIndex,
       attempt,
       machineName,
-      agentEpoch: numberOf(args['epoch'], 1),
+      agentEpoch: parseNumber(args['epoch'], 1),
       zone: args['zone'] ?? 'east',
     };
     const record = {
       highestAttempt: attempt,
-      completedTasks: listOf(args['completed']).map(Number),
+      completedTasks: parseList(args['completed']).map(Number),
       assignments: [assignment],
     };
     this.handle({
@@ -196,7 +196,7 @@
 
   private makeHeartbeat(machineName: string, tasks: readonly string[], args: TraceArguments): Heartbeat {
     const highest = this.sequences.get(machineName) ?? 0;
-    const sequence = numberOf(args['sequence'], highest + 1);
+    const sequence = parseNumber(args['sequence'], highest + 1);
     this.sequences.set(machineName, Math.max(sequence, highest));
     return {
       machineName,
@@ -204,9 +204,9 @@
       type: 'big',
       zone: args['zone'] ?? 'east',
       spot: false,
-      agentEpoch: numberOf(args['epoch'], 1),
+      agentEpoch: parseNumber(args['epoch'], 1),
       sequence,
-      fencingToken: numberOf(args['token'], this.scheduler.state.term.fencingToken),
+      fencingToken: parseNumber(args['token'], this.scheduler.state.term.fencingToken),
       preemptionNotice: null,
       tasks: tasks.map(parseReportedTask),
     };
