--- a/test/memory-bounds.test.ts
+++ b/test/memory-bounds.test.ts
@@ -21,35 +21,35 @@
  * nothing that is done anew while nothing changes.
  */
 /** A followed copy without a state store. */
-class Copy {
+class FakeReplicaView {
   readonly replica = new Map<string, ReplicaEntry>();
   readonly changes = new Subject<KeyChange>();
   reloading = false;
-  private stamp = 0;
+  private revision = 0;
 
   put(key: string, value: unknown): void {
-    const entry = { value, modRevision: ++this.stamp };
+    const entry = { value, modRevision: ++this.revision };
     this.replica.set(key, entry);
     this.changes.next({ key, entry });
   }
 
   replaceWithSummary(key: string, value: FinishedJobSummary): void {
-    const known = this.replica.get(key);
-    if (known !== undefined) this.replica.set(key, { value, modRevision: known.modRevision });
+    const existing = this.replica.get(key);
+    if (existing !== undefined) this.replica.set(key, { value, modRevision: existing.modRevision });
   }
 
-  job(id: string, standing: 'open' | 'done' | 'cancelled'): void {
+  putJob(id: string, status: 'open' | 'done' | 'cancelled'): void {
     this.put(
       jobKey(id),
-      encodeJob({ spec: jobSpec(id, { taskCount: 3 }), submittedAt: timeAt(0).wall, status: standing }),
+      encodeJob({ spec: jobSpec(id, { taskCount: 3 }), submittedAt: timeAt(0).wall, status }),
     );
   }
 
-  place(id: string, machines: readonly string[]): void {
-    const intents = machines.map((machine, task) => ({
-      taskIndex: task,
+  putAssignments(id: string, machines: readonly string[]): void {
+    const assignments = machines.map((machineName, taskIndex) => ({
+      taskIndex,
       attempt: 1,
-      machineName: machine,
+      machineName,
       agentEpoch: 1,
       zone: 'east',
     }));
@@ -60,7 +60,7 @@
           {
             jobId: id,
             chunkIndex: 0,
-            record: { highestAttempt: 1, completedTasks: [], assignments: intents },
+            record: { highestAttempt: 1, completedTasks: [], assignments },
           },
         ],
         ['east'],
@@ -68,68 +68,68 @@
     );
   }
 
-  get whole(): number {
+  get fullRecordCount(): number {
     return [...this.replica].filter(
-      ([key, e]) => key.includes('/job/') && !(e.value instanceof FinishedJobSummary),
+      ([key, entry]) => key.includes('/job/') && !(entry.value instanceof FinishedJobSummary),
     ).length;
   }
 }
 
 test('of thousands of finished jobs the replica keeps final statuses, not specifications', () => {
-  const copy = new Copy();
-  const counts = new TaskCounts(copy);
-  const ended = new FinishedJobCompactor(copy, counts);
-  const routine = ended.start();
+  const replicaView = new FakeReplicaView();
+  const counts = new TaskCounts(replicaView);
+  const compactor = new FinishedJobCompactor(replicaView, counts);
+  const subscription = compactor.start();
   for (let n = 0; n < 3000; n++) {
-    copy.job(`req-${n}`, 'open');
-    if (n >= 10) copy.job(`req-${n}`, n % 2 === 0 ? 'done' : 'cancelled');
+    replicaView.putJob(`req-${n}`, 'open');
+    if (n >= 10) replicaView.putJob(`req-${n}`, n % 2 === 0 ? 'done' : 'cancelled');
   }
-  ended.sweep();
-  assert.equal(copy.whole, 10, 'the open ones');
+  compactor.sweep();
+  assert.equal(replicaView.fullRecordCount, 10, 'the open ones');
   assert.deepEqual(
-    jobSummaryOf(copy.replica.get(jobKey('req-2000'))?.value),
+    jobSummaryOf(replicaView.replica.get(jobKey('req-2000'))?.value),
     new FinishedJobSummary('done', 'array', 3),
   );
-  assert.equal(jobSummaryOf(copy.replica.get(jobKey('req-2001'))?.value).status, 'cancelled');
-  routine.unsubscribe();
+  assert.equal(jobSummaryOf(replicaView.replica.get(jobKey('req-2001'))?.value).status, 'cancelled');
+  subscription.unsubscribe();
 });
 
 // Its tasks may still run: a new leader must know what they take of their team's limit and of their machines.
 test('a cancelled job is kept whole while a task of it is assigned, or while the replica is reloading', () => {
-  const copy = new Copy();
-  const ended = new FinishedJobCompactor(copy, new TaskCounts(copy));
-  const routine = ended.start();
-  copy.reloading = true;
-  copy.job('req-1', 'cancelled');
-  ended.sweep();
-  assert.equal(copy.whole, 1, 'its page may not have been read yet');
-  copy.place('req-1', ['m1']);
-  copy.reloading = false;
-  ended.sweep();
-  assert.equal(copy.whole, 1);
-  copy.place('req-1', []);
-  ended.sweep();
-  assert.equal(copy.whole, 0);
-  routine.unsubscribe();
+  const replicaView = new FakeReplicaView();
+  const compactor = new FinishedJobCompactor(replicaView, new TaskCounts(replicaView));
+  const subscription = compactor.start();
+  replicaView.reloading = true;
+  replicaView.putJob('req-1', 'cancelled');
+  compactor.sweep();
+  assert.equal(replicaView.fullRecordCount, 1, 'its page may not have been read yet');
+  replicaView.putAssignments('req-1', ['m1']);
+  replicaView.reloading = false;
+  compactor.sweep();
+  assert.equal(replicaView.fullRecordCount, 1);
+  replicaView.putAssignments('req-1', []);
+  compactor.sweep();
+  assert.equal(replicaView.fullRecordCount, 0);
+  subscription.unsubscribe();
 });
 
 test('a standby decodes each page once, before it takes over; a leader decodes none', () => {
-  const copy = new Copy();
+  const replicaView = new FakeReplicaView();
   const pages = new DecodedPageCache();
   let leading = false;
-  const images = new ImageCacheObserver(copy, createLogger('test'), pages, () => leading);
-  const routine = images.start();
-  copy.job('req-1', 'open');
-  copy.place('req-1', ['m1', 'm2']);
+  const images = new ImageCacheObserver(replicaView, createLogger('test'), pages, () => leading);
+  const subscription = images.start();
+  replicaView.putJob('req-1', 'open');
+  replicaView.putAssignments('req-1', ['m1', 'm2']);
   assert.equal(pages.decodedPageCount, 1);
-  const entry = copy.replica.get(pageKey('all', 0));
+  const entry = replicaView.replica.get(pageKey('all', 0));
   assert.ok(entry);
   assert.equal(pages.entriesOf(entry)[0]?.record.assignments.length, 2);
   assert.equal(pages.decodedPageCount, 1, 'a takeover takes nothing apart that was followed');
   leading = true;
-  copy.place('req-1', ['m1']);
+  replicaView.putAssignments('req-1', ['m1']);
   assert.equal(pages.decodedPageCount, 1);
-  routine.unsubscribe();
+  subscription.unsubscribe();
 });
 
 test('the leader drops jobs some time after they finished', () => {
@@ -155,26 +155,29 @@
 
 test('without pending tasks, scheduling cycles look at no machine and no heartbeat triggers one', () => {
   const scheduler = createSchedulerWithType();
-  const sendHeartbeat = (s: number): void => {
+  const sendHeartbeats = (elapsedS: number): void => {
     for (let n = 0; n < 20; n++) {
       const machine = { machineName: `m${n}`, endpoint: `m${n}:1`, type: 'big', zone: 'east', spot: false };
-      const report = {
+      const heartbeat = {
         ...machine,
         agentEpoch: 1,
-        sequence: s + 1,
+        sequence: elapsedS + 1,
         fencingToken: 1,
         preemptionNotice: null,
         tasks: [],
       };
-      scheduler.handle({ kind: 'heartbeat', heartbeat: report }, timeAt(s));
-      scheduler.answerHeartbeat(report, timeAt(s));
+      scheduler.handle({ kind: 'heartbeat', heartbeat }, timeAt(elapsedS));
+      scheduler.answerHeartbeat(heartbeat, timeAt(elapsedS));
     }
-    scheduler.handle({ kind: 'leadership-confirmed', confirmedAt: timeAt(s).monotonic }, timeAt(s));
-    scheduler.handle({ kind: 'tick' }, timeAt(s));
+    scheduler.handle(
+      { kind: 'leadership-confirmed', confirmedAt: timeAt(elapsedS).monotonic },
+      timeAt(elapsedS),
+    );
+    scheduler.handle({ kind: 'tick' }, timeAt(elapsedS));
   };
-  for (let s = 0; s < 5; s++) sendHeartbeat(s);
+  for (let s = 0; s < 5; s++) sendHeartbeats(s);
   const before = scheduler.state.machines.scannedCount;
-  for (let s = 5; s < 25; s++) sendHeartbeat(s);
+  for (let s = 5; s < 25; s++) sendHeartbeats(s);
   assert.equal(scheduler.state.machines.scannedCount, before);
   const record = { spec: jobSpec('req-1'), submittedAt: timeAt(25).wall, status: 'open' as const };
   scheduler.handle({ kind: 'job-changed', id: 'req-1', record, modRevision: 9 }, timeAt(25));
