--- a/test/fleet-sizing.test.ts
+++ b/test/fleet-sizing.test.ts
@@ -14,11 +14,14 @@
 test('scales out ahead of work that arrives steadily, not for a burst', () => {
   const scheduler = createSchedulerWithType({ previousLeader: 'none' });
   scheduler.handle({ kind: 'instance-inventory', machines: [], requestedAt: timeAt(0).monotonic }, timeAt(0));
-  let n = 0;
-  const submit = (s: number, count: number): void => {
-    for (let k = 0; k < count; k++) {
-      const record = openJob(`req-${++n}`, {}, s);
-      scheduler.handle({ kind: 'job-changed', id: `req-${n}`, record, modRevision: n + 1 }, timeAt(s));
+  let jobCount = 0;
+  const submit = (elapsedS: number, count: number): void => {
+    for (let index = 0; index < count; index++) {
+      const record = openJob(`req-${++jobCount}`, {}, elapsedS);
+      scheduler.handle(
+        { kind: 'job-changed', id: `req-${jobCount}`, record, modRevision: jobCount + 1 },
+        timeAt(elapsedS),
+      );
     }
   };
   // A burst at the beginning is no arrival rate yet.
@@ -42,12 +45,15 @@
   const threshold = seconds(5);
   const config = { ...CLUSTER_CONFIG, objectives: [{ kind: 'wait', class: 'hasty', threshold, share: 0.9 }] };
   const scheduler = createSchedulerWithType({ config, previousLeader: 'none' });
-  const sendHeartbeats = (s: number, sequence: number): void => {
-    scheduler.handle({ kind: 'leadership-confirmed', confirmedAt: timeAt(s).monotonic }, timeAt(s));
+  const sendHeartbeats = (elapsedS: number, sequence: number): void => {
+    scheduler.handle(
+      { kind: 'leadership-confirmed', confirmedAt: timeAt(elapsedS).monotonic },
+      timeAt(elapsedS),
+    );
     for (let n = 0; n < 17; n++) {
       const heartbeat = heartbeatOf(`m${n}`, { sequence });
-      scheduler.handle({ kind: 'heartbeat', heartbeat }, timeAt(s));
-      scheduler.answerHeartbeat(heartbeat, timeAt(s));
+      scheduler.handle({ kind: 'heartbeat', heartbeat }, timeAt(elapsedS));
+      scheduler.answerHeartbeat(heartbeat, timeAt(elapsedS));
     }
   };
   const submit = (id: string, overrides: Partial<JobSpec>): void => {
@@ -59,10 +65,10 @@
   submit('req-2', { cpus: 5, deadline: seconds(2000) });
   const assigned = (): number => scheduler.state.jobs.byId.get('req-2')?.assignedCount ?? 0;
   assert.equal(scheduler.state.jobs.byId.get('req-1')?.assignedCount, 16);
-  for (let s = 1; s <= 90 && assigned() === 0; s++) {
-    sendHeartbeats(s, s + 1);
-    scheduler.handle({ kind: 'tick' }, timeAt(s));
-    assert.equal(assigned(), s > 45 ? 1 : 0, `after ${s} s`);
+  for (let elapsedS = 1; elapsedS <= 90 && assigned() === 0; elapsedS++) {
+    sendHeartbeats(elapsedS, elapsedS + 1);
+    scheduler.handle({ kind: 'tick' }, timeAt(elapsedS));
+    assert.equal(assigned(), elapsedS > 45 ? 1 : 0, `after ${elapsedS} s`);
   }
   assert.equal(assigned(), 1);
 });
@@ -72,8 +78,8 @@
   const scheduler = createScheduler({ previousLeader: 'none' });
   assert.equal(minCycleInterval(scheduler.state), 0n);
   for (let n = 0; n < 10; n++) scheduler.recordCycleDuration(seconds(0.1));
-  const gap = toSeconds(minCycleInterval(scheduler.state));
-  assert.ok(gap > 0.39 && gap <= 0.4, `${gap}`);
+  const intervalS = toSeconds(minCycleInterval(scheduler.state));
+  assert.ok(intervalS > 0.39 && intervalS <= 0.4, `${intervalS}`);
   for (let n = 0; n < 10; n++) scheduler.recordCycleDuration(seconds(30));
   assert.equal(minCycleInterval(scheduler.state), seconds(2));
   for (let n = 0; n < 60; n++) scheduler.recordCycleDuration(0n);
@@ -87,9 +93,9 @@
   for (let n = 0; n < 8; n++) {
     scheduler.handle({ kind: 'heartbeat', heartbeat: heartbeatOf(`m${n}`) }, timeAt(0));
   }
-  const whole = { taskCount: 4, priority: 'low' as const };
+  const lowPriorityArray = { taskCount: 4, priority: 'low' as const };
   const submit = (id: string, overrides: Partial<JobSpec>): void => {
-    const record = openJob(id, { ...whole, ...overrides });
+    const record = openJob(id, { ...lowPriorityArray, ...overrides });
     scheduler.handle({ kind: 'job-changed', id, record, modRevision: 2 }, timeAt(0));
   };
   submit('req-1', { cpus: 8, gpus: 0, memory: 1 });
