--- a/test/transactions.test.ts
+++ b/test/transactions.test.ts
@@ -8,10 +8,10 @@
 // After an outage hundreds of one-task jobs are placed in one pass. Each of them has its key guarded when its place is
 // committed, and a page with more of them than a transaction takes conditions could never be written.
 test('however many small jobs are assigned at once, all assignments are committed', () => {
-  for (const txnOps of [4, 8]) {
-    const began = timeAt(0).monotonic;
+  for (const maxOperations of [4, 8]) {
+    const startedAt = timeAt(0).monotonic;
     const scheduler = createSchedulerWithType(
-      { config: { ...CLUSTER_CONFIG, maxTransactionOperations: txnOps } },
+      { config: { ...CLUSTER_CONFIG, maxTransactionOperations: maxOperations } },
       { ...MACHINE_TYPE, cpus: 1000, gpus: 1000, memory: 10_000 },
     );
     for (const sequence of [1, 2])
@@ -22,21 +22,28 @@
       scheduler.state.scheduling.lastCycleAt = timeAt(100).monotonic;
       scheduler.handle({ kind: 'job-changed', id: `req-${n}`, record, modRevision: n + 2 }, timeAt(0));
     }
-    scheduler.state.scheduling.lastCycleAt = began;
+    scheduler.state.scheduling.lastCycleAt = startedAt;
     scheduler.handle({ kind: 'leadership-confirmed', confirmedAt: timeAt(1).monotonic }, timeAt(1));
     scheduler.handle({ kind: 'tick' }, timeAt(3));
-    let stamp = 1000;
+    let modRevision = 1000;
     for (let n = 0; n < 200; n++) {
       const transaction = scheduler.nextTransaction(timeAt(10));
       if (transaction === null) break;
-      assert.ok(transaction.jobConditions.size + transaction.pages.length + 1 <= 4 * txnOps);
-      scheduler.handle({ kind: 'transaction-committed', transaction, modRevision: ++stamp }, timeAt(10));
+      assert.ok(transaction.jobConditions.size + transaction.pages.length + 1 <= 4 * maxOperations);
+      scheduler.handle(
+        { kind: 'transaction-committed', transaction, modRevision: ++modRevision },
+        timeAt(10),
+      );
     }
-    const placed = [...scheduler.state.jobs.byId.values()].filter((job) => job.assignedCount > 0);
-    assert.equal(placed.length, 240);
-    const open = [...scheduler.state.records.pages.values()].filter(
+    const assignedJobs = [...scheduler.state.jobs.byId.values()].filter((job) => job.assignedCount > 0);
+    assert.equal(assignedJobs.length, 240);
+    const uncommittedPages = [...scheduler.state.records.pages.values()].filter(
       (page) => page.version > page.committedVersion,
     );
-    assert.equal(open.length, 0, `${open.length} pages are never committed with ${txnOps} changes`);
+    assert.equal(
+      uncommittedPages.length,
+      0,
+      `${uncommittedPages.length} pages are never committed with ${maxOperations} changes`,
+    );
   }
 });
