--- a/test/job-completion.test.ts
+++ b/test/job-completion.test.ts
@@ -16,31 +16,31 @@
   const now = { monotonic: seconds(1), wall: new Date(0) };
   const machine = getOrAddMachine(state, 'm', 0n);
   machine.agentEpoch = 1;
-  const add = (id: string, tasks: number): void => {
+  const submit = (id: string, taskCount: number): void => {
     const record = {
-      spec: jobSpec(id, { taskCount: tasks }),
+      spec: jobSpec(id, { taskCount }),
       submittedAt: now.wall,
       status: 'open' as const,
     };
     scheduler.handle({ kind: 'job-changed', id, record, modRevision: 5 }, now);
   };
-  add('req-1', 1);
-  const first = state.jobs.byId.get('req-1');
-  assert.ok(first !== undefined);
-  const assignment = assignTask(state, first, 0, 1, machine, now.monotonic);
+  submit('req-1', 1);
+  const singleTaskJob = state.jobs.byId.get('req-1');
+  assert.ok(singleTaskJob !== undefined);
+  const assignment = assignTask(state, singleTaskJob, 0, 1, machine, now.monotonic);
   onTransactionCommitted(state, scheduler.nextTransaction(now) ?? assert.fail('nothing to commit'), 10, now);
   for (let n = 0; n < 3 * CLUSTER_CONFIG.maxTransactionOperations; n++) {
-    add(`req-2${n}`, 120);
+    submit(`req-2${n}`, 120);
     const job = state.jobs.byId.get(`req-2${n}`);
     if (job !== undefined) for (let t = 0; t < 120; t++) assignTask(state, job, t, 1, machine, now.monotonic);
   }
   endAssignment(state, assignment, true, 'done', now.monotonic);
-  const told: string[] = [];
-  for (let n = 0; n < 4 && told.length === 0; n++) {
+  const completedJobs: string[] = [];
+  for (let n = 0; n < 4 && completedJobs.length === 0; n++) {
     const transaction = scheduler.nextTransaction(now) ?? assert.fail('nothing to commit');
     assert.ok(operationCount(transaction) <= CLUSTER_CONFIG.maxTransactionOperations);
-    told.push(...transaction.completedJobs);
+    completedJobs.push(...transaction.completedJobs);
     onTransactionCommitted(state, transaction, 20 + n, now);
   }
-  assert.deepEqual(told, ['req-1']);
+  assert.deepEqual(completedJobs, ['req-1']);
 });
