--- a/test/dependencies.test.ts
+++ b/test/dependencies.test.ts
@@ -11,23 +11,23 @@
 }
 
 test('readiness and cancellation do not depend on the order in which jobs and final statuses become known', () => {
-  const take = [
+  const operations = [
     (graph: DependencyGraph) => graph.add('b', ['a']),
     (graph: DependencyGraph) => graph.add('c', ['a', 'b', 'x']),
     (graph: DependencyGraph) => graph.markFinished('a', 'done'),
     (graph: DependencyGraph) => graph.markFinished('x', 'cancelled'),
     (graph: DependencyGraph) => graph.add('d', ['c']),
   ];
-  const orders = (list: readonly number[]): number[][] =>
-    list.length === 0
+  const permutations = (items: readonly number[]): number[][] =>
+    items.length === 0
       ? [[]]
-      : list.flatMap((n) => orders(list.filter((m) => m !== n)).map((rest) => [n, ...rest]));
-  for (const order of orders([0, 1, 2, 3, 4])) {
+      : items.flatMap((n) => permutations(items.filter((m) => m !== n)).map((rest) => [n, ...rest]));
+  for (const order of permutations([0, 1, 2, 3, 4])) {
     const graph = new DependencyGraph();
     const ready: string[] = [];
     const cancelled: string[] = [];
     for (const n of order) {
-      const change = take[n]?.(graph);
+      const change = operations[n]?.(graph);
       ready.push(...(change?.ready ?? []));
       cancelled.push(...(change?.cancelled ?? []));
     }
@@ -52,18 +52,21 @@
 // Constant work for each dependency, not a walk over all jobs: thousands of them fit the smallest machines.
 test('deep chains and wide fan-outs cost work in proportion to their dependencies alone', () => {
   const size = 5000;
-  const done = chain(size);
+  const completedChain = chain(size);
   for (let n = 0; n < size - 1; n++)
-    assert.deepEqual(done.markFinished(`j${n}`, 'done').ready, [`j${n + 1}`]);
-  assert.ok(done.visitedDependencies <= 4 * size, `${done.visitedDependencies} steps along a chain`);
-  const cancelled = chain(size);
-  assert.equal(cancelled.markFinished('j0', 'cancelled').cancelled.length, size - 1);
+    assert.deepEqual(completedChain.markFinished(`j${n}`, 'done').ready, [`j${n + 1}`]);
   assert.ok(
-    cancelled.visitedDependencies <= 4 * size,
-    `${cancelled.visitedDependencies} steps to cancel a chain`,
+    completedChain.visitedDependencies <= 4 * size,
+    `${completedChain.visitedDependencies} steps along a chain`,
   );
-  const fan = new DependencyGraph();
-  for (let n = 0; n < size; n++) fan.add(`f${n}`, ['root']);
-  assert.equal(fan.markFinished('root', 'done').ready.length, size);
-  assert.ok(fan.visitedDependencies <= 4 * size, `${fan.visitedDependencies} steps for a fan`);
+  const cancelledChain = chain(size);
+  assert.equal(cancelledChain.markFinished('j0', 'cancelled').cancelled.length, size - 1);
+  assert.ok(
+    cancelledChain.visitedDependencies <= 4 * size,
+    `${cancelledChain.visitedDependencies} steps to cancel a chain`,
+  );
+  const fanOut = new DependencyGraph();
+  for (let n = 0; n < size; n++) fanOut.add(`f${n}`, ['root']);
+  assert.equal(fanOut.markFinished('root', 'done').ready.length, size);
+  assert.ok(fanOut.visitedDependencies <= 4 * size, `${fanOut.visitedDependencies} steps for a fan`);
 });
