--- a/test/trace-language.ts
+++ b/test/trace-language.ts
@@ -1,4 +1,4 @@
-/** @file The words of the trace language: arguments, task references, reported tasks, and how commands are printed. */
+/** @file Parses the lines, arguments, task references and reported tasks of the trace language, and formats commands. */
 import assert from 'node:assert/strict';
 import { seconds } from '../src/core/model/time.js';
 import type { ReportedTask } from '../src/core/model/heartbeat.js';
@@ -8,17 +8,17 @@
 /** The `name=value` arguments of a line. */
 export type TraceArguments = Readonly<Record<string, string>>;
 
-/** A line without its comment, taken apart. */
+/** A parsed line, without its comment. */
 export interface TraceLine {
   readonly verb: string;
-  /** All words after the verb, as they stand. */
+  /** All words after the verb, unparsed. */
   readonly words: readonly string[];
   /** The words without `=`. */
   readonly operands: readonly string[];
   readonly args: TraceArguments;
 }
 
-/** Takes a line apart; null: it is empty or a comment. */
+/** Parses a line. Returns null if it is empty or only a comment. */
 export function parseTraceLine(raw: string): TraceLine | null {
   const line = raw.replace(/(^|\s)#(\s.*)?$/, '').trim();
   if (line === '') return null;
@@ -33,14 +33,14 @@
   return { verb, words, operands, args };
 }
 
-/** The value of a numeric argument. */
+/** Parses a numeric argument. Returns `fallback` if it is absent. */
 export const parseNumber = (value: string | undefined, fallback: number): number =>
   value === undefined ? fallback : Number(value);
 
-/** The value of a yes/no argument. */
+/** True if a yes/no argument is `yes`; an absent one counts as no. */
 export const parseFlag = (value: string | undefined): boolean => value === 'yes';
 
-/** The values of a comma-separated argument. */
+/** Parses a comma-separated argument. Returns an empty list if it is absent. */
 export const parseList = (value: string | undefined): string[] => (value ?? '').split(',').filter(Boolean);
 
 /** One attempt at a task, written `job/index#attempt`. */
@@ -50,14 +50,14 @@
   readonly attempt: number;
 }
 
-/** Reads `j/0#1`. */
+/** Parses `j/0#1`. Throws an assertion error if the text is not a task reference. */
 export function parseTaskReference(text: string): TaskReference {
   const match = /^(.+)\/(\d+)#(\d+)$/.exec(text);
   assert.ok(match !== null, `not a task: ${text}`);
   return { jobId: match[1] ?? '', taskIndex: Number(match[2]), attempt: Number(match[3]) };
 }
 
-/** Reads a task of a heartbeat: `j/0#1:running` or `j/0#1:exited:done`. */
+/** Parses a task of a heartbeat: `j/0#1:running` or `j/0#1:exited:done`. */
 export function parseReportedTask(text: string): ReportedTask {
   const [reference = '', state = 'running', exitReason] = text.split(':');
   return {
@@ -79,7 +79,7 @@
   age: seconds(60),
 });
 
-/** A command as `>` lines write it. */
+/** Formats a command in the notation of `>` lines. */
 export function formatCommand(command: WorkerCommand): string {
   const grace = command.op === 'stop' ? ` grace=${command.gracePeriodS ?? 0}` : '';
   return `${command.op} ${command.jobId}/${command.taskIndex}#${command.attempt}${grace}`;
--- a/test/trace-runner.ts
+++ b/test/trace-runner.ts
@@ -31,11 +31,11 @@
 
 const FENCING_TOKEN = 100;
 
-/** One leader, with the time and the revisions that the events of a trace carry. */
+/** Feeds a trace to the scheduler of one leader, and supplies the time and the mod revisions of its events. */
 export class TraceRunner {
   readonly scheduler: ClusterScheduler;
   private secondsIntoTerm = 0;
-  /** Effects that no line has expected yet. */
+  /** Effects, in the notation of `>` lines, that no line has expected yet. */
   private readonly effects: string[] = [];
   private modRevision = FENCING_TOKEN + 1;
   /** The highest heartbeat sequence number of each machine. */
@@ -45,7 +45,7 @@
     this.scheduler = createSchedulerWithType({ fencingToken: FENCING_TOKEN });
   }
 
-  /** Runs all lines of a trace; an error names the file and the line. */
+  /** Runs all lines of a trace. Throws an error that names the file and the line when a line fails. */
   run(trace: string, name: string): void {
     for (const [index, raw] of trace.split('\n').entries()) {
       const line = parseTraceLine(raw);
@@ -115,7 +115,7 @@
     }
   }
 
-  /** The lines about a machine or the cloud. */
+  /** Runs a line whose event comes from a machine or the cloud. */
   private runMachineLine({ verb, operands, args }: TraceLine): void {
     const [machine = '', ...rest] = operands;
     switch (verb) {
@@ -171,7 +171,7 @@
     this.handle({ kind: 'job-changed', id: record.spec.id, record, modRevision: ++this.modRevision });
   }
 
-  /** `assigned j/0#1 m1 epoch=1 zone=east completed=1,2`: what a previous leader recorded. */
+  /** Loads a page that a previous leader recorded: `assigned j/0#1 m1 epoch=1 zone=east completed=1,2`. */
   private loadAssignment(reference: string, machineName: string, args: TraceArguments): void {
     const { jobId, taskIndex, attempt } = parseTaskReference(reference);
     const assignment = {
@@ -225,7 +225,7 @@
       this.effects.push(`respond ${machine} ${formatCommand(command)}`);
   }
 
-  /** A direct call without commands was answered: the response carries the worker's heartbeat. */
+  /** Handles the response to a direct call without commands, which carries the worker's heartbeat. */
   private answerFence(machineName: string, tasks: readonly string[], args: TraceArguments): void {
     const heartbeat = this.makeHeartbeat(machineName, tasks, args);
     const { agentEpoch, fencingToken } = heartbeat;
@@ -291,7 +291,7 @@
     }
   }
 
-  /** Where a job's tasks may be, as `index#attempt@machine`. */
+  /** All assignments of a job, as `index#attempt@machine`. */
   private assignmentsOf(id: string): string[] {
     const found: string[] = [];
     for (const chunk of this.scheduler.state.jobs.byId.get(id)?.chunks.values() ?? [])
