--- a/measure/cost.ts
+++ b/measure/cost.ts
@@ -23,22 +23,22 @@
   out['place one array'] = micros(fill, () => {
     fleet.submit(`req-${++id}`, array);
     fleet.advance(0.3);
-    fleet.event({ kind: 'tick' });
+    fleet.handle({ kind: 'tick' });
   });
   fleet.commit();
   out['changes, a placed task'] = fleet.operations / (fill * 40);
   fleet.sendHeartbeats();
   fleet.sendHeartbeats();
   out['report'] = micros(2000, (k) =>
-    fleet.event({ kind: 'heartbeat', heartbeat: fleet.nextHeartbeat(k % machines) }),
+    fleet.handle({ kind: 'heartbeat', heartbeat: fleet.nextHeartbeat(k % machines) }),
   );
   out['report and answer'] = micros(2000, (k) => fleet.sendHeartbeat(k % machines));
   for (let k = 0; k < 20; k++) fleet.submit(`req-${++id}`, array);
   fleet.advance(0.3);
-  fleet.event({ kind: 'tick' });
+  fleet.handle({ kind: 'tick' });
   out['pass, 20 arrays blocked'] = micros(10, () => {
     fleet.advance(0.3);
-    fleet.event({ kind: 'tick' });
+    fleet.handle({ kind: 'tick' });
   });
   for (let k = 0; k < 20; k++)
     fleet.submit(`req-${++id}`, {
@@ -50,7 +50,7 @@
     });
   out['pass, and 20 gangs'] = micros(10, () => {
     fleet.advance(0.3);
-    fleet.event({ kind: 'tick' });
+    fleet.handle({ kind: 'tick' });
   });
   fleet.operations = 0;
   fleet.commits = 0;
@@ -60,14 +60,14 @@
     fleet.sendHeartbeat((k * 7) % machines);
     fleet.advance(0.03);
     if (k % 8 === 7) {
-      fleet.event({ kind: 'tick' });
+      fleet.handle({ kind: 'tick' });
       fleet.commit();
     }
   });
   out['changes, an ended task'] = fleet.operations / ended;
   out['tick'] = micros(100, () => {
     fleet.advance(0.1);
-    fleet.event({ kind: 'tick' });
+    fleet.handle({ kind: 'tick' });
   });
   out['takeover'] = micros(1, () => fleet.startTerm());
   return out;
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -56,7 +56,7 @@
 function runFor(fleet: SimulatedFleet, seconds: number): void {
   for (let n = 0; n < seconds * 10; n++) {
     fleet.advance(0.1);
-    fleet.event({ kind: 'tick' });
+    fleet.handle({ kind: 'tick' });
     fleet.commit();
   }
 }
--- a/test/standins/simulated-fleet.ts
+++ b/test/standins/simulated-fleet.ts
@@ -94,16 +94,16 @@
         previousLeadersDeadline: previousLeadersDeadlineFrom(CLUSTER_CONFIG, began),
       },
     );
-    this.event({ kind: 'machine-types', types: [LARGE_MACHINE] });
+    this.handle({ kind: 'machine-types', types: [LARGE_MACHINE] });
     for (const [id, { value, modRevision: stamp }] of this.jobs)
-      this.event({ kind: 'job-changed', id, record: this.codec.readJob(value), modRevision: stamp });
+      this.handle({ kind: 'job-changed', id, record: this.codec.readJob(value), modRevision: stamp });
     for (const [id, { value, modRevision: stamp }] of this.pages)
-      this.event({ kind: 'page-loaded', id, entries: this.codec.readPage(value), modRevision: stamp });
-    this.event({ kind: 'load-completed' });
+      this.handle({ kind: 'page-loaded', id, entries: this.codec.readPage(value), modRevision: stamp });
+    this.handle({ kind: 'load-completed' });
     return this.scheduler;
   }
 
-  event(event: Event): readonly Effect[] {
+  handle(event: Event): readonly Effect[] {
     return this.scheduler.handle(event, this.now());
   }
 
@@ -112,7 +112,7 @@
     const before = Math.floor(this.secondsElapsed / HEARTBEAT_INTERVAL_S);
     this.secondsElapsed += s;
     if (Math.floor(this.secondsElapsed / HEARTBEAT_INTERVAL_S) > before) this.sendHeartbeats();
-    this.event({ kind: 'leadership-confirmed', confirmedAt: this.now().monotonic });
+    this.handle({ kind: 'leadership-confirmed', confirmedAt: this.now().monotonic });
   }
 
   machineName(n: number): string {
@@ -140,7 +140,7 @@
   sendHeartbeat(n: number): void {
     const name = this.machineName(n);
     const heartbeat = this.nextHeartbeat(n);
-    this.event({ kind: 'heartbeat', heartbeat });
+    this.handle({ kind: 'heartbeat', heartbeat });
     const held = (this.tasks.get(name) ?? []).slice();
     for (const command of this.scheduler.answerHeartbeat(heartbeat, this.now())) {
       const at = held.findIndex(
@@ -179,7 +179,7 @@
   storeJob(id: string, value: unknown): void {
     const stamp = ++this.revision;
     this.jobs.set(id, { value, modRevision: stamp });
-    this.event({ kind: 'job-changed', id, record: this.codec.readJob(value), modRevision: stamp });
+    this.handle({ kind: 'job-changed', id, record: this.codec.readJob(value), modRevision: stamp });
   }
 
   /** Carries out transactions until nothing is due. */
@@ -197,7 +197,7 @@
         });
       for (const id of transaction.completedJobs) this.finishJob(id, 'done', stamp);
       for (const id of transaction.cancelledJobs) this.finishJob(id, 'cancelled', stamp);
-      this.event({ kind: 'transaction-committed', transaction, modRevision: stamp });
+      this.handle({ kind: 'transaction-committed', transaction, modRevision: stamp });
     }
   }
 
--- a/test/versions.test.ts
+++ b/test/versions.test.ts
@@ -51,7 +51,7 @@
   for (let n = 0; n < seconds * 4; n++) {
     fleet.advance(0.25);
     fleet.sendHeartbeats();
-    fleet.event({ kind: 'tick' });
+    fleet.handle({ kind: 'tick' });
     fleet.commit();
     checkPlaces(fleet);
   }
@@ -119,7 +119,7 @@
   // Before anything of the cancelled job is stopped, and with reports from before it still under way.
   takeOver(fleet, PRODUCTION_CODEC);
   go(fleet, 1);
-  for (const heartbeat of late) fleet.event({ kind: 'heartbeat', heartbeat });
+  for (const heartbeat of late) fleet.handle({ kind: 'heartbeat', heartbeat });
   checkRecords(fleet);
   go(fleet, 3);
   assert.deepEqual(tasksOf(fleet, 'req-2'), [], 'the cancellation that the new version wrote is carried out');
@@ -128,7 +128,7 @@
 
   takeOver(fleet, THIS_CODEC);
   go(fleet, 1);
-  for (const heartbeat of late) fleet.event({ kind: 'heartbeat', heartbeat });
+  for (const heartbeat of late) fleet.handle({ kind: 'heartbeat', heartbeat });
   go(fleet, 3);
   checkRecords(fleet);
   const standing = (id: string): string => decodeJob(fleet.jobs.get(id)?.value).status;
