--- a/test/announced-limits.test.ts
+++ b/test/announced-limits.test.ts
@@ -52,16 +52,18 @@
   for (const id of ids)
     scheduler.handle({ kind: 'page-loaded', id, entries: largePage(id), modRevision: 50 }, timeAt(0));
   scheduler.handle({ kind: 'load-completed' }, timeAt(0));
-  let stamp = 100;
+  let modRevision = 100;
   for (let n = 0; n < 20; n++) {
     const transaction = scheduler.nextTransaction(timeAt(5));
     if (transaction === null) break;
     assert.ok(transaction.pages.length <= 4);
     for (const page of transaction.pages)
       committed.set(page.id, encodePage(page.entries, CLUSTER_CONFIG.zones));
-    const places = [...committed.values()].flatMap(decodePage).flatMap((entry) => entry.record.assignments);
-    assert.equal(places.length, ids.length * JOBS * 9);
-    scheduler.handle({ kind: 'transaction-committed', transaction, modRevision: ++stamp }, timeAt(5));
+    const assignments = [...committed.values()]
+      .flatMap(decodePage)
+      .flatMap((entry) => entry.record.assignments);
+    assert.equal(assignments.length, ids.length * JOBS * 9);
+    scheduler.handle({ kind: 'transaction-committed', transaction, modRevision: ++modRevision }, timeAt(5));
   }
   assert.ok(committed.size > ids.length);
   for (const text of committed.values()) assert.ok(text.length <= 2048, `${text.length} bytes`);
@@ -72,15 +74,20 @@
   const folder = mkdtempSync(join(tmpdir(), 'limits-'));
   const file = join(folder, 'settings.json');
   const read = (next: unknown): { readonly txnOps: number; readonly valueBytes: number } => {
-    const p = platformSettings('one', reserveAddress(), reserveAddress(), { address: reserveAddress() });
-    writeFileSync(file, JSON.stringify({ ...p, facts: { ...p.facts, state: { ...p.facts.state, next } } }));
+    const settings = platformSettings('one', reserveAddress(), reserveAddress(), {
+      address: reserveAddress(),
+    });
+    writeFileSync(
+      file,
+      JSON.stringify({ ...settings, facts: { ...settings.facts, state: { ...settings.facts.state, next } } }),
+    );
     const { maxTransactionOperations: txnOps, maxValueBytes: valueBytes } = clusterConfigFrom(
       readPlatformSettings(file),
     );
     return { txnOps, valueBytes };
   };
   assert.deepEqual(read({ value_kb: 2, txn_ops: 3, write_rps: 10 }), { txnOps: 3, valueBytes: 2048 });
-  const now = { txnOps: 4, valueBytes: 4096 };
+  const currentLimits = { txnOps: 4, valueBytes: 4096 };
   for (const next of [
     undefined,
     null,
@@ -89,7 +96,7 @@
     { value_kb: -1, txn_ops: 'many' },
     { value_kb: 64, txn_ops: 100 },
   ])
-    assert.deepEqual(read(next), now, JSON.stringify(next));
+    assert.deepEqual(read(next), currentLimits, JSON.stringify(next));
   assert.deepEqual(read({ value_kb: 'x', txn_ops: 2 }), { txnOps: 2, valueBytes: 4096 }, 'each by itself');
   assert.throws(() => read({ value_kb: 1 }), SettingsError);
   rmSync(folder, { recursive: true });
@@ -97,10 +104,10 @@
 
 // Nothing tells when the lower limit comes into force but its first refusal.
 test('after the state store refuses a transaction as too large, the leader keeps to the announced limit', async () => {
-  const facts = { ...CLUSTER_CONFIG, maxTransactionOperations: 8 };
-  const secondCommitAfter = async (nextWriteRps: number): Promise<number> => {
-    const sent: number[] = [];
-    const answers = [
+  const config = { ...CLUSTER_CONFIG, maxTransactionOperations: 8 };
+  const commitIntervalS = async (nextWriteRps: number): Promise<number> => {
+    const sentAt: number[] = [];
+    const results = [
       { kind: 'refused', reason: 'status 429' },
       { kind: 'committed', revision: 1 },
       { kind: 'committed', revision: 2 },
@@ -119,16 +126,16 @@
       completedJobs: [],
       cancelledJobs: [],
     };
-    const store = {
+    const stateStore = {
       commit: () => {
-        sent.push(performance.now());
-        return Promise.resolve(answers[sent.length - 1] ?? { kind: 'committed', revision: 3 });
+        sentAt.push(performance.now());
+        return Promise.resolve(results[sentAt.length - 1] ?? { kind: 'committed', revision: 3 });
       },
     };
     const context = {
       dependencies: {
-        stateStore: store,
-        config: facts,
+        stateStore,
+        config,
         partition: 'all',
         maxWritesPerSecond: 18,
         announcedMaxWritesPerSecond: nextWriteRps,
@@ -138,12 +145,12 @@
       dispatch: () => undefined,
     } as unknown as TermContext;
     const loop = new CommitLoop(context, new LeaderKey(context)).start();
-    while (sent.length < 3) await new Promise((done) => setTimeout(done, 20));
+    while (sentAt.length < 3) await new Promise((done) => setTimeout(done, 20));
     loop.unsubscribe();
-    return ((sent[2] ?? 0) - (sent[1] ?? 0)) / 1000;
+    return ((sentAt[2] ?? 0) - (sentAt[1] ?? 0)) / 1000;
   };
-  const [kept, lowered] = await Promise.all([secondCommitAfter(Infinity), secondCommitAfter(6)]);
+  const [unchanged, lowered] = await Promise.all([commitIntervalS(Infinity), commitIntervalS(6)]);
   // Eight changes at 0.8 of 18 a second, and of 6 a second.
-  assert.ok(kept < 0.8, `${kept} s`);
+  assert.ok(unchanged < 0.8, `${unchanged} s`);
   assert.ok(lowered > 1.1, `${lowered} s`);
 });
