--- a/test/cancelled-dependents.test.ts
+++ b/test/cancelled-dependents.test.ts
@@ -14,37 +14,37 @@
 const DEPENDENTS = 3000;
 
 /** The job records of a state store, and the leaders that write them. */
-class Records {
+class JobRecordStore {
   readonly jobs = new Map<string, { record: JobRecord; modRevision: number }>();
-  private stamp = 100;
+  private revision = 100;
   changes = 0;
 
-  put(id: string, standing: JobRecord['status'], dependencies: readonly string[] = []): void {
-    const record = { spec: jobSpec(id, { dependencies }), submittedAt: timeAt(0).wall, status: standing };
-    this.jobs.set(id, { record, modRevision: ++this.stamp });
+  put(id: string, status: JobRecord['status'], dependencies: readonly string[] = []): void {
+    const record = { spec: jobSpec(id, { dependencies }), submittedAt: timeAt(0).wall, status };
+    this.jobs.set(id, { record, modRevision: ++this.revision });
   }
 
   /** A new leader that has read everything. */
-  takeOver(s: number): ClusterScheduler {
-    const scheduler = createScheduler({ fencingToken: ++this.stamp, startedAt: timeAt(s).monotonic });
-    scheduler.handle({ kind: 'machine-types', types: [MACHINE_TYPE] }, timeAt(s));
-    for (const [id, job] of this.jobs) scheduler.handle({ kind: 'job-changed', id, ...job }, timeAt(s));
-    scheduler.handle({ kind: 'load-completed' }, timeAt(s));
+  startTerm(timeS: number): ClusterScheduler {
+    const scheduler = createScheduler({ fencingToken: ++this.revision, startedAt: timeAt(timeS).monotonic });
+    scheduler.handle({ kind: 'machine-types', types: [MACHINE_TYPE] }, timeAt(timeS));
+    for (const [id, job] of this.jobs) scheduler.handle({ kind: 'job-changed', id, ...job }, timeAt(timeS));
+    scheduler.handle({ kind: 'load-completed' }, timeAt(timeS));
     return scheduler;
   }
 
   /** Carries a transaction out; false if one of its guards fails. */
-  carryOut(transaction: Transaction): number | null {
-    for (const [id, stamp] of transaction.jobConditions)
-      if (this.jobs.get(id)?.modRevision !== stamp) return null;
-    const stamp = ++this.stamp;
+  commit(transaction: Transaction): number | null {
+    for (const [id, expectedRevision] of transaction.jobConditions)
+      if (this.jobs.get(id)?.modRevision !== expectedRevision) return null;
+    const modRevision = ++this.revision;
     this.changes += operationCount(transaction);
     for (const id of transaction.cancelledJobs) {
       const job = this.jobs.get(id);
       assert.ok(job !== undefined);
-      this.jobs.set(id, { record: { ...job.record, status: 'cancelled' }, modRevision: stamp });
+      this.jobs.set(id, { record: { ...job.record, status: 'cancelled' }, modRevision });
     }
-    return stamp;
+    return modRevision;
   }
 
   get open(): number {
@@ -52,45 +52,48 @@
   }
 }
 
-function commitNext(records: Records, scheduler: ClusterScheduler, s: number): boolean {
-  const transaction = scheduler.nextTransaction(timeAt(s));
+function commitNext(records: JobRecordStore, scheduler: ClusterScheduler, timeS: number): boolean {
+  const transaction = scheduler.nextTransaction(timeAt(timeS));
   if (transaction === null) return false;
   assert.ok(operationCount(transaction) <= CLUSTER_CONFIG.maxTransactionOperations);
-  const stamp = records.carryOut(transaction);
-  if (stamp !== null)
-    scheduler.handle({ kind: 'transaction-committed', transaction, modRevision: stamp }, timeAt(s));
+  const modRevision = records.commit(transaction);
+  if (modRevision !== null)
+    scheduler.handle({ kind: 'transaction-committed', transaction, modRevision }, timeAt(timeS));
   return true;
 }
 
 // Their cancellation holds by the record of the job that they need. Kept open for good, each would stay whole in every
 // controller's memory and be read whole by each new leader.
 test('the records of thousands of jobs cancelled through a dependency are closed, across a failover', () => {
-  const records = new Records();
+  const records = new JobRecordStore();
   records.put('req-0', 'cancelled');
   for (let n = 1; n <= DEPENDENTS; n++) records.put(`req-${n}`, 'open', [`req-${n === 1 ? 0 : n >> 1}`]);
-  const first = records.takeOver(0);
+  const first = records.startTerm(0);
   for (let n = 0; n < 100; n++) assert.ok(commitNext(records, first, 1));
   assert.equal(records.open, DEPENDENTS - 100 * CLUSTER_CONFIG.maxTransactionOperations);
-  const second = records.takeOver(10);
-  let s = 10;
-  while (commitNext(records, second, s)) s += 0.5;
+  const second = records.startTerm(10);
+  let timeS = 10;
+  while (commitNext(records, second, timeS)) timeS += 0.5;
   assert.equal(records.open, 0);
   assert.equal(records.changes, DEPENDENTS, 'each is written once');
-  second.handle({ kind: 'leadership-confirmed', confirmedAt: timeAt(s + 130).monotonic }, timeAt(s + 130));
-  second.handle({ kind: 'tick' }, timeAt(s + 130));
+  second.handle(
+    { kind: 'leadership-confirmed', confirmedAt: timeAt(timeS + 130).monotonic },
+    timeAt(timeS + 130),
+  );
+  second.handle({ kind: 'tick' }, timeAt(timeS + 130));
   assert.equal(second.state.jobs.byId.size, 0, 'nothing of them is held');
   assert.equal(
-    records.takeOver(s + 140).nextTransaction(timeAt(s + 141)),
+    records.startTerm(timeS + 140).nextTransaction(timeAt(timeS + 141)),
     null,
     'a third leader finds nothing to do',
   );
 });
 
 test('a job cancelled through a dependency is kept until its record says so, however long that takes', () => {
-  const records = new Records();
+  const records = new JobRecordStore();
   records.put('req-0', 'cancelled');
   records.put('req-1', 'open', ['req-0']);
-  const scheduler = records.takeOver(0);
+  const scheduler = records.startTerm(0);
   for (const s of [1, 130, 260]) {
     scheduler.handle({ kind: 'leadership-confirmed', confirmedAt: timeAt(s).monotonic }, timeAt(s));
     scheduler.handle({ kind: 'tick' }, timeAt(s));
@@ -102,14 +105,14 @@
 
 // The transaction that closes it is refused by its guard; the user's own has said the same.
 test('a concurrent cancellation by a user is not overwritten, and nothing is written twice', () => {
-  const records = new Records();
+  const records = new JobRecordStore();
   records.put('req-0', 'cancelled');
   records.put('req-1', 'open', ['req-0']);
-  const scheduler = records.takeOver(0);
+  const scheduler = records.startTerm(0);
   const transaction = scheduler.nextTransaction(timeAt(1));
   assert.deepEqual(transaction?.cancelledJobs, ['req-1']);
   records.put('req-1', 'cancelled', ['req-0']);
-  assert.equal(records.carryOut(transaction), null);
+  assert.equal(records.commit(transaction), null);
   const job = records.jobs.get('req-1');
   assert.ok(job !== undefined);
   scheduler.handle({ kind: 'job-changed', id: 'req-1', ...job }, timeAt(1));
@@ -118,21 +121,21 @@
 
 // Places of other jobs come first, but not so that these wait for as long as there is work.
 test('closing such jobs waits for assignments to be recorded, five seconds at most', () => {
-  const records = new Records();
+  const records = new JobRecordStore();
   records.put('req-0', 'cancelled');
   records.put('req-1', 'open', ['req-0']);
   records.put('req-2', 'open');
-  const scheduler = records.takeOver(0);
-  const machine = { machineName: 'm1', endpoint: 'm1:1', type: 'big', zone: 'east', spot: false };
-  const report = {
-    ...machine,
+  const scheduler = records.startTerm(0);
+  const machineFields = { machineName: 'm1', endpoint: 'm1:1', type: 'big', zone: 'east', spot: false };
+  const heartbeat = {
+    ...machineFields,
     agentEpoch: 1,
     sequence: 1,
     fencingToken: scheduler.state.term.fencingToken,
     preemptionNotice: null,
     tasks: [],
   };
-  scheduler.handle({ kind: 'heartbeat', heartbeat: report }, timeAt(1));
+  scheduler.handle({ kind: 'heartbeat', heartbeat }, timeAt(1));
   scheduler.handle({ kind: 'leadership-confirmed', confirmedAt: timeAt(1).monotonic }, timeAt(1));
   scheduler.handle({ kind: 'tick' }, timeAt(1));
   assert.equal(scheduler.nextTransaction(timeAt(1))?.pages.length, 1, 'the place of req-2');
@@ -141,14 +144,14 @@
 
 // A place of a job that waits should never come to be; if one did, by a fault elsewhere, it must still not be started.
 test('a start is not sent while a dependency of its job is unfinished, whatever is recorded', () => {
-  const records = new Records();
+  const records = new JobRecordStore();
   records.put('req-0', 'open');
   records.put('req-1', 'open', ['req-0']);
-  const scheduler = records.takeOver(0);
+  const scheduler = records.startTerm(0);
   const { state } = scheduler;
-  const about = { machineName: 'm1', endpoint: 'm1:1', type: 'big', zone: 'east', spot: false };
-  const report = {
-    ...about,
+  const machineFields = { machineName: 'm1', endpoint: 'm1:1', type: 'big', zone: 'east', spot: false };
+  const heartbeat = {
+    ...machineFields,
     agentEpoch: 1,
     sequence: 1,
     fencingToken: state.term.fencingToken,
@@ -156,9 +159,9 @@
     tasks: [],
   };
   scheduler.handle({ kind: 'leadership-confirmed', confirmedAt: timeAt(1).monotonic }, timeAt(1));
-  scheduler.handle({ kind: 'heartbeat', heartbeat: report }, timeAt(1));
+  scheduler.handle({ kind: 'heartbeat', heartbeat }, timeAt(1));
   const machine = state.machines.byName.get('m1');
-  const starts = (id: string): boolean => {
+  const isTaskStartable = (id: string): boolean => {
     const job = state.jobs.byId.get(id);
     assert.ok(job !== undefined && machine !== undefined);
     const assignment =
@@ -166,6 +169,6 @@
     getOrCreateChunk(job, 0).committedVersion = state.records.version;
     return isStartable(state, machine, assignment, timeAt(1).monotonic);
   };
-  assert.equal(starts('req-0'), true);
-  assert.equal(starts('req-1'), false);
+  assert.equal(isTaskStartable('req-0'), true);
+  assert.equal(isTaskStartable('req-1'), false);
 });
