--- a/test/features.test.ts
+++ b/test/features.test.ts
@@ -11,22 +11,25 @@
   assert.deepEqual([...readFeatures(undefined)], []);
   assert.deepEqual([...parseFeatures('; none\n(features)', 'f')], []);
   assert.deepEqual([...parseFeatures('(features zone-recovery)', 'f')], ['zone-recovery']);
-  const fails = (text: string, message: RegExp): void =>
+  const expectError = (text: string, message: RegExp): void =>
     assert.throws(
       () => parseFeatures(text, 'f'),
       (e) => e instanceof SettingsError && message.test(e.message),
     );
-  fails('(features\n  zone-recovery\n  warp)', /^f:3: unknown feature "warp" \(known: zone-recovery\)$/);
-  fails('(fleet (idle-s 5))', /^f:1: unknown group "fleet"/);
-  fails('(features (zone-recovery))', /^f:1: expected a name/);
-  fails('\nfeatures', /^f:2: expected a list$/);
-  fails('(features', /^f: /);
+  expectError(
+    '(features\n  zone-recovery\n  warp)',
+    /^f:3: unknown feature "warp" \(known: zone-recovery\)$/,
+  );
+  expectError('(fleet (idle-s 5))', /^f:1: unknown group "fleet"/);
+  expectError('(features (zone-recovery))', /^f:1: expected a name/);
+  expectError('\nfeatures', /^f:2: expected a list$/);
+  expectError('(features', /^f: /);
   assert.throws(() => readFeatures('/nowhere/features.sexp'), SettingsError);
   assert.deepEqual([...readFeatures('deploy/features.sexp')], [], 'what run starts with is read');
 });
 
 test('the code of a feature is used only where it is enabled', () => {
   assert.equal(zonePolicyFactory(new Set(), CLUSTER_CONFIG), null);
-  const make = zonePolicyFactory(new Set(['zone-recovery']), CLUSTER_CONFIG);
-  assert.equal(make?.().constructor.name, ZoneRecovery.name);
+  const createPolicy = zonePolicyFactory(new Set(['zone-recovery']), CLUSTER_CONFIG);
+  assert.equal(createPolicy?.().constructor.name, ZoneRecovery.name);
 });
