--- a/test/http-client.test.ts
+++ b/test/http-client.test.ts
@@ -11,21 +11,21 @@
 const CHUNKED =
   'HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhe\r\n3;x=y\r\nllo\r\n0\r\nX: y\r\n\r\n';
 const UNTIL_CLOSE = 'HTTP/1.1 503 Service Unavailable\r\n\r\nhello';
-const ANNOUNCED = `HTTP/1.1 100 Continue\r\n\r\n${LENGTH}`;
+const AFTER_CONTINUE = `HTTP/1.1 100 Continue\r\n\r\n${LENGTH}`;
 
 /** Feeds a response in pieces of a size, then ends the connection. */
 function readIn(pieceSize: number, text: string): HttpResponse | null {
   const raw = Buffer.from(text, 'latin1');
   const reader = new ResponseReader();
-  for (let at = 0; at < raw.length; at += pieceSize) {
-    const response = reader.push(raw.subarray(at, at + pieceSize));
+  for (let offset = 0; offset < raw.length; offset += pieceSize) {
+    const response = reader.push(raw.subarray(offset, offset + pieceSize));
     if (response !== null) return response;
   }
   return reader.close();
 }
 
 test('a response is parsed whole, however the network splits it', () => {
-  for (const text of [LENGTH, CHUNKED, UNTIL_CLOSE, ANNOUNCED])
+  for (const text of [LENGTH, CHUNKED, UNTIL_CLOSE, AFTER_CONTINUE])
     for (const pieceSize of [1, 2, 7, 1000])
       assert.equal(readIn(pieceSize, text)?.body.toString(), 'hello', text);
   assert.equal(readIn(3, LENGTH)?.keepAlive, true);
@@ -61,7 +61,7 @@
   return { address, close };
 }
 
-const okay = (socket: Socket): void => {
+const writeOk = (socket: Socket): void => {
   const body = encode({ fine: true });
   socket.write(
     Buffer.concat([Buffer.from(`HTTP/1.1 200 OK\r\nContent-Length: ${body.length}\r\n\r\n`), body]),
@@ -70,8 +70,8 @@
 
 // The difference decides whether a command may still be carried out: only `unsent` proves that it never will be.
 test('a request without a connection is unsent, one without a response has an unknown outcome', async () => {
-  const nobody = new HttpClient(reserveAddress(), 1);
-  assert.equal((await nobody.request('GET', '/', undefined, 500)).kind, 'unsent');
+  const unreachable = new HttpClient(reserveAddress(), 1);
+  assert.equal((await unreachable.request('GET', '/', undefined, 500)).kind, 'unsent');
   const silent = await rawServer(() => undefined);
   const client = new HttpClient(silent.address, 1);
   const first = client.request('POST', '/', { a: 1 }, 80);
@@ -79,24 +79,27 @@
   assert.equal((await queued).kind, 'unsent', 'it never left the queue');
   assert.equal((await first).kind, 'unknown');
   silent.close();
-  const rude = await rawServer((socket) => socket.destroy());
-  assert.equal((await new HttpClient(rude.address, 1).request('GET', '/', undefined, 500)).kind, 'unknown');
-  rude.close();
-  const stop = AbortSignal.abort();
-  assert.equal((await nobody.request('GET', '/', undefined, 500, stop)).kind, 'unsent');
+  const closing = await rawServer((socket) => socket.destroy());
+  assert.equal(
+    (await new HttpClient(closing.address, 1).request('GET', '/', undefined, 500)).kind,
+    'unknown',
+  );
+  closing.close();
+  const aborted = AbortSignal.abort();
+  assert.equal((await unreachable.request('GET', '/', undefined, 500, aborted)).kind, 'unsent');
 });
 
 test('connections are kept alive and bounded; queued requests are sent when one is free', async () => {
   const sockets = new Set<Socket>();
   const server = await rawServer((socket) => {
     sockets.add(socket);
-    setTimeout(() => okay(socket), 5);
+    setTimeout(() => writeOk(socket), 5);
   });
   const client = new HttpClient(server.address, 2);
-  const answers = await Promise.all(
+  const outcomes = await Promise.all(
     [1, 2, 3, 4, 5, 6].map(() => client.request('GET', '/', undefined, 1000)),
   );
-  assert.deepEqual(new Set(answers.map((a) => (a.kind === 'response' ? a.status : a.kind))), new Set([200]));
+  assert.deepEqual(new Set(outcomes.map((a) => (a.kind === 'response' ? a.status : a.kind))), new Set([200]));
   assert.equal(sockets.size, 2);
   client.close();
   // A pool that was closed starts anew.
