--- a/test/leader-overload.test.ts
+++ b/test/leader-overload.test.ts
@@ -126,7 +126,7 @@
   const written: string[] = [];
   const heartbeatRequest = (body: string): Buffer =>
     Buffer.from(`POST /hello HTTP/1.1\r\nContent-Length: ${body.length}\r\n\r\n${body}`);
-  const connect = (): Duplex => {
+  const openConnection = (): Duplex => {
     const socket = new Duplex({
       read: () => undefined,
       write: (data: Buffer, _e, done) => {
@@ -135,25 +135,25 @@
       },
     });
     Object.assign(socket, { setNoDelay: () => socket, setTimeout: () => socket });
-    const answer = (b: Buffer) => {
+    const respond = (b: Buffer) => {
       seen.push(b.toString());
       return { status: 200, body: b } as const;
     };
     readHeartbeats(socket as unknown as Socket, {
       maxBodyBytes: 1024,
       queue,
-      respond: answer,
+      respond,
       handOver: () => assert.fail('not a heartbeat'),
       rotatesConnections: () => false,
     });
     return socket;
   };
-  const [gone, held] = [connect(), connect()];
-  gone.emit('data', heartbeatRequest('gone'));
+  const [disconnected, connected] = [openConnection(), openConnection()];
+  disconnected.emit('data', heartbeatRequest('gone'));
   // Pipelining is against the protocol, but if it happens nothing is lost or answered out of order.
-  held.emit('data', Buffer.concat([heartbeatRequest('first'), heartbeatRequest('second')]));
+  connected.emit('data', Buffer.concat([heartbeatRequest('first'), heartbeatRequest('second')]));
   runSlice();
-  gone.emit('end');
+  disconnected.emit('end');
   runSlice();
   assert.deepEqual(seen, ['first']);
   runSlice();
@@ -161,60 +161,60 @@
   assert.deepEqual(seen, ['first', 'second']);
   assert.equal(written.length, 2);
   assert.equal(queue.size, 0);
-  held.destroy();
-  gone.destroy();
+  connected.destroy();
+  disconnected.destroy();
 });
 
 test('many new connections in a row that were closed before they were accepted show that the queue is stale', () => {
   let stale = 0;
   const { queue, runSlice } = createManualQueue(() => (stale += 1));
-  const giveUp = (n: number, fresh = true): void => {
-    for (let k = 0; k < n; k++) queue.push(() => assert.fail('given up'), fresh)();
+  const pushAbandoned = (n: number, firstOnConnection = true): void => {
+    for (let k = 0; k < n; k++) queue.push(() => assert.fail('given up'), firstOnConnection)();
   };
-  giveUp(31);
+  pushAbandoned(31);
   // Open connections say nothing about the queue, neither way.
-  giveUp(40, false);
+  pushAbandoned(40, false);
   queue.push(() => undefined, false);
   runSlice();
   runSlice();
   assert.equal(stale, 0);
-  giveUp(1);
+  pushAbandoned(1);
   assert.equal(stale, 1);
   // One that is still open when it is processed shows that the wait is short enough.
-  giveUp(31);
+  pushAbandoned(31);
   queue.push(() => undefined, true);
   runSlice();
   runSlice();
-  giveUp(31);
+  pushAbandoned(31);
   assert.equal(stale, 1);
 });
 
 test('reopening the listener resets connections that are not accepted yet, and keeps the accepted ones', async () => {
-  const taken: Socket[] = [];
-  const at = parseHostAndPort(reserveAddress());
-  const listener = new Listener(at, (socket) => taken.push(socket.on('error', () => undefined)));
+  const accepted: Socket[] = [];
+  const target = parseHostAndPort(reserveAddress());
+  const listener = new Listener(target, (socket) => accepted.push(socket.on('error', () => undefined)));
   const running = listener.open().subscribe();
-  const client = (): { readonly socket: Socket; over: boolean } => {
-    const c = { socket: connect(at.port, at.host), over: false };
-    c.socket.on('error', () => undefined).on('close', () => (c.over = true));
-    return c;
+  const connectClient = (): { readonly socket: Socket; closed: boolean } => {
+    const connection = { socket: connect(target.port, target.host), closed: false };
+    connection.socket.on('error', () => undefined).on('close', () => (connection.closed = true));
+    return connection;
   };
-  const first = client();
-  await waitUntil('the first', () => taken.length === 1);
+  const first = connectClient();
+  await waitUntil('the first', () => accepted.length === 1);
   assert.equal(listener.reopen(), false, 'not so soon after it was opened');
-  const waiting = Array.from({ length: 6 }, client);
+  const waiting = Array.from({ length: 6 }, connectClient);
   // Their connections are established; the event loop has turned once, and accepted one of them at the most.
   await new Promise((done) => setImmediate(done));
-  const before = taken.length;
-  assert.ok(before <= 2);
+  const acceptedBefore = accepted.length;
+  assert.ok(acceptedBefore <= 2);
   assert.equal(listener.reopen(0), true);
-  await waitUntil('resets', () => waiting.filter((w) => w.over).length === 7 - before);
-  assert.equal(taken.length, before);
-  const next = client();
-  await waitUntil('the next', () => taken.length === before + 1);
-  assert.equal(first.over, false);
+  await waitUntil('resets', () => waiting.filter((w) => w.closed).length === 7 - acceptedBefore);
+  assert.equal(accepted.length, acceptedBefore);
+  const next = connectClient();
+  await waitUntil('the next', () => accepted.length === acceptedBefore + 1);
+  assert.equal(first.closed, false);
   for (const c of [first, next, ...waiting]) c.socket.destroy();
-  for (const socket of taken) socket.destroy();
+  for (const socket of accepted) socket.destroy();
   running.unsubscribe();
 });
 
@@ -233,12 +233,15 @@
 
   /** Each machine sends a heartbeat with its running tasks; yields the commands in the responses. */
   sendHeartbeats(
-    s: number,
+    timeS: number,
     fencingToken = 1,
     runningJobs: Record<string, readonly string[]> = {},
   ): WorkerCommand[] {
     this.sequence += 1;
-    this.scheduler.handle({ kind: 'leadership-confirmed', confirmedAt: timeAt(s).monotonic }, timeAt(s));
+    this.scheduler.handle(
+      { kind: 'leadership-confirmed', confirmedAt: timeAt(timeS).monotonic },
+      timeAt(timeS),
+    );
     const commands: WorkerCommand[] = [];
     for (let n = 0; n < this.machineCount; n++) {
       const tasks = (runningJobs[`m${n}`] ?? []).map((jobId) => ({
@@ -251,21 +254,21 @@
       }));
       const { agentEpoch, sequence } = this;
       const heartbeat = heartbeatOf(`m${n}`, { agentEpoch, sequence, fencingToken, tasks });
-      this.scheduler.handle({ kind: 'heartbeat', heartbeat }, timeAt(s));
-      commands.push(...this.scheduler.answerHeartbeat(heartbeat, timeAt(s)));
+      this.scheduler.handle({ kind: 'heartbeat', heartbeat }, timeAt(timeS));
+      commands.push(...this.scheduler.answerHeartbeat(heartbeat, timeAt(timeS)));
     }
     return commands;
   }
 
   changeJob(
-    s: number,
+    timeS: number,
     id: string,
     overrides: Partial<JobSpec>,
     status: 'open' | 'cancelled' = 'open',
   ): Effect[] {
-    const record = { ...openJob(id, overrides, s), status };
+    const record = { ...openJob(id, overrides, timeS), status };
     const modRevision = ++this.modRevision;
-    return this.scheduler.handle({ kind: 'job-changed', id, record, modRevision }, timeAt(s));
+    return this.scheduler.handle({ kind: 'job-changed', id, record, modRevision }, timeAt(timeS));
   }
 
   commit(s: number): Effect[] {
@@ -395,49 +398,49 @@
     return { status: 409, body: {} };
   });
   const results: string[] = [];
-  const workers = new WorkerCommandSender(
+  const sender = new WorkerCommandSender(
     8,
     () => 1,
     () => true,
     (result) => results.push(result.outcome),
   );
-  const running = workers.start();
+  const subscription = sender.start();
   const probe = { machineName: 'm1', endpoint: worker.address, agentEpoch: 1, commands: [] };
-  for (let n = 0; n < 5; n++) workers.push(probe);
+  for (let n = 0; n < 5; n++) sender.push(probe);
   await waitUntil('an answer', () => results.length > 0);
-  workers.push(probe);
+  sender.push(probe);
   await waitUntil('another', () => results.length > 1);
   assert.equal(probes, 2);
-  running.unsubscribe();
+  subscription.unsubscribe();
   worker.close();
 });
 
 /** Runs a leader with two workers while `look` observes its requests to the state store. */
-async function withLeader(look: (stateStore: StateStoreStandIn) => Promise<void>): Promise<void> {
-  const state = new StateStoreStandIn({ txnOps: 4, valueBytes: 4096 });
-  await state.start();
+async function withLeader(observe: (stateStore: StateStoreStandIn) => Promise<void>): Promise<void> {
+  const stateStore = new StateStoreStandIn({ txnOps: 4, valueBytes: 4096 });
+  await stateStore.start();
   const api = reserveAddress();
   const cluster = await startCluster([api], new TaskHistory(), () => null);
-  const controller = startController(platformSettings('one', api, cluster.cloudAddress, state));
+  const controller = startController(platformSettings('one', api, cluster.cloudAddress, stateStore));
   try {
-    await waitUntil('a leader', () => state.renewalCount > 0);
-    await look(state);
+    await waitUntil('a leader', () => stateStore.renewalCount > 0);
+    await observe(stateStore);
   } finally {
     controller.unsubscribe();
     cluster.stop();
-    state.stop();
+    stateStore.stop();
   }
 }
 
-const pause = (ms: number): Promise<void> => new Promise((done) => setTimeout(done, ms));
+const sleep = (ms: number): Promise<void> => new Promise((done) => setTimeout(done, ms));
 
 test('an idle leader sends few requests to the state store, and writes nothing', () =>
   withLeader(async (stateStore) => {
-    await pause(1500);
+    await sleep(1500);
     const [requests, revision] = [stateStore.requestCount, stateStore.revision];
-    const began = process.hrtime.bigint();
-    await pause(3000);
-    const elapsedS = Number(process.hrtime.bigint() - began) / 1e9;
+    const startedAt = process.hrtime.bigint();
+    await sleep(3000);
+    const elapsedS = Number(process.hrtime.bigint() - startedAt) / 1e9;
     // A second: two renewals, a compare of the own key, and a compare or two for the replica.
     assert.ok(
       stateStore.requestCount - requests <= 6 * elapsedS,
@@ -449,8 +452,11 @@
 test('the state store lease is renewed by the clock, also while earlier renewals are unanswered', () =>
   withLeader(async (stateStore) => {
     stateStore.renewalsHang = true;
-    const before = stateStore.renewalCount;
+    const renewalsBefore = stateStore.renewalCount;
     // Within the timeout of the first renewal.
-    await pause(1400);
-    assert.ok(stateStore.renewalCount - before >= 2, `${stateStore.renewalCount - before} renewals`);
+    await sleep(1400);
+    assert.ok(
+      stateStore.renewalCount - renewalsBefore >= 2,
+      `${stateStore.renewalCount - renewalsBefore} renewals`,
+    );
   }));
