--- a/test/standins/cluster.ts
+++ b/test/standins/cluster.ts
@@ -18,9 +18,9 @@
  * kernel gives out.
  */
 export function reserveAddress(): string {
-  const id = process.pid;
+  const processId = process.pid;
   lastPort += 1;
-  return `127.${1 + ((id >> 16) & 0x7f)}.${(id >> 8) & 0xff}.${id & 0xff}:${lastPort}`;
+  return `127.${1 + ((processId >> 16) & 0x7f)}.${(processId >> 8) & 0xff}.${processId & 0xff}:${lastPort}`;
 }
 
 const MACHINE_TYPES = {
@@ -69,7 +69,7 @@
   };
 }
 
-export const jobBody = (id: string, over: Record<string, unknown> = {}): Record<string, unknown> => ({
+export const jobBody = (id: string, overrides: Record<string, unknown> = {}): Record<string, unknown> => ({
   ref: id,
   docket: 'work',
   desk: 'red',
@@ -87,18 +87,22 @@
   expectedS: 1,
   snapshotEveryS: 0,
   snapshotS: 0,
-  ...over,
+  ...overrides,
 });
 
 const POLL_INTERVAL_MS = 50;
 
 /** Polls until `look` finds a value; fails after `limitMs`. */
-export async function waitFor<T>(what: string, look: () => Promise<T | null>, limitMs = 8000): Promise<T> {
+export async function waitFor<T>(
+  description: string,
+  poll: () => Promise<T | null>,
+  limitMs = 8000,
+): Promise<T> {
   const deadline = process.hrtime.bigint() + BigInt(limitMs) * 1_000_000n;
   for (;;) {
-    const found = await look();
+    const found = await poll();
     if (found !== null) return found;
-    if (process.hrtime.bigint() > deadline) throw new Error(`not in time: ${what}`);
+    if (process.hrtime.bigint() > deadline) throw new Error(`not in time: ${description}`);
     await delay(POLL_INTERVAL_MS);
   }
 }
@@ -119,7 +123,7 @@
 export type ScaleOutFault = 'lost' | 'late';
 
 const LATE_SCALE_OUT_MS = 600;
-const FIRST_MACHINES = 2;
+const INITIAL_MACHINES = 2;
 
 /** A cloud with two machines and, on demand, more; their workers send heartbeats to the given controllers. */
 export class LoopbackCluster {
@@ -160,10 +164,10 @@
       return { status: 200, body: {} };
     }
     const request = body['hire'] as string;
-    const known = this.scaleOuts.get(request);
-    if (known !== undefined) return { status: 200, body: { rigs: known } };
+    const existingNames = this.scaleOuts.get(request);
+    if (existingNames !== undefined) return { status: 200, body: { rigs: existingNames } };
     const names: string[] = [];
-    const limit = FIRST_MACHINES + this.spareMachines;
+    const limit = INITIAL_MACHINES + this.spareMachines;
     while (names.length < (body['number'] as number) && this.machineCount < limit)
       names.push(await this.addMachine(body['hall'] as string));
     if (names.length === 0) return { status: 503, body: { error: 'no capacity' } };
