--- a/test/standins/http.ts
+++ b/test/standins/http.ts
@@ -12,15 +12,15 @@
     const parts: Buffer[] = [];
     req.on('data', (data: Buffer) => parts.push(data));
     req.on('end', () => {
-      const raw = Buffer.concat(parts);
+      const requestBytes = Buffer.concat(parts);
       const url = new URL(req.url ?? '/', 'http://standin');
-      void Promise.resolve(handler(req.method ?? '', url, raw.length === 0 ? null : decode(raw))).then(
-        (r) => {
-          const out = encode(r.body);
-          res.writeHead(r.status, { 'content-length': out.length });
-          res.end(out);
-        },
-      );
+      void Promise.resolve(
+        handler(req.method ?? '', url, requestBytes.length === 0 ? null : decode(requestBytes)),
+      ).then((reply) => {
+        const responseBytes = encode(reply.body);
+        res.writeHead(reply.status, { 'content-length': responseBytes.length });
+        res.end(responseBytes);
+      });
     });
   });
   await new Promise<void>((done) => server.listen(0, '127.0.0.1', done));
@@ -46,19 +46,22 @@
   return new Promise((resolve, reject) => {
     const [host, port] = address.split(':');
     const encoded = Buffer.isBuffer(body) ? body : encode(body);
-    const raw = body === undefined ? null : encoded;
-    const headers = raw === null ? {} : { 'content-length': raw.length };
+    const requestBytes = body === undefined ? null : encoded;
+    const headers = requestBytes === null ? {} : { 'content-length': requestBytes.length };
     const req = http.request({ host, port, method, path, agent, headers }, (res) => {
       const parts: Buffer[] = [];
       res.on('data', (data: Buffer) => parts.push(data));
       res.on('end', () => {
-        const answer = Buffer.concat(parts);
-        const data = (answer.length === 0 ? {} : decode(answer)) as Record<string, unknown>;
-        resolve({ status: res.statusCode ?? 0, body: data, retryAfter: res.headers['retry-after'] });
+        const responseBytes = Buffer.concat(parts);
+        const responseBody = (responseBytes.length === 0 ? {} : decode(responseBytes)) as Record<
+          string,
+          unknown
+        >;
+        resolve({ status: res.statusCode ?? 0, body: responseBody, retryAfter: res.headers['retry-after'] });
       });
     });
     req.on('error', reject);
-    if (raw !== null) req.write(raw);
+    if (requestBytes !== null) req.write(requestBytes);
     req.end();
   });
 }
