--- a/test/standins/production-version.ts
+++ b/test/standins/production-version.ts
@@ -10,7 +10,7 @@
  * accepts from it. They stay as they are while that version may run beside newer ones: tests play both on each other's
  * records. It knows no dependencies, and drops fields that it does not know.
  */
-const jobRecord = z.object({
+const jobRecordSchema = z.object({
   st: z.enum(['open', 'cancelled', 'done']),
   at: z.string(),
   s: z.object({
@@ -37,7 +37,7 @@
   }),
 });
 
-const ROW = /^([^/ ]+)\/(\d+) a(\d+) c(\d+),(\d+) ([\d,-]*) (.*)$/;
+const ROW_PATTERN = /^([^/ ]+)\/(\d+) a(\d+) c(\d+),(\d+) ([\d,-]*) (.*)$/;
 
 function writeJob(record: JobRecord): unknown {
   const { spec } = record;
@@ -70,8 +70,8 @@
 }
 
 function readJob(value: unknown): JobRecord {
-  const r = jobRecord.parse(value);
-  const { s: stored } = r;
+  const storedRecord = jobRecordSchema.parse(value);
+  const { s: stored } = storedRecord;
   const spec = {
     id: stored.id,
     class: stored.class,
@@ -95,66 +95,69 @@
     deadline: stored.due === null ? null : seconds(stored.due),
     dependencies: [],
   };
-  return { spec, submittedAt: new Date(r.at), status: r.st };
+  return { spec, submittedAt: new Date(storedRecord.at), status: storedRecord.st };
 }
 
-function runs(done: readonly number[]): [number, number][] {
-  const out: [number, number][] = [];
-  for (const task of done) {
-    const last = out[out.length - 1];
+function taskRanges(completedTasks: readonly number[]): [number, number][] {
+  const ranges: [number, number][] = [];
+  for (const task of completedTasks) {
+    const last = ranges[ranges.length - 1];
     if (last !== undefined && last[1] === task - 1) last[1] = task;
-    else out.push([task, task]);
+    else ranges.push([task, task]);
   }
-  return out;
+  return ranges;
 }
 
 const escaped = (s: string): string =>
   encodeURIComponent(s).replace(/[.!'()*~]/g, (c) => `%${c.charCodeAt(0).toString(16).toUpperCase()}`);
 
 function writePage(entries: readonly PageEntry[], zones: readonly string[]): string {
-  const names = [...zones];
+  const zoneNames = [...zones];
   const zoneOf = (name: string): number => {
-    const at = names.indexOf(name);
-    return at >= 0 ? at : names.push(name) - 1;
+    const zoneIndex = zoneNames.indexOf(name);
+    return zoneIndex >= 0 ? zoneIndex : zoneNames.push(name) - 1;
   };
   const rows = entries.map(({ jobId: job, chunkIndex: index, record }) => {
-    const done = runs(record.completedTasks)
+    const completedText = taskRanges(record.completedTasks)
       .map(([a, b]) => (a === b ? String(a) : `${a}-${b}`))
       .join(',');
-    const places = record.assignments
-      .map((i) => `${i.taskIndex}.${i.attempt}.${escaped(i.machineName)}.${i.agentEpoch}.${zoneOf(i.zone)}`)
+    const assignmentText = record.assignments
+      .map(
+        (assignment) =>
+          `${assignment.taskIndex}.${assignment.attempt}.${escaped(assignment.machineName)}.${assignment.agentEpoch}.${zoneOf(assignment.zone)}`,
+      )
       .join(',');
-    return `${job}/${index} a${record.highestAttempt} c${record.completedTasks.length},${record.assignments.length} ${done} ${places}`;
+    return `${job}/${index} a${record.highestAttempt} c${record.completedTasks.length},${record.assignments.length} ${completedText} ${assignmentText}`;
   });
-  return [names.map(escaped).join(','), ...rows].join('|');
+  return [zoneNames.map(escaped).join(','), ...rows].join('|');
 }
 
 function readPage(value: unknown): PageEntry[] {
   if (typeof value !== 'string') throw new Error('a page is not text');
-  const [head = '', ...rows] = value.split('|');
-  const zones = head === '' ? [] : head.split(',').map(decodeURIComponent);
+  const [zoneList = '', ...rows] = value.split('|');
+  const zones = zoneList === '' ? [] : zoneList.split(',').map(decodeURIComponent);
   return rows.map((row) => {
-    const m = ROW.exec(row);
-    if (m === null) throw new Error(`a page has an entry that cannot be read: ${row.slice(0, 40)}`);
-    const done: number[] = [];
-    for (const run of m[6] === '' ? [] : (m[6] ?? '').split(',')) {
-      const [a = 0, b = a] = run.split('-').map(Number);
-      for (let task = a; task <= b; task++) done.push(task);
+    const match = ROW_PATTERN.exec(row);
+    if (match === null) throw new Error(`a page has an entry that cannot be read: ${row.slice(0, 40)}`);
+    const completedTasks: number[] = [];
+    for (const range of match[6] === '' ? [] : (match[6] ?? '').split(',')) {
+      const [a = 0, b = a] = range.split('-').map(Number);
+      for (let task = a; task <= b; task++) completedTasks.push(task);
     }
-    const intents = (m[7] === '' ? [] : (m[7] ?? '').split(',')).map((place) => {
-      const [task, attempt, machine, session, zone] = place.split('.');
+    const assignments = (match[7] === '' ? [] : (match[7] ?? '').split(',')).map((assignmentText) => {
+      const [task, attempt, machine, agentEpoch, zone] = assignmentText.split('.');
       return {
         taskIndex: Number(task),
         attempt: Number(attempt),
         machineName: decodeURIComponent(machine ?? ''),
-        agentEpoch: Number(session),
+        agentEpoch: Number(agentEpoch),
         zone: zones[Number(zone)] ?? '',
       };
     });
     return {
-      jobId: m[1] ?? '',
-      chunkIndex: Number(m[2]),
-      record: { highestAttempt: Number(m[3]), completedTasks: done, assignments: intents },
+      jobId: match[1] ?? '',
+      chunkIndex: Number(match[2]),
+      record: { highestAttempt: Number(match[3]), completedTasks, assignments },
     };
   });
 }
