--- a/test/standins/recorder.ts
+++ b/test/standins/recorder.ts
@@ -17,17 +17,17 @@
   let address = '';
   const server = createServer((socket) => {
     sockets.add(socket);
-    let raw = Buffer.alloc(0);
+    let received = Buffer.alloc(0);
     socket.on('error', () => undefined);
     socket.on('data', (data) => {
-      raw = Buffer.concat([raw, data]);
-      const end = raw.indexOf('\r\n\r\n');
-      if (end < 0) return;
-      const head = raw.toString('latin1', 0, end);
+      received = Buffer.concat([received, data]);
+      const headEnd = received.indexOf('\r\n\r\n');
+      if (headEnd < 0) return;
+      const head = received.toString('latin1', 0, headEnd);
       const length = Number(/content-length: (\d+)/i.exec(head)?.[1] ?? 0);
-      if (raw.length < end + 4 + length) return;
-      requests.push({ head: head.replace(address, 'ADDRESS'), body: raw.subarray(end + 4) });
-      raw = Buffer.alloc(0);
+      if (received.length < headEnd + 4 + length) return;
+      requests.push({ head: head.replace(address, 'ADDRESS'), body: received.subarray(headEnd + 4) });
+      received = Buffer.alloc(0);
       const answer = reply(head.slice(0, head.indexOf(' HTTP/')));
       if (answer === null) return;
       const body = encode(answer.body);
