--- a/test/standins/simulated-fleet.ts
+++ b/test/standins/simulated-fleet.ts
@@ -78,7 +78,7 @@
   }
 
   startTerm(): ClusterScheduler {
-    const began = this.now().monotonic;
+    const startedAt = this.now().monotonic;
     this.scheduler = new ClusterScheduler(
       {
         ...CLUSTER_CONFIG,
@@ -89,16 +89,16 @@
       DEFAULT_SETTINGS,
       {
         fencingToken: ++this.revision,
-        startedAt: began,
-        confirmedAt: began,
-        previousLeadersDeadline: previousLeadersDeadlineFrom(CLUSTER_CONFIG, began),
+        startedAt,
+        confirmedAt: startedAt,
+        previousLeadersDeadline: previousLeadersDeadlineFrom(CLUSTER_CONFIG, startedAt),
       },
     );
     this.handle({ kind: 'machine-types', types: [LARGE_MACHINE] });
-    for (const [id, { value, modRevision: stamp }] of this.jobs)
-      this.handle({ kind: 'job-changed', id, record: this.codec.readJob(value), modRevision: stamp });
-    for (const [id, { value, modRevision: stamp }] of this.pages)
-      this.handle({ kind: 'page-loaded', id, entries: this.codec.readPage(value), modRevision: stamp });
+    for (const [id, { value, modRevision }] of this.jobs)
+      this.handle({ kind: 'job-changed', id, record: this.codec.readJob(value), modRevision });
+    for (const [id, { value, modRevision }] of this.pages)
+      this.handle({ kind: 'page-loaded', id, entries: this.codec.readPage(value), modRevision });
     this.handle({ kind: 'load-completed' });
     return this.scheduler;
   }
@@ -108,9 +108,9 @@
   }
 
   /** Time goes on, and each machine goes on reporting. */
-  advance(s: number): void {
+  advance(elapsedSeconds: number): void {
     const before = Math.floor(this.secondsElapsed / HEARTBEAT_INTERVAL_S);
-    this.secondsElapsed += s;
+    this.secondsElapsed += elapsedSeconds;
     if (Math.floor(this.secondsElapsed / HEARTBEAT_INTERVAL_S) > before) this.sendHeartbeats();
     this.handle({ kind: 'leadership-confirmed', confirmedAt: this.now().monotonic });
   }
@@ -119,38 +119,38 @@
     return `n-${String(n).padStart(6, '0')}`;
   }
 
-  nextHeartbeat(n: number): Heartbeat {
-    const name = this.machineName(n);
-    const seq = (this.sequences.get(name) ?? 0) + 1;
-    this.sequences.set(name, seq);
+  nextHeartbeat(machineIndex: number): Heartbeat {
+    const name = this.machineName(machineIndex);
+    const sequence = (this.sequences.get(name) ?? 0) + 1;
+    this.sequences.set(name, sequence);
     return {
       machineName: name,
       endpoint: '127.0.0.1:1',
       type: 'big',
-      zone: n % 2 === 0 ? 'east' : 'west',
+      zone: machineIndex % 2 === 0 ? 'east' : 'west',
       spot: false,
       agentEpoch: 1,
-      sequence: seq,
+      sequence,
       fencingToken: this.scheduler.state.term.fencingToken,
       preemptionNotice: null,
       tasks: this.tasks.get(name) ?? [],
     };
   }
 
-  sendHeartbeat(n: number): void {
-    const name = this.machineName(n);
-    const heartbeat = this.nextHeartbeat(n);
+  sendHeartbeat(machineIndex: number): void {
+    const name = this.machineName(machineIndex);
+    const heartbeat = this.nextHeartbeat(machineIndex);
     this.handle({ kind: 'heartbeat', heartbeat });
-    const held = (this.tasks.get(name) ?? []).slice();
+    const tasks = (this.tasks.get(name) ?? []).slice();
     for (const command of this.scheduler.answerHeartbeat(heartbeat, this.now())) {
-      const at = held.findIndex(
+      const index = tasks.findIndex(
         (task) =>
           task.jobId === command.jobId &&
           task.taskIndex === command.taskIndex &&
           task.attempt === command.attempt,
       );
-      if (command.op === 'start' && at < 0)
-        held.push({
+      if (command.op === 'start' && index < 0)
+        tasks.push({
           jobId: command.jobId,
           taskIndex: command.taskIndex,
           attempt: command.attempt,
@@ -158,28 +158,28 @@
           exitReason: null,
           checkpointed: false,
         });
-      const task = held[at];
+      const task = tasks[index];
       if (command.op === 'stop' && task !== undefined)
-        held[at] = { ...task, state: 'exited', exitReason: task.exitReason ?? 'stopped' };
-      if (command.op === 'forget' && at >= 0) held.splice(at, 1);
+        tasks[index] = { ...task, state: 'exited', exitReason: task.exitReason ?? 'stopped' };
+      if (command.op === 'forget' && index >= 0) tasks.splice(index, 1);
     }
-    this.tasks.set(name, held);
+    this.tasks.set(name, tasks);
   }
 
   sendHeartbeats(): void {
     for (let n = 0; n < this.machineCount; n++) this.sendHeartbeat(n);
   }
 
-  submit(id: string, over: Partial<JobSpec>): void {
-    const record: JobRecord = { spec: jobSpec(id, over), submittedAt: this.now().wall, status: 'open' };
+  submit(id: string, overrides: Partial<JobSpec>): void {
+    const record: JobRecord = { spec: jobSpec(id, overrides), submittedAt: this.now().wall, status: 'open' };
     this.storeJob(id, this.codec.writeJob(record));
   }
 
   /** A job's record is written, by any controller, and the leader follows it. */
   storeJob(id: string, value: unknown): void {
-    const stamp = ++this.revision;
-    this.jobs.set(id, { value, modRevision: stamp });
-    this.handle({ kind: 'job-changed', id, record: this.codec.readJob(value), modRevision: stamp });
+    const modRevision = ++this.revision;
+    this.jobs.set(id, { value, modRevision });
+    this.handle({ kind: 'job-changed', id, record: this.codec.readJob(value), modRevision });
   }
 
   /** Carries out transactions until nothing is due. */
@@ -187,51 +187,51 @@
     for (;;) {
       const transaction = this.scheduler.nextTransaction(this.now());
       if (transaction === null) return;
-      const stamp = ++this.revision;
+      const modRevision = ++this.revision;
       this.commits += 1;
       this.operations += operationCount(transaction);
       for (const page of transaction.pages)
         this.pages.set(page.id, {
           value: this.codec.writePage(page.entries, CLUSTER_CONFIG.zones),
-          modRevision: stamp,
+          modRevision,
         });
-      for (const id of transaction.completedJobs) this.finishJob(id, 'done', stamp);
-      for (const id of transaction.cancelledJobs) this.finishJob(id, 'cancelled', stamp);
-      this.handle({ kind: 'transaction-committed', transaction, modRevision: stamp });
+      for (const id of transaction.completedJobs) this.finishJob(id, 'done', modRevision);
+      for (const id of transaction.cancelledJobs) this.finishJob(id, 'cancelled', modRevision);
+      this.handle({ kind: 'transaction-committed', transaction, modRevision });
     }
   }
 
   /** The leader writes the end of a job from what it holds in memory. */
-  private finishJob(id: string, standing: 'done' | 'cancelled', stamp: number): void {
+  private finishJob(id: string, status: 'done' | 'cancelled', modRevision: number): void {
     const job = this.scheduler.state.jobs.byId.get(id);
     if (job === undefined) return;
-    const { spec, submittedAt: submitted } = job;
+    const { spec, submittedAt } = job;
     this.jobs.set(id, {
-      value: this.codec.writeJob({ spec, submittedAt: submitted, status: standing }),
-      modRevision: stamp,
+      value: this.codec.writeJob({ spec, submittedAt, status }),
+      modRevision,
     });
   }
 
   /** Has one running task of a machine end well; false: it has none. */
-  finishOneTask(n: number): boolean {
-    const held = this.tasks.get(this.machineName(n)) ?? [];
-    const task = held.find((each) => each.state === 'running');
+  finishOneTask(machineIndex: number): boolean {
+    const tasks = this.tasks.get(this.machineName(machineIndex)) ?? [];
+    const task = tasks.find((each) => each.state === 'running');
     if (task === undefined) return false;
-    this.exitTask(n, task);
+    this.exitTask(machineIndex, task);
     return true;
   }
 
   /** Has all running tasks of a job on a machine end well. */
-  finishTasksOf(n: number, job: string): void {
-    for (const task of this.tasks.get(this.machineName(n)) ?? [])
-      if (task.jobId === job && task.state === 'running') this.exitTask(n, task);
+  finishTasksOf(machineIndex: number, jobId: string): void {
+    for (const task of this.tasks.get(this.machineName(machineIndex)) ?? [])
+      if (task.jobId === jobId && task.state === 'running') this.exitTask(machineIndex, task);
   }
 
-  private exitTask(n: number, task: ReportedTask): void {
-    const held = this.tasks.get(this.machineName(n)) ?? [];
+  private exitTask(machineIndex: number, task: ReportedTask): void {
+    const tasks = this.tasks.get(this.machineName(machineIndex)) ?? [];
     this.tasks.set(
-      this.machineName(n),
-      held.map((each) => (each === task ? { ...each, state: 'exited', exitReason: 'done' } : each)),
+      this.machineName(machineIndex),
+      tasks.map((each) => (each === task ? { ...each, state: 'exited', exitReason: 'done' } : each)),
     );
   }
 }
