--- a/test/standins/state-store.ts
+++ b/test/standins/state-store.ts
@@ -36,7 +36,7 @@
   readonly valueBytes: number;
 }
 
-const after = (delayMs: number, reply: () => Reply): Promise<Reply> =>
+const replyAfter = (delayMs: number, reply: () => Reply): Promise<Reply> =>
   new Promise((done) => setTimeout(() => done(reply()), delayMs).unref());
 
 /** A state store in memory: compare conditions, leases, watches. It refuses what the interfaces refuse. */
@@ -99,14 +99,14 @@
     if (pathname === '/store') return this.listItems(url);
     if (pathname.startsWith('/store/')) return this.readItem(pathname.slice('/store/'.length));
     if (pathname === '/holds') return this.grantLease(body['ttlMs'] as number);
-    const renewed = /^\/holds\/(\d+)\/touch$/.exec(pathname);
-    if (renewed !== null) {
+    const renewalPath = /^\/holds\/(\d+)\/touch$/.exec(pathname);
+    if (renewalPath !== null) {
       this.renewalCount += 1;
-      const reply = this.renewLease(Number(renewed[1]));
+      const reply = this.renewLease(Number(renewalPath[1]));
       return this.renewalsHang ? new Promise(() => undefined) : reply;
     }
-    const revoked = /^\/holds\/(\d+)$/.exec(pathname);
-    if (revoked !== null && method === 'DELETE') return this.expireLease(Number(revoked[1]));
+    const revocationPath = /^\/holds\/(\d+)$/.exec(pathname);
+    if (revocationPath !== null && method === 'DELETE') return this.expireLease(Number(revocationPath[1]));
     return { status: 400, body: {} };
   }
 
@@ -116,9 +116,9 @@
     if (fault === null) return this.commit(body);
     if (fault === 'held') {
       const reply = this.commit(body);
-      return after(this.lateResponseMs, () => reply);
+      return replyAfter(this.lateResponseMs, () => reply);
     }
-    if (fault === 'slow') return after(this.slowCommitMs, () => this.commit(body));
+    if (fault === 'slow') return replyAfter(this.slowCommitMs, () => this.commit(body));
     if (fault === 'lost') this.commit(body);
     else setTimeout(() => this.commit(body), LATE_COMMIT_MS).unref();
     return { status: 504, body: {} };
