--- a/test/announced-limits.test.ts
+++ b/test/announced-limits.test.ts
@@ -1,4 +1,4 @@
-/** @file Limits of the state store that are announced to become lower. */
+/** @file Lower limits of the state store that are announced in advance. */
 import assert from 'node:assert/strict';
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -20,7 +20,7 @@
 const SMALL = { ...CLUSTER_CONFIG, maxValueBytes: 2048, maxTransactionOperations: 4 };
 const JOBS = 14;
 
-/** A page as a version under the larger limits left it: many jobs' places, more than may be written now. */
+/** Returns a page written under the larger limits: its assignments of many jobs exceed the size that is now allowed. */
 function largePage(id: number): readonly PageEntry[] {
   return Array.from({ length: JOBS }, (_, n) => ({
     jobId: `req-${id}${n}`,
@@ -35,7 +35,7 @@
   }));
 }
 
-// Between two transactions a process may end: at no time may a place stand in no page that is committed.
+// The process may end between two transactions, so every assignment must be in a committed page at all times.
 test('pages over a lowered limit are split in one transaction each, and no assignment is ever unrecorded', () => {
   const scheduler = createSchedulerWithType({ config: SMALL });
   const ids = [1, 2, 3];
@@ -97,12 +97,16 @@
     { value_kb: 64, txn_ops: 100 },
   ])
     assert.deepEqual(read(next), currentLimits, JSON.stringify(next));
-  assert.deepEqual(read({ value_kb: 'x', txn_ops: 2 }), { txnOps: 2, valueBytes: 4096 }, 'each by itself');
+  assert.deepEqual(
+    read({ value_kb: 'x', txn_ops: 2 }),
+    { txnOps: 2, valueBytes: 4096 },
+    'each limit is checked separately',
+  );
   assert.throws(() => read({ value_kb: 1 }), SettingsError);
   rmSync(folder, { recursive: true });
 });
 
-// Nothing tells when the lower limit comes into force but its first refusal.
+// Only the first refused transaction shows that the lower limit has taken effect.
 test('after the state store refuses a transaction as too large, the leader keeps to the announced limit', async () => {
   const config = { ...CLUSTER_CONFIG, maxTransactionOperations: 8 };
   const commitIntervalS = async (nextWriteRps: number): Promise<number> => {
@@ -150,7 +154,7 @@
     return ((sentAt[2] ?? 0) - (sentAt[1] ?? 0)) / 1000;
   };
   const [unchanged, lowered] = await Promise.all([commitIntervalS(Infinity), commitIntervalS(6)]);
-  // Eight changes at 0.8 of 18 a second, and of 6 a second.
+  // Eight changes, at 0.8 of 18 per second and at 0.8 of 6 per second.
   assert.ok(unchanged < 0.8, `${unchanged} s`);
   assert.ok(lowered > 1.1, `${lowered} s`);
 });
--- a/test/cancelled-dependents.test.ts
+++ b/test/cancelled-dependents.test.ts
@@ -1,4 +1,4 @@
-/** @file Jobs cancelled through a dependency: their records are closed without overwriting anybody. */
+/** @file Jobs cancelled through a dependency: their records are closed without overwriting concurrent changes. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { JobRecord } from '../src/core/model/job.js';
@@ -13,7 +13,7 @@
 
 const DEPENDENTS = 3000;
 
-/** The job records of a state store, and the leaders that write them. */
+/** The job records of a state store, which successive leaders read and write. */
 class JobRecordStore {
   readonly jobs = new Map<string, { record: JobRecord; modRevision: number }>();
   private revision = 100;
@@ -24,7 +24,7 @@
     this.jobs.set(id, { record, modRevision: ++this.revision });
   }
 
-  /** A new leader that has read everything. */
+  /** Starts the term of a new leader, which loads all records. */
   startTerm(timeS: number): ClusterScheduler {
     const scheduler = createScheduler({ fencingToken: ++this.revision, startedAt: timeAt(timeS).monotonic });
     scheduler.handle({ kind: 'machine-types', types: [MACHINE_TYPE] }, timeAt(timeS));
@@ -33,7 +33,7 @@
     return scheduler;
   }
 
-  /** Carries a transaction out; false if one of its guards fails. */
+  /** Commits a transaction and returns its mod revision, or null if one of its compare conditions fails. */
   commit(transaction: Transaction): number | null {
     for (const [id, expectedRevision] of transaction.jobConditions)
       if (this.jobs.get(id)?.modRevision !== expectedRevision) return null;
@@ -62,8 +62,8 @@
   return true;
 }
 
-// Their cancellation holds by the record of the job that they need. Kept open for good, each would stay whole in every
-// controller's memory and be read whole by each new leader.
+// The cancelled record of their dependency is enough to cancel these jobs. But if their own records were never closed,
+// every controller would keep each job completely in memory, and each new leader would load it completely.
 test('the records of thousands of jobs cancelled through a dependency are closed, across a failover', () => {
   const records = new JobRecordStore();
   records.put('req-0', 'cancelled');
@@ -81,7 +81,7 @@
     timeAt(timeS + 130),
   );
   second.handle({ kind: 'tick' }, timeAt(timeS + 130));
-  assert.equal(second.state.jobs.byId.size, 0, 'nothing of them is held');
+  assert.equal(second.state.jobs.byId.size, 0, 'none of them is kept in memory');
   assert.equal(
     records.startTerm(timeS + 140).nextTransaction(timeAt(timeS + 141)),
     null,
@@ -89,7 +89,7 @@
   );
 });
 
-test('a job cancelled through a dependency is kept until its record says so, however long that takes', () => {
+test('a job cancelled through a dependency is kept in memory until its record is closed, however long that takes', () => {
   const records = new JobRecordStore();
   records.put('req-0', 'cancelled');
   records.put('req-1', 'open', ['req-0']);
@@ -103,7 +103,7 @@
   assert.equal(records.open, 0);
 });
 
-// The transaction that closes it is refused by its guard; the user's own has said the same.
+// The compare condition of the leader's transaction fails; the user's transaction has already closed the record.
 test('a concurrent cancellation by a user is not overwritten, and nothing is written twice', () => {
   const records = new JobRecordStore();
   records.put('req-0', 'cancelled');
@@ -119,8 +119,8 @@
   assert.equal(scheduler.nextTransaction(timeAt(2)), null);
 });
 
-// Places of other jobs come first, but not so that these wait for as long as there is work.
-test('closing such jobs waits for assignments to be recorded, five seconds at most', () => {
+// Assignments of other jobs are written first, but the cancellations must not wait until there are none left.
+test('closing jobs cancelled through a dependency waits for assignments to be recorded, five seconds at most', () => {
   const records = new JobRecordStore();
   records.put('req-0', 'cancelled');
   records.put('req-1', 'open', ['req-0']);
@@ -138,11 +138,12 @@
   scheduler.handle({ kind: 'heartbeat', heartbeat }, timeAt(1));
   scheduler.handle({ kind: 'leadership-confirmed', confirmedAt: timeAt(1).monotonic }, timeAt(1));
   scheduler.handle({ kind: 'tick' }, timeAt(1));
-  assert.equal(scheduler.nextTransaction(timeAt(1))?.pages.length, 1, 'the place of req-2');
+  assert.equal(scheduler.nextTransaction(timeAt(1))?.pages.length, 1, 'the assignment of req-2');
   assert.deepEqual(scheduler.nextTransaction(timeAt(6))?.cancelledJobs, ['req-1']);
 });
 
-// A place of a job that waits should never come to be; if one did, by a fault elsewhere, it must still not be started.
+// A job with unfinished dependencies should never get an assignment; if a fault elsewhere creates one, it must still
+// not be started.
 test('a start is not sent while a dependency of its job is unfinished, whatever is recorded', () => {
   const records = new JobRecordStore();
   records.put('req-0', 'open');
--- a/test/coalesced-read.test.ts
+++ b/test/coalesced-read.test.ts
@@ -1,10 +1,10 @@
-/** @file Reads that several requests share. */
+/** @file Reads of the state store that several requests share. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { CoalescedRead } from '../src/edge/state-store/coalesced-read.js';
 
-// Guards against stale answers to polls: the first read once stayed in place for good, and a controller cut from the
-// state store went on answering from it (found as `forgotten` and `went_back` on simulated days).
+// Guards against stale responses to polls: the first read was once shared with all later requests, and a controller
+// partitioned from the state store kept answering from it (found as `forgotten` and `went_back` on simulated days).
 test('a request never shares a read that was sent before it arrived', async () => {
   let sent = 0;
   const shared = new CoalescedRead<number>(5, () => Promise.resolve(++sent));
--- a/test/connection-limits.test.ts
+++ b/test/connection-limits.test.ts
@@ -1,4 +1,4 @@
-/** @file Bounds on connections and memory, and what happens at them. */
+/** @file Limits on connections and memory, and the behaviour when they are reached. */
 import assert from 'node:assert/strict';
 import { Agent, get } from 'node:http';
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
@@ -30,16 +30,16 @@
 import { StateStoreStandIn } from './standins/state-store.js';
 import { TaskHistory, WorkerStandIn } from './standins/worker.js';
 
-test('memory: collects after much growth since the last collection, and refuses users when that does not help', () => {
+test('memory: collects garbage after enough growth since the last collection, and sheds users when that does not help', () => {
   assert.equal(memoryAction(0.5, 0), 'none');
   assert.equal(memoryAction(0.82, 0.5), 'collect');
-  // Just collected and nothing gained: not again and again.
+  // The last collection freed almost nothing: it is not repeated at once.
   assert.equal(memoryAction(0.83, 0.82), 'none');
   assert.equal(memoryAction(0.92, 0.91), 'shed');
   assert.equal(memoryAction(0.95, 0.91), 'collect');
 });
 
-test('memory: file-backed pages do not count; an unreadable statistic counts everything', () => {
+test('memory: file-backed pages do not count; if the statistic is malformed, everything counts', () => {
   assert.equal(privateShare('262144 26000 10400 9000 0 60000 0\n'), 0.6);
   for (const odd of ['', 'x y z', '100 0 0', '100 50 60']) assert.equal(privateShare(odd), 1, odd);
 });
@@ -56,11 +56,11 @@
     );
     assert.ok(limits.inbound + limits.workerCommands + 20 < max, `${max}`);
   }
-  // A fleet half as large again as the settings were written for keeps a connection each.
+  // Each machine keeps its connection even in a fleet half as large again as the settings were written for.
   assert.ok(connectionLimitsFor(1760).inbound > 1150);
 });
 
-test('limits that are too small are refused in one line; large ones are accepted', () => {
+test('limits that are too small are refused with an error of one line; large limits are accepted', () => {
   const dir = mkdtempSync(join(tmpdir(), 'settings-'));
   const read = (limits: Record<string, number>): unknown => {
     const path = join(dir, 'settings.json');
@@ -82,11 +82,11 @@
 test('malformed messages are logged at a limited rate', () => {
   const lines: string[] = [];
   const logger = pino({ level: 'info' }, { write: (line: string) => lines.push(line) });
-  for (let n = 0; n < 1000; n++) warnRateLimited(logger, { n }, 'a report cannot be read');
+  for (let n = 0; n < 1000; n++) warnRateLimited(logger, { n }, 'malformed heartbeat');
   warnRateLimited(logger, {}, 'something else');
   assert.deepEqual(
     lines.map((l) => (JSON.parse(l) as { msg: string }).msg),
-    ['a report cannot be read', 'something else'],
+    ['malformed heartbeat', 'something else'],
   );
 });
 
@@ -104,7 +104,7 @@
 });
 
 test('hanging machines do not exhaust the connections: calls stay within their limit, and commands are sent', async () => {
-  // Every address of the loopback range is one machine's; none of them answers.
+  // Each machine has its own address in the loopback range; none of them answers.
   const hanging = createServer();
   await new Promise<void>((done) => hanging.listen(0, '0.0.0.0', done));
   const { port } = hanging.address() as AddressInfo;
@@ -131,7 +131,7 @@
     sender.push({ machineName: `q${n}`, endpoint: endpointOf(n), agentEpoch: 1, commands: [] });
   for (let n = 40; n < 44; n++)
     sender.push({ machineName: `c${n}`, endpoint: endpointOf(n), agentEpoch: 1, commands: [start] });
-  await waitUntil('the commands', () => commands === 4);
+  await waitUntil('all commands are sent', () => commands === 4);
   assert.ok(maxOpen <= 8, `${maxOpen} at once`);
   subscription.unsubscribe();
   hanging.close();
@@ -147,7 +147,7 @@
   const controller = startController({ ...settings, facts: { ...settings.facts, limits } });
   try {
     await waitUntilHealthy(api);
-    // Each user keeps its connection for as long as it may, as users do.
+    // Each user keeps its connection open for as long as the controller allows.
     const agents = Array.from({ length: 60 }, () => new Agent({ keepAlive: true, maxSockets: 1 }));
     const [host = '', port = ''] = api.split(':');
     const fetchStatus = (agent: Agent): Promise<number> =>
@@ -175,7 +175,7 @@
   }
 });
 
-test('after connections ran short, worker connections are rotated for a minute, and that is logged once', () => {
+test('after connections ran short, worker connections are rotated for a minute, which is logged once', () => {
   let now = 0n;
   const lines: string[] = [];
   const logger = pino({ level: 'info' }, { write: (line: string) => lines.push(line) });
@@ -183,7 +183,10 @@
   const connections = new InboundConnections(limits, logger, () => now);
   for (let n = 0; n < limits.rotateWorkersAbove; n++) assert.ok(connections.admit());
   assert.equal(connections.rotatesWorkerConnections(), false);
-  assert.ok(connections.refusesNewUsers && connections.rotatesUserConnections, 'users come first');
+  assert.ok(
+    connections.refusesNewUsers && connections.rotatesUserConnections,
+    'users are shed before workers',
+  );
   while (connections.admit()) assert.ok(connections.rotatesWorkerConnections());
   assert.equal(connections.open, limits.inbound);
   while (connections.open > 0) connections.release();
@@ -194,7 +197,7 @@
   assert.equal(lines.length, 1);
 });
 
-// Each of them would otherwise keep its connection, and those that find no socket lose their leases and their tasks.
+// Without rotation, each worker would keep its connection, and workers without one would lose their leases and tasks.
 test('more workers than connections: connections are rotated, and every lease keeps being renewed', async () => {
   const stateStore = new StateStoreStandIn({ txnOps: 4, valueBytes: 4096 });
   await stateStore.start();
@@ -240,7 +243,9 @@
   const agents = Array.from({ length: 24 }, () => new Agent({ keepAlive: true, maxSockets: 1 }));
   try {
     await waitUntilHealthy(api);
-    await waitUntil('answers', () => cluster.workers.every((worker) => worker.fencingToken > 0));
+    await waitUntil('heartbeats are answered', () =>
+      cluster.workers.every((worker) => worker.fencingToken > 0),
+    );
     const invalidRequests: readonly [string, unknown][] = [
       ['/work', Buffer.from([0xff, 0x00, 0x13])],
       ['/work', Buffer.alloc(70 * 1024, 0x61)],
@@ -255,15 +260,15 @@
       for (let n = 0; flooding; n++) {
         const [path, body] = invalidRequests[n % invalidRequests.length] ?? ['/', null];
         const response = await call(api, 'POST', path, body, agent).catch(() => null);
-        // The oversized one may be cut off before its answer is read.
+        // The connection of the oversized request may be closed before its response is read.
         if (response !== null) assert.equal(response.status, 400);
         refused += response === null ? 0 : 1;
       }
     });
-    // Each worker's lease goes on being renewed: an answer to a report sent within the flood.
+    // Each worker's lease keeps being renewed: a heartbeat sent during the flood is answered.
     const startedAt = process.hrtime.bigint();
     await waitUntil(
-      'an answer for each worker',
+      'a heartbeat of each worker is answered',
       () => refused > 500 && cluster.workers.every((worker) => worker.lastRenewedAt > startedAt),
       20_000,
     );
--- a/test/features.test.ts
+++ b/test/features.test.ts
@@ -7,7 +7,7 @@
 import { SettingsError } from '../src/edge/config/settings-error.js';
 import { CLUSTER_CONFIG } from './fixtures/cluster-config.js';
 
-test('features are off unless they are named, and a mistake is reported with its line', () => {
+test('features are off unless the file names them, and a mistake is reported with its line number', () => {
   assert.deepEqual([...readFeatures(undefined)], []);
   assert.deepEqual([...parseFeatures('; none\n(features)', 'f')], []);
   assert.deepEqual([...parseFeatures('(features zone-recovery)', 'f')], ['zone-recovery']);
@@ -25,7 +25,7 @@
   expectError('\nfeatures', /^f:2: expected a list$/);
   expectError('(features', /^f: /);
   assert.throws(() => readFeatures('/nowhere/features.sexp'), SettingsError);
-  assert.deepEqual([...readFeatures('deploy/features.sexp')], [], 'what run starts with is read');
+  assert.deepEqual([...readFeatures('deploy/features.sexp')], [], 'the deployed features file is accepted');
 });
 
 test('the code of a feature is used only where it is enabled', () => {
--- a/test/http-client.test.ts
+++ b/test/http-client.test.ts
@@ -1,4 +1,4 @@
-/** @file The HTTP client: parsing, unknown outcomes and its connection pool. */
+/** @file The HTTP client: response parsing, unknown outcomes and the connection pool. */
 import assert from 'node:assert/strict';
 import { createServer, type Socket } from 'node:net';
 import { test } from 'node:test';
@@ -13,7 +13,7 @@
 const UNTIL_CLOSE = 'HTTP/1.1 503 Service Unavailable\r\n\r\nhello';
 const AFTER_CONTINUE = `HTTP/1.1 100 Continue\r\n\r\n${LENGTH}`;
 
-/** Feeds a response in pieces of a size, then ends the connection. */
+/** Parses a response in pieces of `pieceSize` bytes and then ends the connection; returns null if it is incomplete. */
 function readIn(pieceSize: number, text: string): HttpResponse | null {
   const raw = Buffer.from(text, 'latin1');
   const reader = new ResponseReader();
@@ -24,17 +24,17 @@
   return reader.close();
 }
 
-test('a response is parsed whole, however the network splits it', () => {
+test('a response is parsed completely, however the network splits it', () => {
   for (const text of [LENGTH, CHUNKED, UNTIL_CLOSE, AFTER_CONTINUE])
     for (const pieceSize of [1, 2, 7, 1000])
       assert.equal(readIn(pieceSize, text)?.body.toString(), 'hello', text);
   assert.equal(readIn(3, LENGTH)?.keepAlive, true);
   assert.equal(readIn(3, UNTIL_CLOSE)?.keepAlive, false);
   assert.equal(readIn(3, LENGTH.replace('\r\n\r\n', '\r\nconnection: Close\r\n\r\n'))?.keepAlive, false);
-  assert.equal(readIn(3, LENGTH.slice(0, -1)), null, 'a body cut short is no response');
+  assert.equal(readIn(3, LENGTH.slice(0, -1)), null, 'a truncated body is not a response');
 });
 
-test('bytes that are no response are refused instead of waited for', () => {
+test('bytes that are not an HTTP response are rejected at once instead of waiting for more', () => {
   const broken = ['SSH-2.0\r\n\r\n', 'HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n', 'x'.repeat(20_000)];
   for (const text of broken)
     assert.throws(() => readIn(1000, text), MalformedResponseError, text.slice(0, 40));
@@ -42,7 +42,7 @@
   assert.throws(() => readIn(1000, badChunk), MalformedResponseError);
 });
 
-/** A server on loopback that lets the test answer by hand. */
+/** Starts a server on loopback whose responses the test writes to the socket itself. */
 async function rawServer(
   onRequest: (socket: Socket) => void,
 ): Promise<{ address: string; close: () => void }> {
@@ -68,7 +68,7 @@
   );
 };
 
-// The difference decides whether a command may still be carried out: only `unsent` proves that it never will be.
+// The difference decides whether a command may still be executed: only `unsent` proves that it never will be.
 test('a request without a connection is unsent, one without a response has an unknown outcome', async () => {
   const unreachable = new HttpClient(reserveAddress(), 1);
   assert.equal((await unreachable.request('GET', '/', undefined, 500)).kind, 'unsent');
@@ -76,7 +76,7 @@
   const client = new HttpClient(silent.address, 1);
   const first = client.request('POST', '/', { a: 1 }, 80);
   const queued = client.request('POST', '/', { a: 2 }, 40);
-  assert.equal((await queued).kind, 'unsent', 'it never left the queue');
+  assert.equal((await queued).kind, 'unsent', 'it was never sent');
   assert.equal((await first).kind, 'unknown');
   silent.close();
   const closing = await rawServer((socket) => socket.destroy());
@@ -102,7 +102,7 @@
   assert.deepEqual(new Set(outcomes.map((a) => (a.kind === 'response' ? a.status : a.kind))), new Set([200]));
   assert.equal(sockets.size, 2);
   client.close();
-  // A pool that was closed starts anew.
+  // A closed pool opens new connections for new requests.
   assert.equal((await client.request('GET', '/', undefined, 1000)).kind, 'response');
   client.close();
   server.close();
--- a/test/watched-replica.test.ts
+++ b/test/watched-replica.test.ts
@@ -1,3 +1,4 @@
+/** @file The replica of the state store: loading, watching, compaction and malformed responses. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import pino from 'pino';
@@ -9,7 +10,7 @@
 
 const TIMEOUT_MS = 3000;
 
-/** A client that answers from scripts; a watch without an answer waits until it is aborted. */
+/** A client that returns scripted responses; a watch without one waits until it is aborted. */
 class ScriptedClient {
   readonly listedAfter: (string | null)[] = [];
   readonly watchedSince: number[] = [];
@@ -67,7 +68,7 @@
   return { replica, seen };
 }
 
-test('the replica is at the revision of the first page, and the changes since then make it consistent', async () => {
+test('the watch starts at the revision of the first page, and the changes since then make the replica consistent', async () => {
   const client = new ScriptedClient(
     [page(10, true, ['main/a', 3]), page(12, false, ['main/b', 11])],
     [changes(12, ['main/b', 'main/b@11', 11], ['main/a', null, 12])],
@@ -84,14 +85,14 @@
     assert.deepEqual(
       seen,
       ['main/a:3', 'main/b:11', 'main/a:deleted'],
-      'a change that is known is not announced',
+      'a change that the replica already contains is not announced again',
     );
   } finally {
     subscription.unsubscribe();
   }
 });
 
-test('after a compaction the keys are loaded again, and those that are gone are removed', async () => {
+test('after a compaction all keys are loaded again, and deleted keys are removed', async () => {
   const client = new ScriptedClient(
     [page(10, false, ['main/a', 3], ['main/b', 4]), page(20, false, ['main/b', 15])],
     [{ kind: 'compacted' }],
@@ -106,7 +107,7 @@
   }
 });
 
-test('a malformed watch response begins the load anew; the replica does not go back', async () => {
+test('a malformed watch response restarts the load; the replica does not go back to older values', async () => {
   const client = new ScriptedClient(
     [page(10, false, ['main/a', 9]), page(9, false, ['main/a', 8]), page(9, false, ['main/a', 8])],
     [new MalformedMessageError('watch response', 'body: invalid')],
@@ -123,7 +124,7 @@
   }
 });
 
-test('a wait that times out aborts the watch, which may hang on a dead connection', async () => {
+test('a wait that times out aborts the watch, which may be hanging on a dead connection', async () => {
   const client = new ScriptedClient([page(10, false)], []);
   const { replica } = replicaOf(client);
   const subscription = replica.start();
