--- a/test/dependencies.test.ts
+++ b/test/dependencies.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { DependencyGraph } from '../src/core/state/dependency-graph.js';
 
-/** A chain: each job needs the one before it. */
+/** A chain in which each job depends on the one before it. */
 function chain(length: number): DependencyGraph {
   const graph = new DependencyGraph();
   for (let n = 1; n < length; n++) graph.add(`j${n}`, [`j${n - 1}`]);
@@ -49,7 +49,7 @@
   assert.equal(graph.isCancelled('b'), false);
 });
 
-// Constant work for each dependency, not a walk over all jobs: thousands of them fit the smallest machines.
+// Each dependency costs constant work, not a walk over all jobs, so that thousands of jobs fit the smallest machines.
 test('deep chains and wide fan-outs cost work in proportion to their dependencies alone', () => {
   const size = 5000;
   const completedChain = chain(size);
@@ -68,5 +68,5 @@
   const fanOut = new DependencyGraph();
   for (let n = 0; n < size; n++) fanOut.add(`f${n}`, ['root']);
   assert.equal(fanOut.markFinished('root', 'done').ready.length, size);
-  assert.ok(fanOut.visitedDependencies <= 4 * size, `${fanOut.visitedDependencies} steps for a fan`);
+  assert.ok(fanOut.visitedDependencies <= 4 * size, `${fanOut.visitedDependencies} steps for a fan-out`);
 });
--- a/test/fleet-sizing.test.ts
+++ b/test/fleet-sizing.test.ts
@@ -1,4 +1,4 @@
-/** @file How many machines the scheduler requests, keeps and drains, and how often it runs a cycle. */
+/** @file How many machines the scheduler requests, keeps and drains, and how often it runs a scheduling cycle. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { forecastDemand } from '../src/core/capacity/demand-forecast.js';
@@ -9,8 +9,8 @@
 import { timeAt } from './fixtures/clock.js';
 import { createScheduler, createSchedulerWithType, heartbeatOf, openJob } from './fixtures/scheduler.js';
 
-// Seen on a large fleet: machines were requested for pending work only, and all work that arrived while they booted waited as
-// long again.
+// Guards against a failure seen on a large fleet: machines were requested for pending work only, and all work that
+// arrived while they booted waited as long again.
 test('scales out ahead of work that arrives steadily, not for a burst', () => {
   const scheduler = createSchedulerWithType({ previousLeader: 'none' });
   scheduler.handle({ kind: 'instance-inventory', machines: [], requestedAt: timeAt(0).monotonic }, timeAt(0));
@@ -24,10 +24,10 @@
       );
     }
   };
-  // A burst at the beginning is no arrival rate yet.
+  // A burst at the start does not count as an arrival rate yet.
   submit(0, 100);
   assert.equal(forecastDemand(scheduler.state, timeAt(4)).arriving, 0);
-  // From then on one task a second, half a machine each, for the 30 s of a boot.
+  // After that, one task per second arrives and needs half a machine, also during the 30 s of a boot.
   for (let s = 1; s < 60; s++) submit(s, 1);
   const { arriving } = forecastDemand(scheduler.state, timeAt(59));
   assert.ok(arriving > 13 && arriving < 17, `${arriving}`);
@@ -39,8 +39,8 @@
   assert.ok(requested > waiting + 10, `${requested} machines requested for ${waiting} pending`);
 });
 
-// Work with a distant deadline leaves the last empty machine to urgent work, but not for long: no job may wait for 90 s
-// while a machine that fits has free capacity.
+// Work with a distant deadline leaves the last empty machine to urgent work, but not for long, because no job may wait
+// for 90 s while a machine that fits has free capacity.
 test('a job with a distant deadline leaves the last empty machine free, and is assigned to it after 45 s', () => {
   const threshold = seconds(5);
   const config = { ...CLUSTER_CONFIG, objectives: [{ kind: 'wait', class: 'hasty', threshold, share: 0.9 }] };
@@ -73,7 +73,8 @@
   assert.equal(assigned(), 1);
 });
 
-// Seen on 5 % of a core: scheduling cycles with blocked gangs followed one another, and workers' leases expired meanwhile.
+// Guards against a failure seen on 5 % of a core: scheduling cycles with blocked gangs followed one another without a
+// pause, and worker leases expired meanwhile.
 test('slow scheduling cycles run at longer intervals, up to a maximum', () => {
   const scheduler = createScheduler({ previousLeader: 'none' });
   assert.equal(minCycleInterval(scheduler.state), 0n);
@@ -86,9 +87,10 @@
   assert.ok(minCycleInterval(scheduler.state) < seconds(0.001));
 });
 
-// Work without GPUs on some machines and work that takes all GPUs of others can be packed together: the number of machines
-// kept follows the demand for the scarcest resource, not the number of machines on which some resource is scarce.
-test('the fleet is sized for its scarcest resource, and the machines beyond are drained', () => {
+// Work without GPUs on some machines and work that uses all GPUs of others can be packed together. The number of
+// machines kept therefore follows the demand for the scarcest resource, not the number of machines on which some
+// resource is scarce.
+test('the fleet is sized for its scarcest resource, and the surplus machines are drained', () => {
   const scheduler = createSchedulerWithType({ previousLeader: 'none' });
   for (let n = 0; n < 8; n++) {
     scheduler.handle({ kind: 'heartbeat', heartbeat: heartbeatOf(`m${n}`) }, timeAt(0));
@@ -107,6 +109,6 @@
     machines.every((machine) => machine.assignments.size === 1),
     'each is in use',
   );
-  // Four machines' worth and the reserve of a third, and not eight.
+  // The demand of four machines and a reserve of a third are kept, not all eight machines.
   assert.equal(machines.filter((machine) => machine.draining).length, 2);
 });
--- a/test/job-completion.test.ts
+++ b/test/job-completion.test.ts
@@ -1,4 +1,4 @@
-/** @file Completion of jobs under a constant load of page changes. */
+/** @file The completion of jobs while pages change constantly. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { seconds } from '../src/core/model/time.js';
@@ -10,7 +10,8 @@
 import { createScheduler } from './fixtures/scheduler.js';
 
 test('a completed job is committed as done however many pages keep changing', () => {
-  // Seen on a large fleet: pages took every change of every transaction, and users heard of the end 100 s late.
+  // Guards against a failure seen on a large fleet: changed pages took up all operations of every transaction, and users
+  // learned of the completion 100 s late.
   const scheduler = createScheduler({ startedAt: 0n, previousLeader: 'none' });
   const state = scheduler.state;
   const now = { monotonic: seconds(1), wall: new Date(0) };
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -1,4 +1,4 @@
-/** @file Costs at 1,000 and 4,000 machines, by counts instead of time. */
+/** @file Costs at 1,000 and 4,000 machines, measured by counts instead of time. */
 import assert from 'node:assert/strict';
 import { setFlagsFromString } from 'node:v8';
 import { runInNewContext } from 'node:vm';
@@ -16,16 +16,16 @@
 import { jobSpec } from './fixtures/cluster-config.js';
 
 /**
- * Fleets of 1,000 and 4,000 machines, played through the core and counted instead of timed: what is constant stays so,
- * and the rest grows no faster than the fleet.
+ * Simulated fleets of these numbers of machines run through the core. Constant costs must stay constant, and all others
+ * must grow no faster than the fleet.
  */
 const SIZES = [1000, 4000] as const;
 const ARRAY = { cpus: 10, gpus: 1, memory: 54, taskCount: 40, priority: 'low' as const };
 const TASKS_PER_MACHINE = 4;
-/** Time for all tasks to be placed, recorded and started. */
+/** Seconds within which all tasks are assigned, committed and started. */
 const SETTLE_S = 10;
 
-/** Counts the entries that anything takes from the map by walking over it. */
+/** Counts the entries that are visited by iterating over the map, from now on. */
 function countVisitedEntries<K, V>(map: Map<K, V>): { steps: number } {
   const visited = { steps: 0 };
   const entries = map.entries.bind(map);
@@ -64,7 +64,7 @@
 const runningTaskCount = (fleet: SimulatedFleet): number =>
   [...fleet.tasks.values()].reduce((sum, tasks) => sum + tasks.length, 0);
 
-/** What one size came to. */
+/** The costs measured for one fleet size. Idle costs are those of `IDLE_S` seconds in which nothing changes. */
 interface FleetCosts {
   readonly heartbeatSteps: number;
   readonly idleScannedMachines: number;
@@ -107,16 +107,20 @@
   const [small, large] = SIZES.map(measureCosts);
   assert.ok(small !== undefined && large !== undefined);
   for (const costs of [small, large]) {
-    assert.equal(costs.heartbeatSteps, 0, 'a report looks at its own machine alone');
-    assert.equal(costs.idleScannedMachines, 0, 'a pass in which nothing changed looks at no machine');
-    assert.equal(costs.idleCommits, 0, 'nothing is written at rest');
-    assert.ok(costs.operationsPerTask < 0.03, `${costs.operationsPerTask} changes a placed task`);
-    assert.ok(costs.bytesPerMachine < 6000, `${costs.bytesPerMachine} bytes a machine with its tasks`);
+    assert.equal(costs.heartbeatSteps, 0, 'a heartbeat looks at its own machine alone');
+    assert.equal(
+      costs.idleScannedMachines,
+      0,
+      'a scheduling cycle in which nothing changed looks at no machine',
+    );
+    assert.equal(costs.idleCommits, 0, 'nothing is written while idle');
+    assert.ok(costs.operationsPerTask < 0.03, `${costs.operationsPerTask} operations per assigned task`);
+    assert.ok(costs.bytesPerMachine < 6000, `${costs.bytesPerMachine} bytes per machine with its tasks`);
   }
   assert.ok(large.idleSteps <= 4.05 * small.idleSteps, `${small.idleSteps} to ${large.idleSteps}`);
   assert.ok(
     large.bytesPerMachine <= 1.15 * small.bytesPerMachine,
-    `${small.bytesPerMachine} to ${large.bytesPerMachine} bytes a machine`,
+    `${small.bytesPerMachine} to ${large.bytesPerMachine} bytes per machine`,
   );
 });
 
@@ -136,7 +140,7 @@
   assert.equal(fleet.commits, 0);
 });
 
-/** A followed copy without a state store. */
+/** A replica that the test fills itself, without a state store. */
 class FakeReplicaView {
   readonly replica = new Map<string, ReplicaEntry>();
   readonly changes = new Subject<KeyChange>();
@@ -183,7 +187,7 @@
   putAssignments(0, 100);
   clock += 2n * 60n * 1_000_000_000n;
   putAssignments(100, 200);
-  assert.equal(observer.machineCount, 200, 'those not seen for twenty minutes are gone');
+  assert.equal(observer.machineCount, 200, 'machines not seen for twenty minutes are dropped');
   assert.equal(observer.likelyCached(1).length, 200);
   subscription.unsubscribe();
 });
@@ -207,5 +211,5 @@
   tasks.push('a', recordAfter('a4', 1));
   subscription.unsubscribe();
   await new Promise((resolve) => setTimeout(resolve, 30));
-  assert.deepEqual(order.slice(3), ['a3'], 'what has not begun at the end is dropped');
+  assert.deepEqual(order.slice(3), ['a3'], 'tasks that have not begun when the queue ends are dropped');
 });
--- a/test/memory-bounds.test.ts
+++ b/test/memory-bounds.test.ts
@@ -1,4 +1,7 @@
-/** @file Memory that does not grow with finished jobs, and work that is not repeated while nothing changes. */
+/**
+ * @file Guards properties that small machines need, by counts: memory does not grow with the number of jobs that were
+ * ever run, and no work is repeated while nothing changes.
+ */
 import assert from 'node:assert/strict';
 import { Subject } from 'rxjs';
 import { test } from 'node:test';
@@ -16,11 +19,7 @@
 import { timeAt } from './fixtures/clock.js';
 import { createSchedulerWithType } from './fixtures/scheduler.js';
 
-/**
- * What was won for small machines, guarded by counts: memory that does not grow with the jobs that were ever run, and
- * nothing that is done anew while nothing changes.
- */
-/** A followed copy without a state store. */
+/** A replica that the test fills itself, without a state store. */
 class FakeReplicaView {
   readonly replica = new Map<string, ReplicaEntry>();
   readonly changes = new Subject<KeyChange>();
@@ -94,8 +93,9 @@
   subscription.unsubscribe();
 });
 
-// Its tasks may still run: a new leader must know what they take of their team's limit and of their machines.
-test('a cancelled job is kept whole while a task of it is assigned, or while the replica is reloading', () => {
+// The tasks of a cancelled job may still run: a new leader must count them against their team's quota and the capacity of
+// their machines.
+test('a cancelled job keeps its full record while a task of it is assigned, or while the replica is reloading', () => {
   const replicaView = new FakeReplicaView();
   const compactor = new FinishedJobCompactor(replicaView, new TaskCounts(replicaView));
   const subscription = compactor.start();
@@ -113,7 +113,7 @@
   subscription.unsubscribe();
 });
 
-test('a standby decodes each page once, before it takes over; a leader decodes none', () => {
+test('a standby decodes each page once, before a failover; a leader decodes none', () => {
   const replicaView = new FakeReplicaView();
   const pages = new DecodedPageCache();
   let leading = false;
@@ -125,7 +125,7 @@
   const entry = replicaView.replica.get(pageKey('all', 0));
   assert.ok(entry);
   assert.equal(pages.entriesOf(entry)[0]?.record.assignments.length, 2);
-  assert.equal(pages.decodedPageCount, 1, 'a takeover takes nothing apart that was followed');
+  assert.equal(pages.decodedPageCount, 1, 'a failover decodes no page again that the standby has watched');
   leading = true;
   replicaView.putAssignments('req-1', ['m1']);
   assert.equal(pages.decodedPageCount, 1);
@@ -149,7 +149,7 @@
     scheduler.handle({ kind: 'leadership-confirmed', confirmedAt: timeAt(n).monotonic }, timeAt(n));
     scheduler.handle({ kind: 'tick' }, timeAt(n));
   }
-  assert.ok(scheduler.state.jobs.byId.size <= 125, `${scheduler.state.jobs.byId.size} jobs are held`);
+  assert.ok(scheduler.state.jobs.byId.size <= 125, `${scheduler.state.jobs.byId.size} jobs are kept`);
   assert.equal(scheduler.state.jobs.byId.size, scheduler.state.jobs.finished.size);
 });
 
--- a/test/scoring.test.ts
+++ b/test/scoring.test.ts
@@ -1,4 +1,4 @@
-/** @file The CPU grant and contention cost that scoring uses. */
+/** @file The granted CPU and the contention cost that scoring uses. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { contentionCost, grantedCpu } from '../src/core/scheduling/scoring.js';
--- a/test/transactions.test.ts
+++ b/test/transactions.test.ts
@@ -5,8 +5,9 @@
 import { timeAt } from './fixtures/clock.js';
 import { createSchedulerWithType, heartbeatOf, openJob } from './fixtures/scheduler.js';
 
-// After an outage hundreds of one-task jobs are placed in one pass. Each of them has its key guarded when its place is
-// committed, and a page with more of them than a transaction takes conditions could never be written.
+// After an outage, hundreds of one-task jobs are assigned in one scheduling cycle. Committing an assignment needs a
+// compare condition on the key of its job, so a page with more such jobs than a transaction takes conditions could never
+// be written.
 test('however many small jobs are assigned at once, all assignments are committed', () => {
   for (const maxOperations of [4, 8]) {
     const startedAt = timeAt(0).monotonic;
@@ -43,7 +44,7 @@
     assert.equal(
       uncommittedPages.length,
       0,
-      `${uncommittedPages.length} pages are never committed with ${maxOperations} changes`,
+      `${uncommittedPages.length} pages are never committed with ${maxOperations} operations`,
     );
   }
 });
--- a/test/zones.test.ts
+++ b/test/zones.test.ts
@@ -1,4 +1,4 @@
-/** @file How the scheduler consults a zone policy, and what it does with the answers. */
+/** @file How the scheduler consults a zone policy for lost and returning zones, and how it applies the answers. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Effect } from '../src/core/model/effects.js';
@@ -9,9 +9,7 @@
 import { timeAt } from './fixtures/clock.js';
 import { createSchedulerWithType } from './fixtures/scheduler.js';
 
-// Where the core asks a policy for lost and returning zones, and what it does with the answers.
-
-/** A policy that says what it is told to. */
+/** A policy whose answers the test sets. */
 class StubZonePolicy implements ZonePolicy {
   lastObservation: FleetObservation | null = null;
   unavailableZones = new Set<string>();
@@ -40,11 +38,11 @@
   }
 
   restore(): void {
-    // Nothing is kept.
+    // This policy has no state to restore.
   }
 }
 
-/** A leader with machines that report when they are told to. */
+/** A leader, and machines whose heartbeats the test sends explicitly. */
 class Fleet {
   readonly scheduler: ClusterScheduler;
   private sequence = 0;
@@ -99,7 +97,7 @@
 const REPLICA: Partial<JobSpec> = { kind: 'service', priority: 'production', gpus: 2, cpus: 8, memory: 8 };
 const LOW_PRIORITY_ARRAY: Partial<JobSpec> = { priority: 'low', taskCount: 2 };
 
-/** A replica on e1, which then falls silent; w1 has room for it. */
+/** A fleet with a service replica on e1, which then stops sending heartbeats; w1 has capacity for the replica. */
 function withLostReplica(policy: StubZonePolicy | null): Fleet {
   const fleet = new Fleet(policy);
   fleet.sendHeartbeats(0, 'e1');
@@ -124,11 +122,11 @@
   assert.equal(fleetWithPolicy.assignmentsOn('w1').length, 2);
 });
 
-test('scales out for a replica that may be lost before that is certain, but not in an unavailable zone', () => {
+test('scales out for a replica that may be lost before the loss is certain, but not in an unavailable zone', () => {
   const scaleOutZones = (policy: StubZonePolicy | null): string[] => {
     const fleet = withLostReplica(policy);
     fleet.submit(7, 'req-2', { ...LOW_PRIORITY_ARRAY, priority: 'production', taskCount: 1, gpus: 2 });
-    assert.equal(fleet.assignmentsOn('w1').length, 1, 'w1 is taken');
+    assert.equal(fleet.assignmentsOn('w1').length, 1, 'w1 is occupied');
     fleet.sendHeartbeats(9, 'w1');
     return fleet.tick(9).flatMap((effect) => (effect.kind === 'scale-out' ? [effect.request.zone] : []));
   };
@@ -153,10 +151,14 @@
   fleet.submit(3, 'req-3', { priority: 'high', kind: 'gang', taskCount: 2 });
   fleet.sendHeartbeats(3.5, 'e1', 'w1');
   fleet.tick(4);
-  assert.deepEqual(fleet.assignmentsOn('w1'), lowPriorityTasks, 'nothing is stopped where it could not go');
+  assert.deepEqual(
+    fleet.assignmentsOn('w1'),
+    lowPriorityTasks,
+    'nothing is preempted where the policy admits no work',
+  );
 });
 
-test('an idle machine of an unavailable zone is not released: work is to return to it', () => {
+test('an idle machine of an unavailable zone is not released, because work is to return to it', () => {
   const releasedCount = (policy: StubZonePolicy | null): number => {
     const fleet = new Fleet(policy);
     let names: readonly string[] = [];
@@ -173,7 +175,7 @@
   assert.equal(releasedCount(policy), 0);
 });
 
-test('the policy observes responsive machines, and that nothing is certain while workers still look for the leader', () => {
+test('the policy observes responsive machines, and unconfirmed leadership while workers still look for the leader', () => {
   const policy = new StubZonePolicy();
   const fleet = new Fleet(policy);
   fleet.sendHeartbeats(1, 'e1', 'e2', 'w1');
