--- a/test/simulation.test.ts
+++ b/test/simulation.test.ts
@@ -33,7 +33,7 @@
   outboundLost: boolean;
   /** It stands still until then, and what is sent to it waits. */
   pausedUntil: number;
-  tasks: Map<string, ReportedTask & { ends: number }>;
+  tasks: Map<string, ReportedTask & { endsAt: number }>;
 }
 
 /** A small world round the core: late, lost and doubled messages, sessions that end, takeovers, cancellations. */
@@ -49,8 +49,11 @@
   private storedFencingToken = 0;
   private revision = 1;
   private readonly workers: SimulatedWorker[] = [];
-  private readonly jobs = new Map<string, { record: JobRecord; stamp: number; cancelled: number | null }>();
-  private readonly pages = new Map<number, { entries: readonly PageEntry[]; stamp: number }>();
+  private readonly jobs = new Map<
+    string,
+    { record: JobRecord; modRevision: number; cancelledAt: number | null }
+  >();
+  private readonly pages = new Map<number, { entries: readonly PageEntry[]; modRevision: number }>();
   private readonly messages: { due: number; run: () => void }[] = [];
   private committing = false;
   startCount = 0;
@@ -97,36 +100,36 @@
 
   /** A new term: a higher token, and everything known comes from what was committed. */
   private startTerm(): ClusterScheduler {
-    const began = this.now().monotonic;
+    const startedAt = this.now().monotonic;
     const token = ++this.revision;
     this.storedFencingToken = token;
     const scheduler = new ClusterScheduler(CLUSTER_CONFIG, DEFAULT_SETTINGS, {
       fencingToken: token,
-      startedAt: began,
-      confirmedAt: began,
-      previousLeadersDeadline: previousLeadersDeadlineFrom(CLUSTER_CONFIG, began),
+      startedAt,
+      confirmedAt: startedAt,
+      previousLeadersDeadline: previousLeadersDeadlineFrom(CLUSTER_CONFIG, startedAt),
     });
     // Half of the leaders that lose the part do not know it yet and go on answering.
     this.previousLeader = this.hadLeader && this.randomBelow(2) === 0 ? this.scheduler : null;
     this.hadLeader = true;
     this.scheduler = scheduler;
     this.committing = false;
-    this.event({ kind: 'machine-types', types: [MACHINE_TYPE] });
-    for (const [id, j] of this.jobs)
-      this.event({ kind: 'job-changed', id, record: j.record, modRevision: j.stamp });
-    for (const [id, p] of this.pages)
-      this.event({ kind: 'page-loaded', id, entries: p.entries, modRevision: p.stamp });
+    this.handleEvent({ kind: 'machine-types', types: [MACHINE_TYPE] });
+    for (const [id, job] of this.jobs)
+      this.handleEvent({ kind: 'job-changed', id, record: job.record, modRevision: job.modRevision });
+    for (const [id, page] of this.pages)
+      this.handleEvent({ kind: 'page-loaded', id, entries: page.entries, modRevision: page.modRevision });
     return scheduler;
   }
 
-  private event(event: Event): void {
+  private handleEvent(event: Event): void {
     for (const effect of this.scheduler.handle(event, this.now())) this.applyEffect(effect);
     this.commit();
   }
 
-  private deliverWithin(most: number, run: () => void): void {
+  private deliverWithin(maxDelayS: number, run: () => void): void {
     this.messages.push({
-      due: this.secondsElapsed + this.randomBelow(Math.max(1, Math.round(most * 10))) / 10,
+      due: this.secondsElapsed + this.randomBelow(Math.max(1, Math.round(maxDelayS * 10))) / 10,
       run,
     });
   }
@@ -137,16 +140,19 @@
       this.deliverWithin(0.5, () => {
         if (scheduler !== this.scheduler) return;
         this.storedFencingToken = ++this.revision;
-        this.event({ kind: 'token-advanced', fencingToken: this.storedFencingToken });
+        this.handleEvent({ kind: 'token-advanced', fencingToken: this.storedFencingToken });
       });
     }
     if (effect.kind !== 'send-commands') return;
     const token = scheduler.state.term.fencingToken;
     const worker = this.workers.find((worker) => worker.name === effect.machineName);
     assert.ok(worker !== undefined);
-    const tell = (outcome: 'executed' | 'refused' | 'unknown', heartbeat: Heartbeat | null): void => {
+    const reportOutcome = (
+      outcome: 'executed' | 'refused' | 'unknown',
+      heartbeat: Heartbeat | null,
+    ): void => {
       if (scheduler !== this.scheduler) return;
-      this.event({
+      this.handleEvent({
         kind: 'commands-answered',
         machineName: effect.machineName,
         agentEpoch: effect.agentEpoch,
@@ -156,24 +162,24 @@
         heartbeat,
       });
     };
-    const arrive = (): boolean => {
+    const deliver = (): boolean => {
       // Also a machine that stood still finds its lease over before it takes anything in.
       this.expireLease(worker);
-      const ok = token >= worker.fencingToken && effect.agentEpoch === worker.agentEpoch;
-      if (ok) this.applyCommands(worker, token, effect.commands);
-      return ok;
+      const accepted = token >= worker.fencingToken && effect.agentEpoch === worker.agentEpoch;
+      if (accepted) this.applyCommands(worker, token, effect.commands);
+      return accepted;
     };
     // What is sent to a machine that stands still is carried out when it goes on.
-    const resumes = Math.max(0, worker.pausedUntil - this.secondsElapsed);
+    const remainingPauseS = Math.max(0, worker.pausedUntil - this.secondsElapsed);
     // One in five is given up on and may arrive up to a minute later, or never.
-    if (this.randomBelow(5) === 0 || worker.partitioned || worker.inboundLost || resumes > 1) {
-      this.deliverWithin(1, () => tell('unknown', null));
-      if (resumes > 1) this.messages.push({ due: worker.pausedUntil, run: arrive });
-      else if (!worker.inboundLost && this.randomBelow(3) > 0) this.deliverWithin(60, () => arrive());
+    if (this.randomBelow(5) === 0 || worker.partitioned || worker.inboundLost || remainingPauseS > 1) {
+      this.deliverWithin(1, () => reportOutcome('unknown', null));
+      if (remainingPauseS > 1) this.messages.push({ due: worker.pausedUntil, run: deliver });
+      else if (!worker.inboundLost && this.randomBelow(3) > 0) this.deliverWithin(60, () => deliver());
     } else
       this.deliverWithin(0.3, () => {
-        const ok = arrive();
-        tell(ok ? 'executed' : 'refused', this.nextHeartbeat(worker));
+        const accepted = deliver();
+        reportOutcome(accepted ? 'executed' : 'refused', this.nextHeartbeat(worker));
       });
   }
 
@@ -190,11 +196,11 @@
     worker.fencingToken = token;
     for (const command of commands) {
       const key = `${command.jobId}/${command.taskIndex}#${command.attempt}`;
-      const held = worker.tasks.get(key);
-      if (command.op === 'start' && held === undefined) this.startTask(worker, command, key);
-      if (command.op === 'stop' && held !== undefined && held.state !== 'exited')
-        worker.tasks.set(key, { ...held, state: 'exited', exitReason: 'stopped' });
-      if (command.op === 'forget' && held?.state === 'exited') worker.tasks.delete(key);
+      const existing = worker.tasks.get(key);
+      if (command.op === 'start' && existing === undefined) this.startTask(worker, command, key);
+      if (command.op === 'stop' && existing !== undefined && existing.state !== 'exited')
+        worker.tasks.set(key, { ...existing, state: 'exited', exitReason: 'stopped' });
+      if (command.op === 'forget' && existing?.state === 'exited') worker.tasks.delete(key);
     }
   }
 
@@ -207,15 +213,19 @@
     const recorded = this.pageEntriesOf(command.jobId).flatMap((entry) => entry.record.assignments);
     assert.ok(
       recorded.some(
-        (i) =>
-          i.taskIndex === command.taskIndex && i.attempt === command.attempt && i.machineName === worker.name,
+        (assignment) =>
+          assignment.taskIndex === command.taskIndex &&
+          assignment.attempt === command.attempt &&
+          assignment.machineName === worker.name,
       ),
       `${key} starts on ${worker.name} without a recorded place`,
     );
     for (const other of this.workers)
-      for (const t of other.tasks.values())
+      for (const otherTask of other.tasks.values())
         assert.ok(
-          t.state === 'exited' || t.jobId !== command.jobId || t.taskIndex !== command.taskIndex,
+          otherTask.state === 'exited' ||
+            otherTask.jobId !== command.jobId ||
+            otherTask.taskIndex !== command.taskIndex,
           `${command.jobId}/${command.taskIndex} starts on ${worker.name} while on ${other.name}`,
         );
     const task = {
@@ -226,23 +236,23 @@
       exitReason: null,
       checkpointed: false,
     };
-    worker.tasks.set(key, { ...task, ends: this.secondsElapsed + 2 + this.randomBelow(15) });
+    worker.tasks.set(key, { ...task, endsAt: this.secondsElapsed + 2 + this.randomBelow(15) });
   }
 
-  private pageEntriesOf(job: string): PageEntry[] {
-    return [...this.pages.values()].flatMap((p) => p.entries.filter((entry) => entry.jobId === job));
+  private pageEntriesOf(jobId: string): PageEntry[] {
+    return [...this.pages.values()].flatMap((page) => page.entries.filter((entry) => entry.jobId === jobId));
   }
 
   private nextHeartbeat(worker: SimulatedWorker): Heartbeat {
     worker.sequence += 1;
     const tasks = [...worker.tasks.values()].map(
-      ({ jobId: job, taskIndex: task, attempt, state, exitReason: why, checkpointed: saved }) => ({
-        jobId: job,
-        taskIndex: task,
+      ({ jobId, taskIndex, attempt, state, exitReason, checkpointed }) => ({
+        jobId,
+        taskIndex,
         attempt,
         state,
-        exitReason: why,
-        checkpointed: saved,
+        exitReason,
+        checkpointed,
       }),
     );
     return {
@@ -265,41 +275,47 @@
     if (worker.outboundLost) return;
     // A report that is held back arrives late and its answer is dropped; it may also come twice.
     if (worker.partitioned || this.randomBelow(12) === 0)
-      return this.deliverWithin(40, () => this.event({ kind: 'heartbeat', heartbeat }));
-    if (this.randomBelow(8) === 0) this.deliverWithin(40, () => this.event({ kind: 'heartbeat', heartbeat }));
+      return this.deliverWithin(40, () => this.handleEvent({ kind: 'heartbeat', heartbeat }));
+    if (this.randomBelow(8) === 0)
+      this.deliverWithin(40, () => this.handleEvent({ kind: 'heartbeat', heartbeat }));
     // Workers stay with the leader they have for as long as it answers.
-    const answer = this.answerByPreviousLeader(heartbeat) ?? this.answerByLeader(heartbeat);
+    const response = this.answerByPreviousLeader(heartbeat) ?? this.answerByLeader(heartbeat);
     if (
       worker.inboundLost ||
       this.randomBelow(12) === 0 ||
-      answer.token < worker.fencingToken ||
+      response.token < worker.fencingToken ||
       heartbeat.agentEpoch !== worker.agentEpoch
     )
       return;
     worker.lastRenewedAt = sent;
-    this.applyCommands(worker, answer.token, answer.orders);
+    this.applyCommands(worker, response.token, response.commands);
   }
 
-  private answerByLeader(heartbeat: Heartbeat): { token: number; orders: WorkerCommand[] } {
-    this.event({ kind: 'heartbeat', heartbeat });
+  private answerByLeader(heartbeat: Heartbeat): { token: number; commands: WorkerCommand[] } {
+    this.handleEvent({ kind: 'heartbeat', heartbeat });
     return {
       token: this.scheduler.state.term.fencingToken,
-      orders: this.scheduler.answerHeartbeat(heartbeat, this.now()),
+      commands: this.scheduler.answerHeartbeat(heartbeat, this.now()),
     };
   }
 
-  private answerByPreviousLeader(heartbeat: Heartbeat): { token: number; orders: WorkerCommand[] } | null {
-    const former = this.previousLeader;
-    if (former === null) return null;
-    if (!mayAcknowledgeHeartbeats(CLUSTER_CONFIG, former.state.term.confirmedAt, this.now().monotonic)) {
+  private answerByPreviousLeader(heartbeat: Heartbeat): { token: number; commands: WorkerCommand[] } | null {
+    const previousLeader = this.previousLeader;
+    if (previousLeader === null) return null;
+    if (
+      !mayAcknowledgeHeartbeats(CLUSTER_CONFIG, previousLeader.state.term.confirmedAt, this.now().monotonic)
+    ) {
       this.previousLeader = null;
       return null;
     }
-    for (const effect of former.handle({ kind: 'heartbeat', heartbeat }, this.now()))
-      this.applyEffect(effect, former);
+    for (const effect of previousLeader.handle({ kind: 'heartbeat', heartbeat }, this.now()))
+      this.applyEffect(effect, previousLeader);
     if (this.previousLeader === null) return null;
     this.answeredByPreviousLeader += 1;
-    return { token: former.state.term.fencingToken, orders: former.answerHeartbeat(heartbeat, this.now()) };
+    return {
+      token: previousLeader.state.term.fencingToken,
+      commands: previousLeader.answerHeartbeat(heartbeat, this.now()),
+    };
   }
 
   private commit(): void {
@@ -311,94 +327,101 @@
   }
 
   /** One in six has no answer: it was carried out, or comes seconds later, after newer ones; it is sent again. */
-  private sendTransaction(transaction: Transaction, scheduler: ClusterScheduler, doubtful: boolean): void {
-    const fate = this.randomBelow(6) === 0 ? this.randomBelow(2) : 2;
-    if (fate === 0)
+  private sendTransaction(transaction: Transaction, scheduler: ClusterScheduler, isRetry: boolean): void {
+    const outcome = this.randomBelow(6) === 0 ? this.randomBelow(2) : 2;
+    if (outcome === 0)
       this.deliverWithin(12, () => {
         this.lateTransactions += 1;
         this.applyTransaction(transaction);
       });
     this.deliverWithin(0.3, () => {
-      const stamp = fate === 0 ? null : this.applyTransaction(transaction);
+      const modRevision = outcome === 0 ? null : this.applyTransaction(transaction);
       if (scheduler !== this.scheduler) return;
-      if (fate < 2) return this.deliverWithin(1.5, () => this.sendTransaction(transaction, scheduler, true));
+      if (outcome < 2)
+        return this.deliverWithin(1.5, () => this.sendTransaction(transaction, scheduler, true));
       this.committing = false;
       // A page has one writer: one that moved on was moved by an earlier copy of the same transaction.
-      const moved = transaction.pages.find(
-        (page) => (this.pages.get(page.id)?.stamp ?? 0) !== page.modRevision,
+      const changedPage = transaction.pages.find(
+        (page) => (this.pages.get(page.id)?.modRevision ?? 0) !== page.modRevision,
       );
-      if (stamp !== null) this.event({ kind: 'transaction-committed', transaction, modRevision: stamp });
-      else if (doubtful && moved !== undefined)
-        this.event({
+      if (modRevision !== null) this.handleEvent({ kind: 'transaction-committed', transaction, modRevision });
+      else if (isRetry && changedPage !== undefined)
+        this.handleEvent({
           kind: 'transaction-committed',
           transaction,
-          modRevision: this.pages.get(moved.id)?.stamp ?? 0,
+          modRevision: this.pages.get(changedPage.id)?.modRevision ?? 0,
         });
-      else if (doubtful && transaction.pages.length === 0 && this.isApplied(transaction))
-        this.event({ kind: 'transaction-committed', transaction, modRevision: this.revision });
+      else if (isRetry && transaction.pages.length === 0 && this.isApplied(transaction))
+        this.handleEvent({ kind: 'transaction-committed', transaction, modRevision: this.revision });
       else {
-        assert.equal(moved, undefined, 'one writer per page');
+        assert.equal(changedPage, undefined, 'one writer per page');
         this.commit();
       }
     });
   }
 
-  private isApplied({ completedJobs: done, cancelledJobs: cancelled }: Transaction): boolean {
-    const standing = (id: string): string | undefined => this.jobs.get(id)?.record.status;
+  private isApplied({ completedJobs, cancelledJobs }: Transaction): boolean {
+    const statusOf = (id: string): string | undefined => this.jobs.get(id)?.record.status;
     return (
-      done.every((id) => standing(id) === 'done') && cancelled.every((id) => standing(id) === 'cancelled')
+      completedJobs.every((id) => statusOf(id) === 'done') &&
+      cancelledJobs.every((id) => statusOf(id) === 'cancelled')
     );
   }
 
   private dependsOnCancelled(id: string): boolean {
     return (this.jobs.get(id)?.record.spec.dependencies ?? []).some(
-      (each) => this.jobs.get(each)?.record.status === 'cancelled' || this.dependsOnCancelled(each),
+      (dependencyId) =>
+        this.jobs.get(dependencyId)?.record.status === 'cancelled' || this.dependsOnCancelled(dependencyId),
     );
   }
 
   /** What the state store does with a transaction: null if one of its guards fails. */
   private applyTransaction(transaction: Transaction): number | null {
     if (transaction.fencingToken !== this.storedFencingToken) return null;
-    for (const [id, stamp] of transaction.jobConditions) if (this.jobs.get(id)?.stamp !== stamp) return null;
+    for (const [id, modRevision] of transaction.jobConditions)
+      if (this.jobs.get(id)?.modRevision !== modRevision) return null;
     for (const page of transaction.pages)
-      if ((this.pages.get(page.id)?.stamp ?? 0) !== page.modRevision) return null;
-    const stamp = ++this.revision;
-    for (const page of transaction.pages) this.pages.set(page.id, { entries: page.entries, stamp });
+      if ((this.pages.get(page.id)?.modRevision ?? 0) !== page.modRevision) return null;
+    const modRevision = ++this.revision;
+    for (const page of transaction.pages) this.pages.set(page.id, { entries: page.entries, modRevision });
     for (const id of transaction.completedJobs) {
-      const j = this.jobs.get(id);
-      assert.ok(j !== undefined && j.record.status === 'open');
-      const all = this.pageEntriesOf(id).reduce((n, entry) => n + entry.record.completedTasks.length, 0);
-      assert.equal(all, j.record.spec.taskCount, 'done is committed only with all results');
-      this.jobs.set(id, { ...j, record: { ...j.record, status: 'done' }, stamp });
+      const job = this.jobs.get(id);
+      assert.ok(job !== undefined && job.record.status === 'open');
+      const resultCount = this.pageEntriesOf(id).reduce(
+        (count, entry) => count + entry.record.completedTasks.length,
+        0,
+      );
+      assert.equal(resultCount, job.record.spec.taskCount, 'done is committed only with all results');
+      this.jobs.set(id, { ...job, record: { ...job.record, status: 'done' }, modRevision });
       this.completedCount += 1;
     }
     for (const id of transaction.cancelledJobs) {
-      const j = this.jobs.get(id);
-      assert.ok(j !== undefined && j.record.status === 'open');
+      const job = this.jobs.get(id);
+      assert.ok(job !== undefined && job.record.status === 'open');
       assert.ok(this.dependsOnCancelled(id), 'only jobs that need a cancelled one');
-      this.jobs.set(id, { ...j, record: { ...j.record, status: 'cancelled' }, stamp });
+      this.jobs.set(id, { ...job, record: { ...job.record, status: 'cancelled' }, modRevision });
     }
-    return stamp;
+    return modRevision;
   }
 
-  step(n: number): void {
+  step(stepIndex: number): void {
     this.secondsElapsed = Math.round((this.secondsElapsed + 0.1) * 10) / 10;
-    for (const m of this.messages.filter((x) => x.due <= this.secondsElapsed)) {
-      this.messages.splice(this.messages.indexOf(m), 1);
-      m.run();
+    for (const message of this.messages.filter((candidate) => candidate.due <= this.secondsElapsed)) {
+      this.messages.splice(this.messages.indexOf(message), 1);
+      message.run();
     }
     for (const worker of this.workers) {
       if (this.randomBelow(900) === 0) worker.pausedUntil = this.secondsElapsed + 1 + this.randomBelow(14);
       if (this.secondsElapsed < worker.pausedUntil) {
         // A machine that stands still runs nothing; it may go on within its lease, and no later.
         this.expireLease(worker);
-        for (const [k, t] of worker.tasks) worker.tasks.set(k, { ...t, ends: t.ends + 0.1 });
+        for (const [key, task] of worker.tasks) worker.tasks.set(key, { ...task, endsAt: task.endsAt + 0.1 });
         continue;
       }
-      for (const [k, t] of worker.tasks)
-        if (t.state === 'running' && t.ends <= this.secondsElapsed)
-          worker.tasks.set(k, {
-            ...t,
+      for (const [key, task] of worker.tasks)
+        if (task.state === 'running' && task.endsAt <= this.secondsElapsed)
+          worker.tasks.set(key, {
+            ...task,
             state: 'exited',
             exitReason: this.randomBelow(8) === 0 ? 'error' : 'done',
           });
@@ -406,91 +429,98 @@
       if (this.randomBelow(400) === 0) worker.partitioned = !worker.partitioned;
       if (this.randomBelow(600) === 0) worker.inboundLost = !worker.inboundLost;
       if (this.randomBelow(600) === 0) worker.outboundLost = !worker.outboundLost;
-      if ((n + Number(worker.name.slice(1)) * 2) % 10 === 0) this.sendHeartbeat(worker);
+      if ((stepIndex + Number(worker.name.slice(1)) * 2) % 10 === 0) this.sendHeartbeat(worker);
     }
-    if (n % 10 === 0) this.event({ kind: 'leadership-confirmed', confirmedAt: this.now().monotonic });
-    if (n % 3 === 0) {
+    if (stepIndex % 10 === 0)
+      this.handleEvent({ kind: 'leadership-confirmed', confirmedAt: this.now().monotonic });
+    if (stepIndex % 3 === 0) {
       // In such a run the process is behind two fifths of the time, and leaves all orders to the answers to reports.
-      if (this.overloaded) this.scheduler.recordEventLoopLag(n % 1000 >= 600 ? seconds(0.5) : 0n);
-      this.event({ kind: 'tick' });
-      const former = this.previousLeader;
-      if (former !== null)
-        for (const effect of former.handle({ kind: 'tick' }, this.now())) this.applyEffect(effect, former);
+      if (this.overloaded) this.scheduler.recordEventLoopLag(stepIndex % 1000 >= 600 ? seconds(0.5) : 0n);
+      this.handleEvent({ kind: 'tick' });
+      const previousLeader = this.previousLeader;
+      if (previousLeader !== null)
+        for (const effect of previousLeader.handle({ kind: 'tick' }, this.now()))
+          this.applyEffect(effect, previousLeader);
     }
-    if (this.randomBelow(40) === 0) this.submitJob(n);
+    if (this.randomBelow(40) === 0) this.submitJob(stepIndex);
     if (this.randomBelow(120) === 0) this.cancelJob();
     if (this.randomBelow(this.failoverEvery) === 0) this.startTerm();
     this.checkInvariants();
   }
 
-  private submitJob(n: number): void {
-    const gang = this.randomBelow(4) === 0;
+  private submitJob(stepIndex: number): void {
+    const isGang = this.randomBelow(4) === 0;
     const team = (['red', 'blue', 'green'] as const)[this.randomBelow(3)] ?? 'red';
-    const id = `j${n}`;
-    const s = jobSpec(id, {
-      kind: gang ? 'gang' : 'array',
+    const id = `j${stepIndex}`;
+    const spec = jobSpec(id, {
+      kind: isGang ? 'gang' : 'array',
       taskCount: 1 + this.randomBelow(3),
       team,
       priority: this.randomBelow(3) === 0 ? 'high' : 'normal',
       dependencies: this.withDependencies ? this.randomDependencies() : [],
     });
-    const record: JobRecord = { spec: s, submittedAt: this.now().wall, status: 'open' };
-    const stamp = ++this.revision;
-    this.jobs.set(id, { record, stamp, cancelled: null });
-    this.event({ kind: 'job-changed', id, record, modRevision: stamp });
+    const record: JobRecord = { spec, submittedAt: this.now().wall, status: 'open' };
+    const modRevision = ++this.revision;
+    this.jobs.set(id, { record, modRevision, cancelledAt: null });
+    this.handleEvent({ kind: 'job-changed', id, record, modRevision });
   }
 
   /** Jobs for a new one to wait for: lately submitted ones, in any state, or none. */
   private randomDependencies(): string[] {
-    const lately = [...this.jobs.keys()].slice(-4);
-    const first = lately[this.randomBelow(8)];
-    const second = lately[this.randomBelow(16)];
+    const recentJobs = [...this.jobs.keys()].slice(-4);
+    const first = recentJobs[this.randomBelow(8)];
+    const second = recentJobs[this.randomBelow(16)];
     return [...new Set([first, second].filter((id) => id !== undefined))];
   }
 
   private cancelJob(): void {
     // Users call off, as often as others, jobs that are cancelled through another: that changes nothing any more.
-    const open = [...this.jobs].filter(([, j]) => j.record.status !== 'done' && j.cancelled === null);
+    const cancellableJobs = [...this.jobs].filter(
+      ([, job]) => job.record.status !== 'done' && job.cancelledAt === null,
+    );
     // Half of them fall on the very end of a task.
-    const ending = open.filter(([id]) =>
+    const endingSoon = cancellableJobs.filter(([id]) =>
       this.workers.some((worker) =>
         [...worker.tasks.values()].some(
-          (t) => t.jobId === id && t.state === 'running' && t.ends - this.secondsElapsed < 0.5,
+          (task) => task.jobId === id && task.state === 'running' && task.endsAt - this.secondsElapsed < 0.5,
         ),
       ),
     );
-    const from = ending.length > 0 && this.randomBelow(2) === 0 ? ending : open;
-    const one = from[this.randomBelow(Math.max(1, from.length))];
-    if (one === undefined) return;
-    const [id, j] = one;
-    if (j.record.status === 'cancelled') return;
-    const next = {
-      record: { ...j.record, status: 'cancelled' as const },
-      stamp: ++this.revision,
-      cancelled: this.secondsElapsed,
+    const candidates = endingSoon.length > 0 && this.randomBelow(2) === 0 ? endingSoon : cancellableJobs;
+    const chosen = candidates[this.randomBelow(Math.max(1, candidates.length))];
+    if (chosen === undefined) return;
+    const [id, job] = chosen;
+    if (job.record.status === 'cancelled') return;
+    const updated = {
+      record: { ...job.record, status: 'cancelled' as const },
+      modRevision: ++this.revision,
+      cancelledAt: this.secondsElapsed,
     };
-    this.jobs.set(id, next);
+    this.jobs.set(id, updated);
     this.deliverWithin(0.4, () =>
-      this.event({ kind: 'job-changed', id, record: next.record, modRevision: next.stamp }),
+      this.handleEvent({ kind: 'job-changed', id, record: updated.record, modRevision: updated.modRevision }),
     );
   }
 
   private checkInvariants(): void {
-    const used = new Map<string, number>();
+    const gpusByTeam = new Map<string, number>();
     for (const worker of this.workers)
-      for (const t of worker.tasks.values()) {
-        const j = this.jobs.get(t.jobId);
-        if (t.state === 'exited' || j === undefined) continue;
-        used.set(j.record.spec.team, (used.get(j.record.spec.team) ?? 0) + j.record.spec.gpus);
-        if (j.cancelled !== null)
+      for (const task of worker.tasks.values()) {
+        const job = this.jobs.get(task.jobId);
+        if (task.state === 'exited' || job === undefined) continue;
+        gpusByTeam.set(
+          job.record.spec.team,
+          (gpusByTeam.get(job.record.spec.team) ?? 0) + job.record.spec.gpus,
+        );
+        if (job.cancelledAt !== null)
           assert.ok(
-            this.secondsElapsed - j.cancelled <= toSeconds(CLUSTER_CONFIG.cancellationDeadline),
-            `${t.jobId} runs on ${worker.name} long after its cancellation`,
+            this.secondsElapsed - job.cancelledAt <= toSeconds(CLUSTER_CONFIG.cancellationDeadline),
+            `${task.jobId} runs on ${worker.name} long after its cancellation`,
           );
       }
     for (const team of CLUSTER_CONFIG.teams)
       if (team.gpuQuota > 0)
-        assert.ok((used.get(team.name) ?? 0) <= team.gpuQuota, `${team.name} is over its limit`);
+        assert.ok((gpusByTeam.get(team.name) ?? 0) <= team.gpuQuota, `${team.name} is over its limit`);
   }
 }
 
