--- a/test/simulation.test.ts
+++ b/test/simulation.test.ts
@@ -1,4 +1,4 @@
-/** @file The core against simulated workers, messages and failovers, from fixed seeds. */
+/** @file Runs the core against simulated workers, messages and failovers, from fixed seeds, and checks invariants. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
@@ -24,28 +24,31 @@
   agentEpoch: number;
   sequence: number;
   fencingToken: number;
-  /** When the last answered report was sent. */
+  /** When the last answered heartbeat was sent, in simulated seconds. */
   lastRenewedAt: number;
   partitioned: boolean;
-  /** Its reports arrive, answers and commands do not. */
+  /** Its heartbeats arrive; responses and commands to it do not. */
   inboundLost: boolean;
-  /** Its reports reach nobody, commands arrive. */
+  /** Its heartbeats do not arrive; commands to it do. */
   outboundLost: boolean;
-  /** It stands still until then, and what is sent to it waits. */
+  /** It is paused until this time; messages to it are delivered afterwards. */
   pausedUntil: number;
   tasks: Map<string, ReportedTask & { endsAt: number }>;
 }
 
-/** A small world round the core: late, lost and doubled messages, sessions that end, takeovers, cancellations. */
+/**
+ * Simulates everything around the core: delayed, lost and duplicated messages, agent epochs that end, failovers and
+ * cancellations.
+ */
 class Simulation {
   private readonly generator;
   private secondsElapsed = 1000;
   private scheduler: ClusterScheduler;
-  /** Whether there was a leader before. */
+  /** True once a first term has begun. */
   private hadLeader = false;
   /** The previous leader, partitioned from the state store and its peers, but not from its workers. */
   private previousLeader: ClusterScheduler | null = null;
-  /** The present leader's fencing token, as the state store has it. */
+  /** The current leader's fencing token in the state store. */
   private storedFencingToken = 0;
   private revision = 1;
   private readonly workers: SimulatedWorker[] = [];
@@ -57,11 +60,12 @@
   private readonly messages: { due: number; run: () => void }[] = [];
   private committing = false;
   startCount = 0;
-  /** Dependencies of tasks that started. */
+  /** Number of dependencies checked when tasks started, summed over the starts. */
   dependentStarts = 0;
   completedCount = 0;
-  /** Transactions that were applied after newer ones, and heartbeats answered by a partitioned leader. */
+  /** Transactions that were applied late, after newer ones. */
   lateTransactions = 0;
+  /** Heartbeats that a partitioned previous leader answered. */
   answeredByPreviousLeader = 0;
 
   constructor(
@@ -98,7 +102,7 @@
     };
   }
 
-  /** A new term: a higher token, and everything known comes from what was committed. */
+  /** Begins a term: its leader has a higher fencing token, and its state comes only from committed records. */
   private startTerm(): ClusterScheduler {
     const startedAt = this.now().monotonic;
     const token = ++this.revision;
@@ -109,7 +113,7 @@
       confirmedAt: startedAt,
       previousLeadersDeadline: previousLeadersDeadlineFrom(CLUSTER_CONFIG, startedAt),
     });
-    // Half of the leaders that lose the part do not know it yet and go on answering.
+    // Half of the leaders that lose their leadership have not noticed it yet and go on answering.
     this.previousLeader = this.hadLeader && this.randomBelow(2) === 0 ? this.scheduler : null;
     this.hadLeader = true;
     this.scheduler = scheduler;
@@ -127,6 +131,7 @@
     this.commit();
   }
 
+  /** Runs the action after a random delay of less than `maxDelayS` seconds. */
   private deliverWithin(maxDelayS: number, run: () => void): void {
     this.messages.push({
       due: this.secondsElapsed + this.randomBelow(Math.max(1, Math.round(maxDelayS * 10))) / 10,
@@ -163,15 +168,15 @@
       });
     };
     const deliver = (): boolean => {
-      // Also a machine that stood still finds its lease over before it takes anything in.
+      // A machine that was paused also detects that its lease has expired before it accepts any command.
       this.expireLease(worker);
       const accepted = token >= worker.fencingToken && effect.agentEpoch === worker.agentEpoch;
       if (accepted) this.applyCommands(worker, token, effect.commands);
       return accepted;
     };
-    // What is sent to a machine that stands still is carried out when it goes on.
+    // Commands to a paused machine are executed when it resumes.
     const remainingPauseS = Math.max(0, worker.pausedUntil - this.secondsElapsed);
-    // One in five is given up on and may arrive up to a minute later, or never.
+    // The leader gives up on one call in five; its commands may arrive up to a minute later, or never.
     if (this.randomBelow(5) === 0 || worker.partitioned || worker.inboundLost || remainingPauseS > 1) {
       this.deliverWithin(1, () => reportOutcome('unknown', null));
       if (remainingPauseS > 1) this.messages.push({ due: worker.pausedUntil, run: deliver });
@@ -218,7 +223,7 @@
           assignment.attempt === command.attempt &&
           assignment.machineName === worker.name,
       ),
-      `${key} starts on ${worker.name} without a recorded place`,
+      `${key} starts on ${worker.name} without a recorded assignment`,
     );
     for (const other of this.workers)
       for (const otherTask of other.tasks.values())
@@ -273,12 +278,12 @@
     const heartbeat = this.nextHeartbeat(worker);
     const sent = this.secondsElapsed;
     if (worker.outboundLost) return;
-    // A report that is held back arrives late and its answer is dropped; it may also come twice.
+    // A delayed heartbeat arrives late and its response is dropped. A heartbeat may also be duplicated.
     if (worker.partitioned || this.randomBelow(12) === 0)
       return this.deliverWithin(40, () => this.handleEvent({ kind: 'heartbeat', heartbeat }));
     if (this.randomBelow(8) === 0)
       this.deliverWithin(40, () => this.handleEvent({ kind: 'heartbeat', heartbeat }));
-    // Workers stay with the leader they have for as long as it answers.
+    // Workers keep sending to their leader for as long as it answers.
     const response = this.answerByPreviousLeader(heartbeat) ?? this.answerByLeader(heartbeat);
     if (
       worker.inboundLost ||
@@ -326,7 +331,10 @@
     this.sendTransaction(transaction, this.scheduler, false);
   }
 
-  /** One in six has no answer: it was carried out, or comes seconds later, after newer ones; it is sent again. */
+  /**
+   * Sends a transaction to the state store. One in six gets no response: it was applied (outcome 1), or it is applied
+   * seconds later, after newer ones (outcome 0). In both cases it is sent again.
+   */
   private sendTransaction(transaction: Transaction, scheduler: ClusterScheduler, isRetry: boolean): void {
     const outcome = this.randomBelow(6) === 0 ? this.randomBelow(2) : 2;
     if (outcome === 0)
@@ -340,7 +348,7 @@
       if (outcome < 2)
         return this.deliverWithin(1.5, () => this.sendTransaction(transaction, scheduler, true));
       this.committing = false;
-      // A page has one writer: one that moved on was moved by an earlier copy of the same transaction.
+      // Each page has one writer, so a page that has changed was written by an earlier copy of the same transaction.
       const changedPage = transaction.pages.find(
         (page) => (this.pages.get(page.id)?.modRevision ?? 0) !== page.modRevision,
       );
@@ -375,7 +383,7 @@
     );
   }
 
-  /** What the state store does with a transaction: null if one of its guards fails. */
+  /** Applies a transaction as the state store does. Returns its revision, or null if a compare condition fails. */
   private applyTransaction(transaction: Transaction): number | null {
     if (transaction.fencingToken !== this.storedFencingToken) return null;
     for (const [id, modRevision] of transaction.jobConditions)
@@ -398,7 +406,7 @@
     for (const id of transaction.cancelledJobs) {
       const job = this.jobs.get(id);
       assert.ok(job !== undefined && job.record.status === 'open');
-      assert.ok(this.dependsOnCancelled(id), 'only jobs that need a cancelled one');
+      assert.ok(this.dependsOnCancelled(id), 'only dependents of a cancelled job are cancelled');
       this.jobs.set(id, { ...job, record: { ...job.record, status: 'cancelled' }, modRevision });
     }
     return modRevision;
@@ -413,7 +421,7 @@
     for (const worker of this.workers) {
       if (this.randomBelow(900) === 0) worker.pausedUntil = this.secondsElapsed + 1 + this.randomBelow(14);
       if (this.secondsElapsed < worker.pausedUntil) {
-        // A machine that stands still runs nothing; it may go on within its lease, and no later.
+        // A paused machine runs nothing. Its tasks continue only if it resumes before its lease expires.
         this.expireLease(worker);
         for (const [key, task] of worker.tasks) worker.tasks.set(key, { ...task, endsAt: task.endsAt + 0.1 });
         continue;
@@ -434,7 +442,7 @@
     if (stepIndex % 10 === 0)
       this.handleEvent({ kind: 'leadership-confirmed', confirmedAt: this.now().monotonic });
     if (stepIndex % 3 === 0) {
-      // In such a run the process is behind two fifths of the time, and leaves all orders to the answers to reports.
+      // In an overloaded run the process lags two fifths of the time, and then sends commands only in heartbeat responses.
       if (this.overloaded) this.scheduler.recordEventLoopLag(stepIndex % 1000 >= 600 ? seconds(0.5) : 0n);
       this.handleEvent({ kind: 'tick' });
       const previousLeader = this.previousLeader;
@@ -465,7 +473,7 @@
     this.handleEvent({ kind: 'job-changed', id, record, modRevision });
   }
 
-  /** Jobs for a new one to wait for: lately submitted ones, in any state, or none. */
+  /** Dependencies for a new job: recently submitted jobs, of any status, or none. */
   private randomDependencies(): string[] {
     const recentJobs = [...this.jobs.keys()].slice(-4);
     const first = recentJobs[this.randomBelow(8)];
@@ -474,11 +482,11 @@
   }
 
   private cancelJob(): void {
-    // Users call off, as often as others, jobs that are cancelled through another: that changes nothing any more.
+    // Users cancel jobs that were already cancelled through a dependency as often as others; that changes nothing.
     const cancellableJobs = [...this.jobs].filter(
       ([, job]) => job.record.status !== 'done' && job.cancelledAt === null,
     );
-    // Half of them fall on the very end of a task.
+    // Half of the cancellations coincide with the end of a task.
     const endingSoon = cancellableJobs.filter(([id]) =>
       this.workers.some((worker) =>
         [...worker.tasks.values()].some(
@@ -520,7 +528,7 @@
       }
     for (const team of CLUSTER_CONFIG.teams)
       if (team.gpuQuota > 0)
-        assert.ok((gpusByTeam.get(team.name) ?? 0) <= team.gpuQuota, `${team.name} is over its limit`);
+        assert.ok((gpusByTeam.get(team.name) ?? 0) <= team.gpuQuota, `${team.name} is over its quota`);
   }
 }
 
@@ -532,7 +540,7 @@
   // Ten failovers in two minutes.
   [5, 120, false, false],
   [7, 120, false, false],
-  // A process that is overloaded now and then.
+  // A process that is overloaded at times.
   [2, 900, true, false],
   [5, 120, true, false],
   // Jobs with dependencies, some of which are cancelled.
