--- a/test/fleet-sizing.test.ts
+++ b/test/fleet-sizing.test.ts
@@ -35,8 +35,11 @@
     .handle({ kind: 'leadership-confirmed', confirmedAt: timeAt(59).monotonic }, timeAt(59))
     .concat(scheduler.handle({ kind: 'tick' }, timeAt(59)))
     .reduce((sum, effect) => sum + (effect.kind === 'scale-out' ? effect.request.count : 0), 0);
-  const waiting = [...scheduler.state.jobs.pending].length / 2;
-  assert.ok(requested > waiting + 10, `${requested} machines requested for ${waiting} pending`);
+  const machinesForPending = [...scheduler.state.jobs.pending].length / 2;
+  assert.ok(
+    requested > machinesForPending + 10,
+    `${requested} machines requested for ${machinesForPending} pending`,
+  );
 });
 
 // Work with a distant deadline leaves the last empty machine to urgent work, but not for long, because no job may wait
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -193,22 +193,22 @@
 });
 
 test('queued tasks of one key run in order, those of different keys concurrently, and idle keys hold no memory', async () => {
-  const tasks = new KeyedTaskQueue();
-  const subscription = tasks.start();
+  const queue = new KeyedTaskQueue();
+  const subscription = queue.start();
   const order: string[] = [];
   const recordAfter = (name: string, ms: number) => async (): Promise<void> => {
     await new Promise((resolve) => setTimeout(resolve, ms));
     order.push(name);
   };
-  tasks.push('a', recordAfter('a1', 30));
-  tasks.push('a', recordAfter('a2', 1));
-  tasks.push('b', recordAfter('b1', 1));
-  assert.equal(tasks.busyKeys, 2);
+  queue.push('a', recordAfter('a1', 30));
+  queue.push('a', recordAfter('a2', 1));
+  queue.push('b', recordAfter('b1', 1));
+  assert.equal(queue.busyKeys, 2);
   await new Promise((resolve) => setTimeout(resolve, 60));
   assert.deepEqual(order, ['b1', 'a1', 'a2']);
-  assert.equal(tasks.busyKeys, 0);
-  tasks.push('a', recordAfter('a3', 10));
-  tasks.push('a', recordAfter('a4', 1));
+  assert.equal(queue.busyKeys, 0);
+  queue.push('a', recordAfter('a3', 10));
+  queue.push('a', recordAfter('a4', 1));
   subscription.unsubscribe();
   await new Promise((resolve) => setTimeout(resolve, 30));
   assert.deepEqual(order.slice(3), ['a3'], 'tasks that have not begun when the queue ends are dropped');
--- a/test/memory-bounds.test.ts
+++ b/test/memory-bounds.test.ts
@@ -116,9 +116,9 @@
 test('a standby decodes each page once, before a failover; a leader decodes none', () => {
   const replicaView = new FakeReplicaView();
   const pages = new DecodedPageCache();
-  let leading = false;
-  const images = new ImageCacheObserver(replicaView, createLogger('test'), pages, () => leading);
-  const subscription = images.start();
+  let isLeader = false;
+  const observer = new ImageCacheObserver(replicaView, createLogger('test'), pages, () => isLeader);
+  const subscription = observer.start();
   replicaView.putJob('req-1', 'open');
   replicaView.putAssignments('req-1', ['m1', 'm2']);
   assert.equal(pages.decodedPageCount, 1);
@@ -126,7 +126,7 @@
   assert.ok(entry);
   assert.equal(pages.entriesOf(entry)[0]?.record.assignments.length, 2);
   assert.equal(pages.decodedPageCount, 1, 'a failover decodes no page again that the standby has watched');
-  leading = true;
+  isLeader = true;
   replicaView.putAssignments('req-1', ['m1']);
   assert.equal(pages.decodedPageCount, 1);
   subscription.unsubscribe();
@@ -176,10 +176,10 @@
     scheduler.handle({ kind: 'tick' }, timeAt(elapsedS));
   };
   for (let s = 0; s < 5; s++) sendHeartbeats(s);
-  const before = scheduler.state.machines.scannedCount;
+  const scannedBefore = scheduler.state.machines.scannedCount;
   for (let s = 5; s < 25; s++) sendHeartbeats(s);
-  assert.equal(scheduler.state.machines.scannedCount, before);
+  assert.equal(scheduler.state.machines.scannedCount, scannedBefore);
   const record = { spec: jobSpec('req-1'), submittedAt: timeAt(25).wall, status: 'open' as const };
   scheduler.handle({ kind: 'job-changed', id: 'req-1', record, modRevision: 9 }, timeAt(25));
-  assert.equal(scheduler.state.machines.scannedCount, before + 20, 'one pass for the new job');
+  assert.equal(scheduler.state.machines.scannedCount, scannedBefore + 20, 'one pass for the new job');
 });
--- a/test/simulation.test.ts
+++ b/test/simulation.test.ts
@@ -61,7 +61,7 @@
   private committing = false;
   startCount = 0;
   /** Number of dependencies checked when tasks started, summed over the starts. */
-  dependentStarts = 0;
+  checkedDependencies = 0;
   completedCount = 0;
   /** Transactions that were applied late, after newer ones. */
   lateTransactions = 0;
@@ -70,7 +70,7 @@
 
   constructor(
     seed: number,
-    private readonly failoverEvery: number,
+    private readonly stepsBetweenFailovers: number,
     private readonly overloaded: boolean,
     private readonly withDependencies: boolean,
   ) {
@@ -212,7 +212,7 @@
   private startTask(worker: SimulatedWorker, command: WorkerCommand, key: string): void {
     this.startCount += 1;
     for (const id of this.jobs.get(command.jobId)?.record.spec.dependencies ?? []) {
-      this.dependentStarts += 1;
+      this.checkedDependencies += 1;
       assert.equal(this.jobs.get(id)?.record.status, 'done', `${key} starts too early: ${id} is not done`);
     }
     const recorded = this.pageEntriesOf(command.jobId).flatMap((entry) => entry.record.assignments);
@@ -452,7 +452,7 @@
     }
     if (this.randomBelow(40) === 0) this.submitJob(stepIndex);
     if (this.randomBelow(120) === 0) this.cancelJob();
-    if (this.randomBelow(this.failoverEvery) === 0) this.startTerm();
+    if (this.randomBelow(this.stepsBetweenFailovers) === 0) this.startTerm();
     this.checkInvariants();
   }
 
@@ -532,7 +532,7 @@
   }
 }
 
-for (const [seed, failoverEvery, overloaded, withDependencies] of [
+for (const [seed, stepsBetweenFailovers, overloaded, withDependencies] of [
   [1, 900, false, false],
   [2, 900, false, false],
   [3, 900, false, false],
@@ -550,12 +550,12 @@
   [47, 900, false, true],
   [43, 120, true, true],
 ] as const)
-  test(`invariants hold, seed ${seed}, a failover every ${failoverEvery / 10} s${overloaded ? ', at times overloaded' : ''}${withDependencies ? ', with dependencies' : ''}`, () => {
-    const simulation = new Simulation(seed, failoverEvery, overloaded, withDependencies);
+  test(`invariants hold, seed ${seed}, a failover every ${stepsBetweenFailovers / 10} s${overloaded ? ', at times overloaded' : ''}${withDependencies ? ', with dependencies' : ''}`, () => {
+    const simulation = new Simulation(seed, stepsBetweenFailovers, overloaded, withDependencies);
     for (let n = 0; n < 4000; n++) simulation.step(n);
     assert.ok(
-      !withDependencies || simulation.dependentStarts > 5,
-      `${simulation.dependentStarts} dependencies`,
+      !withDependencies || simulation.checkedDependencies > 5,
+      `${simulation.checkedDependencies} dependencies`,
     );
     assert.ok(
       simulation.startCount > 30 && simulation.completedCount > 10,
--- a/test/zones.test.ts
+++ b/test/zones.test.ts
@@ -162,9 +162,9 @@
   const releasedCount = (policy: StubZonePolicy | null): number => {
     const fleet = new Fleet(policy);
     let names: readonly string[] = [];
-    for (let s = 0; s < 100; s++) {
-      fleet.sendHeartbeats(s, 'e1', 'e2', 'e3');
-      for (const effect of fleet.tick(s))
+    for (let elapsedS = 0; elapsedS < 100; elapsedS++) {
+      fleet.sendHeartbeats(elapsedS, 'e1', 'e2', 'e3');
+      for (const effect of fleet.tick(elapsedS))
         if (effect.kind === 'scale-in') names = [...names, ...effect.machineNames];
     }
     return new Set(names).size;
