--- a/test/memory-bounds.test.ts
+++ b/test/memory-bounds.test.ts
@@ -84,7 +84,7 @@
     if (n >= 10) replicaView.putJob(`req-${n}`, n % 2 === 0 ? 'done' : 'cancelled');
   }
   compactor.sweep();
-  assert.equal(replicaView.fullRecordCount, 10, 'the open ones');
+  assert.equal(replicaView.fullRecordCount, 10, 'only the open jobs');
   assert.deepEqual(
     jobSummaryOf(replicaView.replica.get(jobKey('req-2000'))?.value),
     new FinishedJobSummary('done', 'array', 3),
@@ -93,8 +93,8 @@
   subscription.unsubscribe();
 });
 
-// The tasks of a cancelled job may still run: a new leader must count them against their team's quota and the capacity of
-// their machines.
+// The tasks of a cancelled job may still run: a new leader must count them against their team's quota and against the
+// capacity of their machines.
 test('a cancelled job keeps its full record while a task of it is assigned, or while the replica is reloading', () => {
   const replicaView = new FakeReplicaView();
   const compactor = new FinishedJobCompactor(replicaView, new TaskCounts(replicaView));
@@ -181,5 +181,9 @@
   assert.equal(scheduler.state.machines.scannedCount, scannedBefore);
   const record = { spec: jobSpec('req-1'), submittedAt: timeAt(25).wall, status: 'open' as const };
   scheduler.handle({ kind: 'job-changed', id: 'req-1', record, modRevision: 9 }, timeAt(25));
-  assert.equal(scheduler.state.machines.scannedCount, scannedBefore + 20, 'one pass for the new job');
+  assert.equal(
+    scheduler.state.machines.scannedCount,
+    scannedBefore + 20,
+    'one scheduling cycle for the new job',
+  );
 });
--- a/test/simulation.test.ts
+++ b/test/simulation.test.ts
@@ -70,6 +70,7 @@
 
   constructor(
     seed: number,
+    /** Mean number of steps between failovers; a step takes 0.1 s. */
     private readonly stepsBetweenFailovers: number,
     private readonly overloaded: boolean,
     private readonly withDependencies: boolean,
@@ -442,7 +443,8 @@
     if (stepIndex % 10 === 0)
       this.handleEvent({ kind: 'leadership-confirmed', confirmedAt: this.now().monotonic });
     if (stepIndex % 3 === 0) {
-      // In an overloaded run the process lags two fifths of the time, and then sends commands only in heartbeat responses.
+      // In an overloaded run the process lags two fifths of the time, and then sends all commands in heartbeat
+      // responses.
       if (this.overloaded) this.scheduler.recordEventLoopLag(stepIndex % 1000 >= 600 ? seconds(0.5) : 0n);
       this.handleEvent({ kind: 'tick' });
       const previousLeader = this.previousLeader;
