--- a/packages/zone-recovery/src/zone-health.ts
+++ b/packages/zone-recovery/src/zone-health.ts
@@ -74,14 +74,14 @@
   admittedAt: now,
 });
 
-const shorterOf = (a: Duration, b: Duration): Duration => (a < b ? a : b);
-const longerOf = (a: Duration, b: Duration): Duration => (a > b ? a : b);
+const minDuration = (a: Duration, b: Duration): Duration => (a < b ? a : b);
+const maxDuration = (a: Duration, b: Duration): Duration => (a > b ? a : b);
 
 /** How long a zone is held down after so many losses: not at all after the first, then twice as long each time. */
 export function holdDownDuration(losses: number, timing: ZoneTiming): Duration {
   if (losses < 2) return 0n;
   const doublings = BigInt(Math.min(losses - 2, MAX_DOUBLINGS));
-  return shorterOf(timing.workerLease * 2n ** doublings, MAX_HOLD_DOWN);
+  return minDuration(timing.workerLease * 2n ** doublings, MAX_HOLD_DOWN);
 }
 
 const unresponsiveShare = (zone: ZoneObservation): number =>
@@ -108,10 +108,10 @@
   timing: ZoneTiming,
   now: MonotonicTime,
 ): ZoneTransition {
-  const hold = holdDownDuration(health.losses, timing);
-  if (hold === 0n) return enterReturning(health, zone, now, 'responsive again');
-  const reason = `responsive again after ${health.losses} losses: held down for ${hold / SECOND} s`;
-  return enterPhase({ ...health, holdUntil: now + hold }, 'held-down', now, reason);
+  const holdDown = holdDownDuration(health.losses, timing);
+  if (holdDown === 0n) return enterReturning(health, zone, now, 'responsive again');
+  const reason = `responsive again after ${health.losses} losses: held down for ${holdDown / SECOND} s`;
+  return enterPhase({ ...health, holdUntil: now + holdDown }, 'held-down', now, reason);
 }
 
 function enterReturning(
@@ -133,17 +133,17 @@
   now: MonotonicTime,
 ): ZoneTransition {
   const elapsed = now - health.admittedAt;
-  const startTime = shorterOf(conditions.slowestStart, timing.workerLease);
-  const minStep = longerOf(startTime, timing.heartbeatInterval * 2n);
-  const servicesRun = conditions.replicasMissing === 0 && elapsed >= minStep;
-  if (!servicesRun && elapsed < timing.workerLease * 2n) return unchanged(health);
+  const startTime = minDuration(conditions.slowestStart, timing.workerLease);
+  const minStep = maxDuration(startTime, timing.heartbeatInterval * 2n);
+  const stepCompleted = conditions.replicasMissing === 0 && elapsed >= minStep;
+  if (!stepCompleted && elapsed < timing.workerLease * 2n) return unchanged(health);
   if (health.admitted >= zone.responsive)
     return enterPhase(health, 'healthy', now, 'all responsive machines admitted');
   return unchanged({ ...health, admitted: health.admitted * 2, admittedAt: now });
 }
 
 function decayLosses(health: ZoneHealth, timing: ZoneTiming, now: MonotonicTime): ZoneTransition {
-  const decayTime = longerOf(timing.workerLease * DECAY_LEASES, MIN_DECAY);
+  const decayTime = maxDuration(timing.workerLease * DECAY_LEASES, MIN_DECAY);
   if (health.losses === 0 || now - health.lossesChangedAt < decayTime) return unchanged(health);
   return unchanged({ ...health, losses: health.losses - 1, lossesChangedAt: now });
 }
