--- a/packages/zone-recovery/src/zone-record.ts
+++ b/packages/zone-recovery/src/zone-record.ts
@@ -58,14 +58,14 @@
   const zones = new Map<string, ZoneHealth>();
   for (const { zone, phase, losses, holdUntil, admitted } of record.data.zones) {
     // Clocks drift, and a record may be old: no hold-down becomes longer than the longest.
-    const leftMs = Math.max(0, holdUntil * MILLISECONDS_PER_SECOND - now.wall.getTime());
-    const left = BigInt(leftMs) * NANOSECONDS_PER_MILLISECOND;
+    const remainingMs = Math.max(0, holdUntil * MILLISECONDS_PER_SECOND - now.wall.getTime());
+    const remaining = BigInt(remainingMs) * NANOSECONDS_PER_MILLISECOND;
     zones.set(zone, {
       phase,
       since: now.monotonic,
       losses: Math.min(losses, MAX_LOSSES),
       lossesChangedAt: now.monotonic,
-      holdUntil: now.monotonic + (left < MAX_HOLD_DOWN ? left : MAX_HOLD_DOWN),
+      holdUntil: now.monotonic + (remaining < MAX_HOLD_DOWN ? remaining : MAX_HOLD_DOWN),
       admitted,
       admittedAt: now.monotonic,
     });
