--- a/packages/zone-recovery/test/history-checker.ts
+++ b/packages/zone-recovery/test/history-checker.ts
@@ -18,34 +18,34 @@
 
 /** Judges by what machines did, not by what the leader says of it. */
 export function checkHistory(record: readonly HistoryEntry[], services: ReadonlySet<string>): Findings {
-  const places = new Map<string, Set<string>>();
+  const machinesByTask = new Map<string, Set<string>>();
   const duplicates: string[] = [];
   const evicted: string[] = [];
   const lostAt = new Map<string, number>();
   const replacedAfter: number[] = [];
   const perSecond = new Map<number, { fetches: number; starts: number }>();
   let finished = 0;
-  const second = (at: number): { fetches: number; starts: number } => {
+  const countsAt = (at: number): { fetches: number; starts: number } => {
     const key = Math.floor(at);
-    const known = perSecond.get(key) ?? { fetches: 0, starts: 0 };
-    perSecond.set(key, known);
-    return known;
+    const current = perSecond.get(key) ?? { fetches: 0, starts: 0 };
+    perSecond.set(key, current);
+    return current;
   };
   for (const entry of record) {
-    if (entry.kind === 'fetch') second(entry.at).fetches += 1;
+    if (entry.kind === 'fetch') countsAt(entry.at).fetches += 1;
     if (entry.kind === 'start') {
-      second(entry.at).starts += 1;
-      const there = places.get(entry.task) ?? new Set();
-      if (there.size > 0) duplicates.push(`${entry.task} at ${entry.at}`);
-      places.set(entry.task, there.add(entry.machine));
-      const lost = lostAt.get(entry.task);
-      if (lost !== undefined) replacedAfter.push(entry.at - lost);
+      countsAt(entry.at).starts += 1;
+      const machines = machinesByTask.get(entry.task) ?? new Set();
+      if (machines.size > 0) duplicates.push(`${entry.task} at ${entry.at}`);
+      machinesByTask.set(entry.task, machines.add(entry.machine));
+      const lossTime = lostAt.get(entry.task);
+      if (lossTime !== undefined) replacedAfter.push(entry.at - lossTime);
       lostAt.delete(entry.task);
     }
     if (entry.kind === 'stopped' && services.has(jobIdOf(entry.task)))
       evicted.push(`${entry.task} at ${entry.at}`);
     if (entry.kind === 'end') {
-      places.get(entry.task)?.delete(entry.machine);
+      machinesByTask.get(entry.task)?.delete(entry.machine);
       if (services.has(jobIdOf(entry.task))) lostAt.set(entry.task, entry.at);
       else if (entry.done) finished += 1;
     }
