--- a/packages/zone-recovery/test/scenario.ts
+++ b/packages/zone-recovery/test/scenario.ts
@@ -44,22 +44,22 @@
   readonly healedAt: number;
 }
 
-function randomOf(seed: number): () => number {
+function randomSource(seed: number): () => number {
   const generator = xoroshiro128plus(seed);
   return () => uniformInt(generator, 0, 999_999) / 1_000_000;
 }
 
 /** Plays a scenario on full machines, with or without zone recovery. */
 export function runScenario(scenario: Scenario, withRecovery: boolean, seed: number): ScenarioResult {
-  const world = new ZoneSimulation(MACHINES_PER_ZONE, withRecovery, randomOf(seed));
+  const simulation = new ZoneSimulation(MACHINES_PER_ZONE, withRecovery, randomSource(seed));
   const service = { kind: 'service', priority: 'production', spreadAcrossZones: true, imageGb: 4 } as const;
-  for (const id of SERVICES) world.submit(id, { ...service, taskCount: REPLICAS, image: `img-${id}` });
-  let jobs = 100;
-  const flood = (count: number): void => {
+  for (const id of SERVICES) simulation.submit(id, { ...service, taskCount: REPLICAS, image: `img-${id}` });
+  let jobNumber = 100;
+  const submitJobs = (count: number): void => {
     for (let n = 0; n < count; n++) {
-      jobs += 1;
-      const image = `img-${jobs % 5}`;
-      world.submit(`req-${jobs}`, {
+      jobNumber += 1;
+      const image = `img-${jobNumber % 5}`;
+      simulation.submit(`req-${jobNumber}`, {
         taskCount: 8,
         priority: 'low',
         image,
@@ -68,31 +68,31 @@
       });
     }
   };
-  flood(6);
-  const steadily = (): void => {
-    if (world.secondsElapsed % 10 === 0) flood(2);
+  submitJobs(6);
+  const submitPeriodically = (): void => {
+    if (simulation.secondsElapsed % 10 === 0) submitJobs(2);
   };
-  world.run(WARM_UP_S, steadily);
-  const wanted = SERVICES.size * REPLICAS;
-  let lowest = wanted;
-  const watch = (): void => {
-    steadily();
-    const running = [...SERVICES].reduce((sum, id) => sum + world.runningTasks(id), 0);
-    lowest = Math.min(lowest, running);
+  simulation.run(WARM_UP_S, submitPeriodically);
+  const wantedReplicas = SERVICES.size * REPLICAS;
+  let lowestRunning = wantedReplicas;
+  const onSecond = (): void => {
+    submitPeriodically();
+    const running = [...SERVICES].reduce((sum, id) => sum + simulation.runningTasks(id), 0);
+    lowestRunning = Math.min(lowestRunning, running);
   };
-  const cutAt = world.secondsElapsed;
-  let healedAt = world.secondsElapsed;
+  const partitionedAt = simulation.secondsElapsed;
+  let healedAt = simulation.secondsElapsed;
   for (let n = 0; n < scenario.partitions; n++) {
-    world.partition('east');
-    world.run(scenario.partitionS, watch);
-    world.healPartition('east', scenario.machinesBack);
-    healedAt = world.secondsElapsed;
+    simulation.partition('east');
+    simulation.run(scenario.partitionS, onSecond);
+    simulation.healPartition('east', scenario.machinesBack);
+    healedAt = simulation.secondsElapsed;
     if (scenario.failoverAfterS !== null) {
-      world.run(scenario.failoverAfterS, watch);
-      world.startTerm();
+      simulation.run(scenario.failoverAfterS, onSecond);
+      simulation.startTerm();
     }
-    world.run(scenario.pauseS, watch);
+    simulation.run(scenario.pauseS, onSecond);
   }
-  world.run(scenario.observedS, watch);
-  return { simulation: world, lowestShare: lowest / wanted, partitionedAt: cutAt, healedAt };
+  simulation.run(scenario.observedS, onSecond);
+  return { simulation, lowestShare: lowestRunning / wantedReplicas, partitionedAt, healedAt };
 }
