--- a/packages/zone-recovery/test/zone-health.test.ts
+++ b/packages/zone-recovery/test/zone-health.test.ts
@@ -26,12 +26,12 @@
 const names = (zone: string, count: number): string[] =>
   Array.from({ length: count }, (_, n) => `${zone}-${String(n).padStart(4, '0')}`);
 
-const seenIn = (zone: string, heard: number, known = MACHINES): ZoneObservation => ({
+const observationOf = (zone: string, responsive: number, known = MACHINES): ZoneObservation => ({
   zone,
   known,
-  responsive: heard,
-  gpus: heard * 4,
-  responsiveMachines: names(zone, heard),
+  responsive,
+  gpus: responsive * 4,
+  responsiveMachines: names(zone, responsive),
 });
 
 const CONDITIONS: FleetConditions = {
@@ -42,50 +42,61 @@
 };
 
 /** A stretch of a zone's life. */
-const second = fc.record({
-  heard: fc.constantFrom(0, 0, 0, 1, 10, 19, 25, 39, 40, 40, 40),
+const episodeArbitrary = fc.record({
+  responsive: fc.constantFrom(0, 0, 0, 1, 10, 19, 25, 39, 40, 40, 40),
   otherZonesResponsive: fc.boolean(),
   leadershipConfirmed: fc.constantFrom(true, true, true, false),
   replicasMissing: fc.constantFrom(0, 0, 3),
-  lasts: fc.integer({ min: 1, max: 60 }),
-  takeover: fc.constantFrom(false, false, false, true),
+  durationS: fc.integer({ min: 1, max: 60 }),
+  failover: fc.constantFrom(false, false, false, true),
   driftMs: fc.integer({ min: -20, max: 20 }),
 });
 
-interface Lived {
+interface Step {
   readonly before: ZoneHealth;
   readonly after: ZoneHealth;
   readonly conditions: FleetConditions;
-  readonly heard: number;
-  readonly s: number;
+  readonly responsive: number;
+  readonly elapsedS: number;
 }
 
-type Stretch = typeof second extends fc.Arbitrary<infer T> ? T : never;
+type Episode = typeof episodeArbitrary extends fc.Arbitrary<infer T> ? T : never;
 
 /** Plays a life second by second; the state goes through its kept record at each takeover. */
-function live(life: readonly Stretch[], check: (step: Lived) => void): ZoneHealth {
+function playEpisodes(episodes: readonly Episode[], check: (step: Step) => void): ZoneHealth {
   let health = newZone(timeAt(0).monotonic);
-  let s = 0;
-  for (const each of life) {
-    for (let n = 0; n < each.lasts; n++) {
-      s += 1;
-      const conditions = { ...CONDITIONS, ...each };
+  let elapsedS = 0;
+  for (const episode of episodes) {
+    for (let n = 0; n < episode.durationS; n++) {
+      elapsedS += 1;
+      const conditions = { ...CONDITIONS, ...episode };
       const before = health;
-      health = nextHealth(before, seenIn('a', each.heard), conditions, TIMING, timeAt(s).monotonic).health;
-      check({ before, after: health, conditions, heard: each.heard, s });
+      health = nextHealth(
+        before,
+        observationOf('a', episode.responsive),
+        conditions,
+        TIMING,
+        timeAt(elapsedS).monotonic,
+      ).health;
+      check({ before, after: health, conditions, responsive: episode.responsive, elapsedS });
     }
-    if (!each.takeover) continue;
-    const kept = encodeZones(new Map([['a', health]]), timeAt(s));
-    const by = { monotonic: timeAt(s).monotonic, wall: new Date(timeAt(s).wall.getTime() + each.driftMs) };
-    health = decodeZones(JSON.parse(JSON.stringify(kept)), by)?.get('a') ?? newZone(timeAt(s).monotonic);
+    if (!episode.failover) continue;
+    const storedRecord = encodeZones(new Map([['a', health]]), timeAt(elapsedS));
+    const nextLeaderNow = {
+      monotonic: timeAt(elapsedS).monotonic,
+      wall: new Date(timeAt(elapsedS).wall.getTime() + episode.driftMs),
+    };
+    health =
+      decodeZones(JSON.parse(JSON.stringify(storedRecord)), nextLeaderNow)?.get('a') ??
+      newZone(timeAt(elapsedS).monotonic);
   }
   return health;
 }
 
 test('a partitioned leader concludes nothing, and a zone is suspected only while another is responsive', () => {
   fc.assert(
-    fc.property(fc.array(second, { maxLength: 20 }), (life) => {
-      live(life, ({ before, after, conditions }) => {
+    fc.property(fc.array(episodeArbitrary, { maxLength: 20 }), (episodes) => {
+      playEpisodes(episodes, ({ before, after, conditions }) => {
         if (!conditions.leadershipConfirmed) assert.deepEqual(after, before);
         if (!conditions.otherZonesResponsive)
           assert.ok(after.phase === before.phase || !['suspect', 'lost'].includes(after.phase));
@@ -97,12 +108,12 @@
 
 test('a healthy zone is lost only after a whole lease of suspicion', () => {
   fc.assert(
-    fc.property(fc.array(second, { maxLength: 20 }), (life) => {
+    fc.property(fc.array(episodeArbitrary, { maxLength: 20 }), (episodes) => {
       let suspectSince = 0;
-      live(life, ({ before, after, s }) => {
-        if (before.phase !== 'suspect' && after.phase === 'suspect') suspectSince = s;
+      playEpisodes(episodes, ({ before, after, elapsedS }) => {
+        if (before.phase !== 'suspect' && after.phase === 'suspect') suspectSince = elapsedS;
         if (before.phase === 'suspect' && after.phase === 'lost')
-          assert.ok(s - suspectSince >= 24, `${s - suspectSince} s`);
+          assert.ok(elapsedS - suspectSince >= 24, `${elapsedS - suspectSince} s`);
         if (before.phase === 'healthy') assert.notEqual(after.phase, 'lost');
       });
     }),
@@ -115,18 +126,22 @@
   const steps = Math.ceil(Math.log2(MACHINES)) + 3;
   const bound = Number(MAX_HOLD_DOWN / seconds(1)) + steps * 2 * 24 + 5;
   fc.assert(
-    fc.property(fc.array(second, { maxLength: 20 }), fc.constantFrom(0, 5), (life, replicasMissing) => {
-      let health = live(life, () => undefined);
-      for (let s = 0; s < bound; s++)
-        health = nextHealth(
-          health,
-          seenIn('a', MACHINES),
-          { ...CONDITIONS, replicasMissing },
-          TIMING,
-          timeAt(2000 + s).monotonic,
-        ).health;
-      assert.equal(health.phase, 'healthy');
-    }),
+    fc.property(
+      fc.array(episodeArbitrary, { maxLength: 20 }),
+      fc.constantFrom(0, 5),
+      (episodes, replicasMissing) => {
+        let health = playEpisodes(episodes, () => undefined);
+        for (let s = 0; s < bound; s++)
+          health = nextHealth(
+            health,
+            observationOf('a', MACHINES),
+            { ...CONDITIONS, replicasMissing },
+            TIMING,
+            timeAt(2000 + s).monotonic,
+          ).health;
+        assert.equal(health.phase, 'healthy');
+      },
+    ),
     RUNS,
   );
 });
@@ -136,10 +151,10 @@
   assert.deepEqual(spans, [0, 24, 48, 96, 120, 120, 120]);
   let health: ZoneHealth = { ...newZone(timeAt(0).monotonic), losses: 2 };
   for (let s = 0; s < 288; s++)
-    health = nextHealth(health, seenIn('a', 40), CONDITIONS, TIMING, timeAt(s).monotonic).health;
+    health = nextHealth(health, observationOf('a', 40), CONDITIONS, TIMING, timeAt(s).monotonic).health;
   assert.equal(health.losses, 2);
   for (let s = 288; s < 580; s++)
-    health = nextHealth(health, seenIn('a', 40), CONDITIONS, TIMING, timeAt(s).monotonic).health;
+    health = nextHealth(health, observationOf('a', 40), CONDITIONS, TIMING, timeAt(s).monotonic).health;
   assert.equal(health.losses, 0);
 });
 
@@ -152,13 +167,16 @@
         losses: 3,
         holdUntil: timeAt(holdS).monotonic,
       };
-      const by = { monotonic: timeAt(0).monotonic, wall: new Date(timeAt(0).wall.getTime() + driftS * 1000) };
-      const read = decodeZones(encodeZones(new Map([['a', health]]), timeAt(0)), by)?.get('a');
+      const nextLeaderNow = {
+        monotonic: timeAt(0).monotonic,
+        wall: new Date(timeAt(0).wall.getTime() + driftS * 1000),
+      };
+      const read = decodeZones(encodeZones(new Map([['a', health]]), timeAt(0)), nextLeaderNow)?.get('a');
       assert.ok(read !== undefined);
       assert.deepEqual([read.phase, read.losses], ['held-down', 3]);
-      const left = read.holdUntil - by.monotonic;
-      assert.ok(left >= 0n && left <= MAX_HOLD_DOWN);
-      if (driftS === 0) assert.equal(left, seconds(holdS));
+      const remaining = read.holdUntil - nextLeaderNow.monotonic;
+      assert.ok(remaining >= 0n && remaining <= MAX_HOLD_DOWN);
+      if (driftS === 0) assert.equal(remaining, seconds(holdS));
     }),
     RUNS,
   );
@@ -172,7 +190,7 @@
     ]),
   );
   assert.ok(JSON.stringify(encodeZones(zones, timeAt(0))).length < 512);
-  for (const bad of [
+  for (const malformed of [
     null,
     7,
     'x',
@@ -180,9 +198,9 @@
     { version: 2, zones: [] },
     { version: 1, zones: [{ zone: 'a', phase: 'odd' }] },
   ])
-    assert.equal(decodeZones(bad, timeAt(0)), null, JSON.stringify(bad));
-  const kept = encodeZones(zones, { monotonic: 0n, wall: new Date(Date.UTC(2038, 0, 1)) });
-  assert.deepEqual(decode(encode(kept)), kept, 'it comes back as it was written');
+    assert.equal(decodeZones(malformed, timeAt(0)), null, JSON.stringify(malformed));
+  const storedRecord = encodeZones(zones, { monotonic: 0n, wall: new Date(Date.UTC(2038, 0, 1)) });
+  assert.deepEqual(decode(encode(storedRecord)), storedRecord, 'it comes back as it was written');
   const recovery = new ZoneRecovery(TIMING);
   recovery.restore({ zones: 'cut sho' }, timeAt(0));
   assert.equal(recovery.phaseOf('a'), 'healthy');
@@ -196,84 +214,84 @@
 };
 
 /** Lets a recovery see zone a with so many machines for a while, beside a healthy zone b. */
-function watch(
+function observeFor(
   recovery: ZoneRecovery,
   from: number,
-  forS: number,
-  heard: number,
+  durationS: number,
+  responsive: number,
   replicasMissing = 0,
 ): number {
-  for (let s = from; s < from + forS; s++)
+  for (let s = from; s < from + durationS; s++)
     recovery.observe(
       {
-        zones: [seenIn('a', heard), seenIn('b', MACHINES)],
+        zones: [observationOf('a', responsive), observationOf('b', MACHINES)],
         leadershipConfirmed: true,
         replicasMissing,
         slowestStart: seconds(10),
       },
       timeAt(s),
     );
-  return from + forS;
+  return from + durationS;
 }
 
-const admitted = (recovery: ZoneRecovery, request: ZoneAdmissionRequest): number =>
+const countAdmitted = (recovery: ZoneRecovery, request: ZoneAdmissionRequest): number =>
   names('a', MACHINES).filter((name) => recovery.admits('a', name, request)).length;
 
 test('a zone returns in steps: services at once, other work on twice as many machines each step', () => {
   const recovery = new ZoneRecovery(TIMING);
-  let s = watch(recovery, 0, 5, MACHINES);
-  s = watch(recovery, s, 40, 0);
+  let elapsedS = observeFor(recovery, 0, 5, MACHINES);
+  elapsedS = observeFor(recovery, elapsedS, 40, 0);
   assert.equal(recovery.phaseOf('a'), 'lost');
   assert.ok(recovery.isUnavailable('a') && recovery.isEvacuating('a'));
-  assert.equal(admitted(recovery, { ...REQUEST, kind: 'service' }), 0);
-  s = watch(recovery, s, 1, MACHINES);
+  assert.equal(countAdmitted(recovery, { ...REQUEST, kind: 'service' }), 0);
+  elapsedS = observeFor(recovery, elapsedS, 1, MACHINES);
   assert.equal(recovery.phaseOf('a'), 'returning');
-  assert.equal(admitted(recovery, { ...REQUEST, kind: 'service', priority: 'production' }), MACHINES);
-  const seen: number[] = [];
+  assert.equal(countAdmitted(recovery, { ...REQUEST, kind: 'service', priority: 'production' }), MACHINES);
+  const admittedCounts: number[] = [];
   for (let n = 0; n < 4; n++) {
-    seen.push(admitted(recovery, REQUEST));
-    s = watch(recovery, s, 10, MACHINES);
+    admittedCounts.push(countAdmitted(recovery, REQUEST));
+    elapsedS = observeFor(recovery, elapsedS, 10, MACHINES);
   }
-  assert.deepEqual(seen, [4, 8, 16, 32]);
+  assert.deepEqual(admittedCounts, [4, 8, 16, 32]);
   assert.equal(
-    admitted(recovery, { ...REQUEST, pendingFor: seconds(150) }),
+    countAdmitted(recovery, { ...REQUEST, pendingFor: seconds(150) }),
     MACHINES,
     'the largest still begin in time',
   );
-  watch(recovery, s, 22, MACHINES);
+  observeFor(recovery, elapsedS, 22, MACHINES);
   assert.equal(recovery.phaseOf('a'), 'healthy');
 });
 
 test('while replicas are missing, steps wait for two leases', () => {
   const recovery = new ZoneRecovery(TIMING);
-  let s = watch(recovery, 0, 40, 0);
-  s = watch(recovery, s, 47, MACHINES, 2);
-  assert.equal(admitted(recovery, REQUEST), 4);
-  watch(recovery, s, 5, MACHINES, 2);
-  assert.equal(admitted(recovery, REQUEST), 8);
+  let elapsedS = observeFor(recovery, 0, 40, 0);
+  elapsedS = observeFor(recovery, elapsedS, 47, MACHINES, 2);
+  assert.equal(countAdmitted(recovery, REQUEST), 4);
+  observeFor(recovery, elapsedS, 5, MACHINES, 2);
+  assert.equal(countAdmitted(recovery, REQUEST), 8);
 });
 
 test('a flapping zone is held down before it returns, and returns with the machines it has', () => {
   const recovery = new ZoneRecovery(TIMING);
-  let s = watch(recovery, 0, 40, 0);
-  s = watch(recovery, s, 10, MACHINES);
-  s = watch(recovery, s, 5, 0);
+  let elapsedS = observeFor(recovery, 0, 40, 0);
+  elapsedS = observeFor(recovery, elapsedS, 10, MACHINES);
+  elapsedS = observeFor(recovery, elapsedS, 5, 0);
   assert.equal(recovery.phaseOf('a'), 'lost', 'at once: it was returning');
-  s = watch(recovery, s, 1, 20);
+  elapsedS = observeFor(recovery, elapsedS, 1, 20);
   assert.equal(recovery.phaseOf('a'), 'held-down');
   assert.ok(recovery.isUnavailable('a'));
-  assert.equal(admitted(recovery, { ...REQUEST, kind: 'service' }), 0);
-  s = watch(recovery, s, 25, 25);
+  assert.equal(countAdmitted(recovery, { ...REQUEST, kind: 'service' }), 0);
+  elapsedS = observeFor(recovery, elapsedS, 25, 25);
   assert.equal(recovery.phaseOf('a'), 'returning');
-  watch(recovery, s, 60, 25);
+  observeFor(recovery, elapsedS, 60, 25);
   assert.equal(recovery.phaseOf('a'), 'healthy', 'with 25 of 40 machines');
 });
 
 test('a change is stored once, and the next leader continues from it', () => {
   const recovery = new ZoneRecovery(TIMING);
-  watch(recovery, 0, 3, MACHINES);
+  observeFor(recovery, 0, 3, MACHINES);
   assert.equal(recovery.takeUnsavedRecord(), null, 'nothing to keep while all is well');
-  watch(recovery, 3, 40, 0);
+  observeFor(recovery, 3, 40, 0);
   const record = recovery.takeUnsavedRecord();
   assert.ok(record !== null);
   assert.equal(recovery.takeUnsavedRecord(), null);
