--- a/packages/zone-recovery/test/zone-return.test.ts
+++ b/packages/zone-recovery/test/zone-return.test.ts
@@ -15,15 +15,15 @@
 /** What the operators asked for: seconds from the end of a replica's lease to its running elsewhere. */
 const REPLACED_WITHIN_S = 30;
 
-function check(played: ScenarioResult, findings: Findings): void {
+function check(result: ScenarioResult, findings: Findings): void {
   assert.deepEqual(findings.duplicates, [], 'no task ran on two machines');
   assert.deepEqual(findings.evicted, [], 'no replica was stopped');
   assert.ok(findings.replacedAfter.length > 0, 'the cut hit replicas');
   const slowest = findings.replacedAfter[findings.replacedAfter.length - 1] ?? Infinity;
   assert.ok(slowest <= REPLACED_WITHIN_S, `a replica was away for ${slowest} s after its lease`);
-  for (const id of SERVICES) assert.equal(played.simulation.runningTasks(id), REPLICAS, id);
-  const progress = played.simulation.history.filter(
-    (entry) => entry.kind === 'end' && entry.done && entry.at > played.healedAt,
+  for (const id of SERVICES) assert.equal(result.simulation.runningTasks(id), REPLICAS, id);
+  const progress = result.simulation.history.filter(
+    (entry) => entry.kind === 'end' && entry.done && entry.at > result.healedAt,
   );
   assert.ok(progress.length > 20, `${progress.length} tasks of lower work were done after the return`);
 }
@@ -38,8 +38,8 @@
 for (const [name, scenario] of SCENARIOS)
   for (const seed of [1, 2])
     test(`${name}, seed ${seed}: replicas are replaced within 30 s of their leases, and none is evicted`, () => {
-      const played = runScenario(scenario, true, seed);
-      check(played, checkHistory(played.simulation.history, SERVICES));
+      const result = runScenario(scenario, true, seed);
+      check(result, checkHistory(result.simulation.history, SERVICES));
     });
 
 const entry = (kind: 'start' | 'stopped', at: number, machine: string): HistoryEntry => ({
