--- a/packages/zone-recovery/test/zone-simulation.ts
+++ b/packages/zone-recovery/test/zone-simulation.ts
@@ -84,16 +84,14 @@
         fencingToken: this.fencingToken,
         preemptionNotice: null,
       },
-      tasks: this.tasks.map(
-        ({ jobId: job, taskIndex: task, attempt, state, exitReason: why, checkpointed: saved }) => ({
-          jobId: job,
-          taskIndex: task,
-          attempt,
-          state,
-          exitReason: why,
-          checkpointed: saved,
-        }),
-      ),
+      tasks: this.tasks.map(({ jobId, taskIndex, attempt, state, exitReason, checkpointed }) => ({
+        jobId,
+        taskIndex,
+        attempt,
+        state,
+        exitReason,
+        checkpointed,
+      })),
     };
   }
 }
@@ -122,30 +120,30 @@
 
   /** A new leader reads what is kept and goes on. */
   startTerm(): ClusterScheduler {
-    const began = this.now().monotonic;
+    const startedAt = this.now().monotonic;
     const policy = this.withRecovery ? new ZoneRecovery(SIMULATED_CONFIG) : null;
     this.revision += 1;
     const term = {
       fencingToken: this.revision,
-      startedAt: began,
-      confirmedAt: began,
-      previousLeadersDeadline: previousLeadersDeadlineFrom(SIMULATED_CONFIG, began),
+      startedAt,
+      confirmedAt: startedAt,
+      previousLeadersDeadline: previousLeadersDeadlineFrom(SIMULATED_CONFIG, startedAt),
     };
     this.scheduler = new ClusterScheduler(SIMULATED_CONFIG, DEFAULT_SETTINGS, term, policy);
-    this.event({ kind: 'machine-types', types: [SIMULATED_TYPE] });
-    this.event({ kind: 'instance-inventory', machines: [], requestedAt: began });
-    for (const [id, job] of this.jobs) this.event({ kind: 'job-changed', id, ...job });
-    for (const [id, page] of this.pages) this.event({ kind: 'page-loaded', id, ...page });
-    this.event({ kind: 'load-completed' });
+    this.handleEvent({ kind: 'machine-types', types: [SIMULATED_TYPE] });
+    this.handleEvent({ kind: 'instance-inventory', machines: [], requestedAt: startedAt });
+    for (const [id, job] of this.jobs) this.handleEvent({ kind: 'job-changed', id, ...job });
+    for (const [id, page] of this.pages) this.handleEvent({ kind: 'page-loaded', id, ...page });
+    this.handleEvent({ kind: 'load-completed' });
     policy?.restore(this.zoneRecord, this.now());
     return this.scheduler;
   }
 
-  submit(id: string, over: Partial<JobSpec>): void {
-    const record: JobRecord = { spec: jobSpec(id, over), submittedAt: this.now().wall, status: 'open' };
+  submit(id: string, overrides: Partial<JobSpec>): void {
+    const record: JobRecord = { spec: jobSpec(id, overrides), submittedAt: this.now().wall, status: 'open' };
     this.revision += 1;
     this.jobs.set(id, { record, modRevision: this.revision });
-    this.event({ kind: 'job-changed', id, record, modRevision: this.revision });
+    this.handleEvent({ kind: 'job-changed', id, record, modRevision: this.revision });
   }
 
   /** The zone's machines reach nobody and are reached by nobody. */
@@ -161,11 +159,11 @@
   }
 
   /** Lets time pass; `each` is called every second. */
-  run(forS: number, each: () => void = () => undefined): void {
-    const end = this.secondsElapsed + forS;
+  run(durationS: number, onSecond: () => void = () => undefined): void {
+    const end = this.secondsElapsed + durationS;
     while (this.secondsElapsed < end) {
       this.step();
-      if (Number.isInteger(this.secondsElapsed)) each();
+      if (Number.isInteger(this.secondsElapsed)) onSecond();
     }
   }
 
@@ -173,7 +171,7 @@
   runningTasks(job: string): number {
     return this.machines.reduce(
       (sum, machine) =>
-        sum + machine.tasks.filter((each) => each.jobId === job && each.state === 'running').length,
+        sum + machine.tasks.filter((task) => task.jobId === job && task.state === 'running').length,
       0,
     );
   }
@@ -189,9 +187,9 @@
     return this.machines.filter((machine) => machine.zone === zone);
   }
 
-  private addMachine(zone: string, up: number): string {
+  private addMachine(zone: string, bootedAt: number): string {
     this.machineCount += 1;
-    const machine = new SimulatedMachine(`n-${String(this.machineCount).padStart(6, '0')}`, zone, up);
+    const machine = new SimulatedMachine(`n-${String(this.machineCount).padStart(6, '0')}`, zone, bootedAt);
     this.machines.push(machine);
     return machine.name;
   }
@@ -203,14 +201,14 @@
 
   private step(): void {
     this.secondsElapsed = Math.round((this.secondsElapsed + STEP_S) * 100) / 100;
-    for (const due of this.messages.filter((each) => each.due <= this.secondsElapsed)) {
+    for (const due of this.messages.filter((message) => message.due <= this.secondsElapsed)) {
       this.messages.splice(this.messages.indexOf(due), 1);
       due.run();
     }
     for (const machine of this.machines)
       if (this.secondsElapsed >= machine.bootedAt) this.stepMachine(machine);
-    this.event({ kind: 'leadership-confirmed', confirmedAt: this.now().monotonic });
-    this.event({ kind: 'tick' });
+    this.handleEvent({ kind: 'leadership-confirmed', confirmedAt: this.now().monotonic });
+    this.handleEvent({ kind: 'tick' });
     this.commit();
   }
 
@@ -223,31 +221,31 @@
       Math.round(this.secondsElapsed / STEP_S + machine.name.charCodeAt(machine.name.length - 1)) % 4 === 0;
     if (!machine.reachable || !due) return;
     const heartbeat = machine.nextHeartbeat();
-    this.event({ kind: 'heartbeat', heartbeat });
+    this.handleEvent({ kind: 'heartbeat', heartbeat });
     const commands = this.scheduler.answerHeartbeat(heartbeat, this.now());
     machine.fencingToken = Math.max(machine.fencingToken, this.scheduler.state.term.fencingToken);
     machine.lastRenewedAt = this.secondsElapsed;
-    this.carryOut(machine, commands);
+    this.executeCommands(machine, commands);
   }
 
   private progress(machine: SimulatedMachine): void {
-    machine.tasks = machine.tasks.map((each): SimulatedTask => {
-      if (each.state === 'fetching' && each.imageReadyAt <= this.secondsElapsed) {
-        const name = `${each.jobId}/${each.taskIndex}`;
-        machine.images.add(this.specOf(each.jobId).image);
+    machine.tasks = machine.tasks.map((task): SimulatedTask => {
+      if (task.state === 'fetching' && task.imageReadyAt <= this.secondsElapsed) {
+        const name = `${task.jobId}/${task.taskIndex}`;
+        machine.images.add(this.specOf(task.jobId).image);
         this.history.push({ kind: 'start', at: this.secondsElapsed, task: name, machine: machine.name });
-        return { ...each, state: 'running' };
+        return { ...task, state: 'running' };
       }
-      if (each.state === 'running' && each.endsAt <= this.secondsElapsed) {
-        this.recordEnd(machine, each, true);
-        return { ...each, state: 'exited', exitReason: 'done' };
+      if (task.state === 'running' && task.endsAt <= this.secondsElapsed) {
+        this.recordEnd(machine, task, true);
+        return { ...task, state: 'exited', exitReason: 'done' };
       }
-      return each;
+      return task;
     });
   }
 
   private expireLease(machine: SimulatedMachine): void {
-    for (const each of machine.tasks) if (each.state === 'running') this.recordEnd(machine, each);
+    for (const task of machine.tasks) if (task.state === 'running') this.recordEnd(machine, task);
     if (machine.tasks.length > 0)
       this.history.push({ kind: 'lease over', at: this.secondsElapsed, machine: machine.name });
     machine.tasks = [];
@@ -267,24 +265,24 @@
     return known.record.spec;
   }
 
-  private carryOut(machine: SimulatedMachine, commands: readonly WorkerCommand[]): void {
+  private executeCommands(machine: SimulatedMachine, commands: readonly WorkerCommand[]): void {
     for (const command of commands) {
       const at = machine.tasks.findIndex(
-        (each) =>
-          each.jobId === command.jobId &&
-          each.taskIndex === command.taskIndex &&
-          each.attempt === command.attempt,
+        (task) =>
+          task.jobId === command.jobId &&
+          task.taskIndex === command.taskIndex &&
+          task.attempt === command.attempt,
       );
-      const held = machine.tasks[at];
-      if (command.op === 'start' && held === undefined) this.startTask(machine, command);
-      if (command.op === 'forget' && held !== undefined) machine.tasks.splice(at, 1);
-      if (command.op !== 'stop' || held === undefined || held.state === 'exited') continue;
-      if (held.state === 'running') {
+      const existing = machine.tasks[at];
+      if (command.op === 'start' && existing === undefined) this.startTask(machine, command);
+      if (command.op === 'forget' && existing !== undefined) machine.tasks.splice(at, 1);
+      if (command.op !== 'stop' || existing === undefined || existing.state === 'exited') continue;
+      if (existing.state === 'running') {
         const task = `${command.jobId}/${command.taskIndex}`;
         this.history.push({ kind: 'stopped', at: this.secondsElapsed, task, machine: machine.name });
-        this.recordEnd(machine, held);
+        this.recordEnd(machine, existing);
       }
-      machine.tasks[at] = { ...held, state: 'exited', exitReason: 'stopped' };
+      machine.tasks[at] = { ...existing, state: 'exited', exitReason: 'stopped' };
     }
   }
 
@@ -292,77 +290,79 @@
     const { kind, image, imageGb, estimatedDuration: estimate } = this.specOf(command.jobId);
     const cached = machine.images.has(image);
     if (!cached) this.history.push({ kind: 'fetch', at: this.secondsElapsed, machine: machine.name });
-    const ready =
+    const imageReadyAt =
       this.secondsElapsed + (cached ? 0 : imageGb / SIMULATED_TYPE.fetchGbPerS) * (0.8 + 0.4 * this.random());
-    const runs = kind === 'service' ? Infinity : toSeconds(estimate) * (0.7 + 0.6 * this.random());
-    const { jobId: job, taskIndex: task, attempt } = command;
+    const durationS = kind === 'service' ? Infinity : toSeconds(estimate) * (0.7 + 0.6 * this.random());
+    const { jobId, taskIndex, attempt } = command;
     machine.tasks.push({
-      jobId: job,
-      taskIndex: task,
+      jobId,
+      taskIndex,
       attempt,
       state: 'fetching',
       exitReason: null,
       checkpointed: false,
-      imageReadyAt: ready,
-      endsAt: ready + runs,
+      imageReadyAt,
+      endsAt: imageReadyAt + durationS,
     });
   }
 
-  private event(event: Event): void {
-    for (const effect of this.scheduler.handle(event, this.now())) this.effect(effect);
+  private handleEvent(event: Event): void {
+    for (const applyEffect of this.scheduler.handle(event, this.now())) this.effect(applyEffect);
   }
 
   private effect(effect: Effect): void {
     if (effect.kind === 'persist-zones') this.zoneRecord = JSON.parse(JSON.stringify(effect.record));
-    else if (effect.kind === 'scale-in') this.giveBack(effect.machineNames);
+    else if (effect.kind === 'scale-in') this.releaseMachines(effect.machineNames);
     else if (effect.kind === 'scale-out') {
       const { zone, count } = effect.request;
       const name = `r-${this.revision}-${this.machineCount}-${zone}-${count}`;
-      this.event({ kind: 'scale-out-started', name, request: effect.request });
-      const up = this.secondsElapsed + BOOT_S;
-      const machines = Array.from({ length: count }, () => this.addMachine(zone, up));
+      this.handleEvent({ kind: 'scale-out-started', name, request: effect.request });
+      const bootedAt = this.secondsElapsed + BOOT_S;
+      const machines = Array.from({ length: count }, () => this.addMachine(zone, bootedAt));
       this.messages.push({
         due: this.secondsElapsed + STEP_S,
-        run: () => this.event({ kind: 'scale-out-answered', name, machines }),
+        run: () => this.handleEvent({ kind: 'scale-out-answered', name, machines }),
       });
     } else if (effect.kind === 'send-commands')
-      this.direct(effect.machineName, effect.agentEpoch, effect.commands);
+      this.deliverCommands(effect.machineName, effect.agentEpoch, effect.commands);
   }
 
-  private giveBack(names: readonly string[]): void {
+  private releaseMachines(names: readonly string[]): void {
     for (const machine of this.machines)
       if (names.includes(machine.name))
-        for (const each of machine.tasks) if (each.state === 'running') this.recordEnd(machine, each);
+        for (const task of machine.tasks) if (task.state === 'running') this.recordEnd(machine, task);
     this.machines = this.machines.filter((machine) => !names.includes(machine.name));
     this.messages.push({
       due: this.secondsElapsed + STEP_S,
-      run: () => this.event({ kind: 'scale-in-answered', machines: names, succeeded: true }),
+      run: () => this.handleEvent({ kind: 'scale-in-answered', machines: names, succeeded: true }),
     });
   }
 
-  private direct(name: string, session: number, commands: readonly WorkerCommand[]): void {
-    const token = this.scheduler.state.term.fencingToken;
+  private deliverCommands(name: string, agentEpoch: number, commands: readonly WorkerCommand[]): void {
+    const fencingToken = this.scheduler.state.term.fencingToken;
     const scheduler = this.scheduler;
     const answer = (outcome: 'executed' | 'refused' | 'unknown', heartbeat: Heartbeat | null): void => {
       if (scheduler === this.scheduler)
-        this.event({
+        this.handleEvent({
           kind: 'commands-answered',
           machineName: name,
-          agentEpoch: session,
-          fencingToken: token,
+          agentEpoch,
+          fencingToken,
           commands,
           outcome,
           heartbeat,
         });
     };
-    const machine = this.machines.find((each) => each.name === name && this.secondsElapsed >= each.bootedAt);
+    const machine = this.machines.find(
+      (candidate) => candidate.name === name && this.secondsElapsed >= candidate.bootedAt,
+    );
     if (machine === undefined || !machine.reachable) {
       this.messages.push({ due: this.secondsElapsed + 2.5, run: () => answer('unknown', null) });
       return;
     }
-    const accepted = token >= machine.fencingToken && session === machine.agentEpoch;
-    machine.fencingToken = Math.max(machine.fencingToken, token);
-    if (accepted) this.carryOut(machine, commands);
+    const accepted = fencingToken >= machine.fencingToken && agentEpoch === machine.agentEpoch;
+    machine.fencingToken = Math.max(machine.fencingToken, fencingToken);
+    if (accepted) this.executeCommands(machine, commands);
     const heartbeat = machine.nextHeartbeat();
     this.messages.push({
       due: this.secondsElapsed + STEP_S,
@@ -375,15 +375,13 @@
       const transaction = this.scheduler.nextTransaction(this.now());
       if (transaction === null) return;
       this.revision += 1;
-      const stamp = this.revision;
-      for (const page of transaction.pages)
-        this.pages.set(page.id, { entries: page.entries, modRevision: stamp });
+      const modRevision = this.revision;
+      for (const page of transaction.pages) this.pages.set(page.id, { entries: page.entries, modRevision });
       for (const id of transaction.completedJobs) {
         const job = this.jobs.get(id);
-        if (job !== undefined)
-          this.jobs.set(id, { record: { ...job.record, status: 'done' }, modRevision: stamp });
+        if (job !== undefined) this.jobs.set(id, { record: { ...job.record, status: 'done' }, modRevision });
       }
-      this.event({ kind: 'transaction-committed', transaction, modRevision: stamp });
+      this.handleEvent({ kind: 'transaction-committed', transaction, modRevision });
     }
   }
 }
