--- a/measure/load.ts
+++ b/measure/load.ts
@@ -5,7 +5,7 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { call, listen } from '../test/standins/http.js';
-import { bytesOfPeerLink } from './peer-link.js';
+import { measurePeerLinkBytes } from './peer-link.js';
 import { reserveAddress, jobBody, platformSettings, waitFor } from '../test/standins/cluster.js';
 import { StateStoreStandIn } from '../test/standins/state-store.js';
 import { TaskHistory, WorkerStandIn } from '../test/standins/worker.js';
@@ -244,7 +244,7 @@
   console.log(`the standby's first 20 s as leader, ms by step: ${standby.steps ?? 'not told'}`);
   await standby.end('of the standby');
   console.log(
-    `two controllers' link: ${((await bytesOfPeerLink()) / 1024).toFixed(1)} KB of heap, both ends`,
+    `two controllers' link: ${((await measurePeerLinkBytes()) / 1024).toFixed(1)} KB of heap, both ends`,
   );
   for (const worker of workers) worker.stop();
   cloud.close();
--- a/measure/peer-link.ts
+++ b/measure/peer-link.ts
@@ -5,15 +5,15 @@
 import { PeerLinks } from '../src/edge/peers/peer-links.js';
 import { reserveAddress } from '../test/standins/cluster.js';
 
-const STATUSES_MS = 3000;
+const MEASURED_MS = 3000;
 
 /** The heap that two controllers' link takes, both ends of both connections, after some seconds of statuses. */
-export async function bytesOfPeerLink(): Promise<number> {
+export async function measurePeerLinkBytes(): Promise<number> {
   setFlagsFromString('--expose-gc');
-  const collect = runInNewContext('gc') as () => void;
-  const used = (): number => {
-    collect();
-    collect();
+  const collectGarbage = runInNewContext('gc') as () => void;
+  const heapUsed = (): number => {
+    collectGarbage();
+    collectGarbage();
     return process.memoryUsage().heapUsed;
   };
   const logger = createLogger('peer-link');
@@ -29,12 +29,13 @@
       logger,
     );
   };
-  const before = used();
+  const before = heapUsed();
   const links = [link(0), link(1)];
-  const running = links.map((each) => each.start());
-  await new Promise((done) => setTimeout(done, STATUSES_MS));
-  const after = used();
-  if (!links.every((each) => each.peersServing() === 1)) throw new Error('the controllers did not link');
-  for (const each of running) each.unsubscribe();
+  const subscriptions = links.map((subscription) => subscription.start());
+  await new Promise((done) => setTimeout(done, MEASURED_MS));
+  const after = heapUsed();
+  if (!links.every((subscription) => subscription.peersServing() === 1))
+    throw new Error('the controllers did not link');
+  for (const each of subscriptions) each.unsubscribe();
   return after - before;
 }
