--- a/measure/load.ts
+++ b/measure/load.ts
@@ -17,11 +17,11 @@
  * `npm run load -- MACHINES REPORT_S SECONDS [MEMORY_MB [SOCKETS]]`. The shares count; absolute times depend on the
  * machine.
  */
-const [machines = 60, reportS = 1, seconds = 20, memoryMb = 0, sockets = 4000] = process.argv
+const [machines = 60, heartbeatIntervalS = 1, seconds = 20, memoryMb = 0, sockets = 4000] = process.argv
   .slice(2)
   .map(Number);
 
-const TYPE = {
+const MACHINE_TYPE = {
   label: 'big',
   vcpus: 8,
   gpus: 2,
@@ -38,14 +38,14 @@
 
 const pause = (ms: number): Promise<void> => new Promise((done) => setTimeout(done, ms));
 
-interface Held {
+interface ProcessUsage {
   readonly userMs: number;
   readonly systemMs: number;
   readonly rssMb: number;
 }
 
 /** What a process has used and holds, as the kernel counts it. */
-function heldBy(pid: number): Held {
+function readUsage(pid: number): ProcessUsage {
   const fields = readFileSync(`/proc/${pid}/stat`, 'utf8').split(') ')[1]?.split(' ') ?? [];
   return {
     userMs: Number(fields[11]) * 10,
@@ -65,40 +65,45 @@
 }
 
 /** The time spent in each function itself, largest first. */
-function shares(p: Profile): [string, number][] {
+function selfTimes(profile: Profile): [string, number][] {
   const names = new Map(
-    p.nodes.map((n) => [n.id, `${n.callFrame.functionName || '(anonymous)'} ${n.callFrame.url.slice(-24)}`]),
+    profile.nodes.map((n) => [
+      n.id,
+      `${n.callFrame.functionName || '(anonymous)'} ${n.callFrame.url.slice(-24)}`,
+    ]),
   );
-  const own = new Map<string, number>();
-  p.samples.forEach((id, k) => {
+  const timeByFunction = new Map<string, number>();
+  profile.samples.forEach((id, k) => {
     const name = names.get(id) ?? '';
-    own.set(name, (own.get(name) ?? 0) + (p.timeDeltas[k] ?? 0) / 1000);
+    timeByFunction.set(name, (timeByFunction.get(name) ?? 0) + (profile.timeDeltas[k] ?? 0) / 1000);
   });
-  return [...own].filter(([name]) => !name.startsWith('(idle)')).sort((a, b) => b[1] - a[1]);
+  return [...timeByFunction].filter(([name]) => !name.startsWith('(idle)')).sort((a, b) => b[1] - a[1]);
 }
 
 /** Ends a process in the way in which it writes its profile. */
-async function over(child: ChildProcess): Promise<void> {
+async function terminate(child: ChildProcess): Promise<void> {
   child.kill('SIGTERM');
   await new Promise((done) => child.once('exit', done));
 }
 
 /** Tells what the profile in the folder says, and takes it away. */
-function tell(folder: string, what: string): void {
+function printProfile(folder: string, what: string): void {
   const file = readdirSync(folder).find((f) => f.endsWith('.cpuprofile'));
   if (file === undefined) return;
-  const rows = shares(JSON.parse(readFileSync(join(folder, file), 'utf8')) as Profile);
+  const rows = selfTimes(JSON.parse(readFileSync(join(folder, file), 'utf8')) as Profile);
   rmSync(join(folder, file));
-  const all = rows.reduce((sum, [, ms]) => sum + ms, 0);
-  console.log(`largest ${what}, of ${all.toFixed(0)} ms:`);
+  const totalMs = rows.reduce((sum, [, ms]) => sum + ms, 0);
+  console.log(`largest ${what}, of ${totalMs.toFixed(0)} ms:`);
   for (const [name, ms] of rows.slice(0, 45))
-    console.log(`${((100 * ms) / all).toFixed(1).padStart(5)} %  ${ms.toFixed(0).padStart(6)} ms  ${name}`);
+    console.log(
+      `${((100 * ms) / totalMs).toFixed(1).padStart(5)} %  ${ms.toFixed(0).padStart(6)} ms  ${name}`,
+    );
 }
 
 /** How long the standby is looked at once it leads. */
 const TAKEOVER_S = 20;
 /** The steps are told 20 s after the term begins, which may be some seconds after the leader's end. */
-const STEPS_LIMIT_MS = 10_000;
+const STARTUP_PROFILE_TIMEOUT_MS = 10_000;
 
 const folder = mkdtempSync(join(tmpdir(), 'load-'));
 
@@ -107,12 +112,12 @@
   readonly api = reserveAddress();
   private child: ChildProcess | null = null;
   private readonly log: string[] = [];
-  private last: Held = { userMs: 0, systemMs: 0, rssMb: 0 };
+  private lastUsage: ProcessUsage = { userMs: 0, systemMs: 0, rssMb: 0 };
 
   constructor(readonly label: string) {}
 
-  get held(): Held {
-    return heldBy(this.child?.pid ?? 0);
+  get usage(): ProcessUsage {
+    return readUsage(this.child?.pid ?? 0);
   }
 
   /** Starts it and waits until it takes requests. */
@@ -127,7 +132,7 @@
     );
     this.child.stderr?.on('data', (data: Buffer) => this.log.push(data.toString('utf8')));
     while ((await call(this.api, 'GET', '/healthz').catch(() => null))?.status !== 200) await pause(20);
-    const { userMs, systemMs, rssMb } = this.held;
+    const { userMs, systemMs, rssMb } = this.usage;
     console.log(
       `${this.label}: healthy after ${Math.round(Number(process.hrtime.bigint() - began) / 1e6)} ms of wall time,`,
       `${userMs + systemMs} ms of processor time, ${rssMb.toFixed(1)} MB`,
@@ -135,7 +140,7 @@
   }
 
   /** What it said of a term's first seconds; null: it has not led for so long. */
-  get steps(): string | null {
+  get startupProfile(): string | null {
     const line = this.log
       .join('')
       .split('\n')
@@ -144,19 +149,19 @@
   }
 
   /** What it spent since the last look, as a share of a core. */
-  spent(seconds: number): string {
-    const { userMs, systemMs, rssMb } = this.held;
-    const all = (userMs + systemMs - this.last.userMs - this.last.systemMs) / (seconds * 1000);
-    const kernel = (systemMs - this.last.systemMs) / (seconds * 1000);
-    this.last = { userMs, systemMs, rssMb };
+  usageSinceLastCall(seconds: number): string {
+    const { userMs, systemMs, rssMb } = this.usage;
+    const all = (userMs + systemMs - this.lastUsage.userMs - this.lastUsage.systemMs) / (seconds * 1000);
+    const kernel = (systemMs - this.lastUsage.systemMs) / (seconds * 1000);
+    this.lastUsage = { userMs, systemMs, rssMb };
     return `${all.toFixed(3)} of a core (${kernel.toFixed(3)} in the kernel), ${rssMb.toFixed(1)} MB`;
   }
 
   /** Ends it in the way in which it writes its profile, and tells what that says. */
   async end(what: string): Promise<void> {
     if (this.child === null) return;
-    await over(this.child);
-    tell(folder, what);
+    await terminate(this.child);
+    printProfile(folder, what);
   }
 }
 
@@ -166,7 +171,7 @@
     const zone = n % 2 === 0 ? 'east' : 'west';
     const name = `n-${String(n).padStart(6, '0')}`;
     const worker = new WorkerStandIn(name, zone, controllers, history, () => 20_000);
-    worker.heartbeatIntervalMs = reportS * 1000;
+    worker.heartbeatIntervalMs = heartbeatIntervalS * 1000;
     worker.leaseMs = LEASE_S * 1000;
     worker.agent = new Agent({ keepAlive: true, maxSockets: 1 });
     await worker.start();
@@ -175,7 +180,7 @@
   return workers;
 }
 
-const listed = (worker: WorkerStandIn): unknown => ({
+const inventoryEntry = (worker: WorkerStandIn): unknown => ({
   ref: worker.name,
   endpoint: worker.address,
   build: 'big',
@@ -201,54 +206,56 @@
 }
 
 async function main(): Promise<void> {
-  const state = new StateStoreStandIn({ txnOps: 12, valueBytes: 4096 });
-  await state.start();
+  const stateStore = new StateStoreStandIn({ txnOps: 12, valueBytes: 4096 });
+  await stateStore.start();
   let workers: WorkerStandIn[] = [];
   const cloud = await listen((_method, url) =>
     url.pathname === '/flavors'
-      ? { status: 200, body: { builds: [TYPE] } }
-      : { status: 200, body: { rigs: workers.map(listed), hasNext: false } },
+      ? { status: 200, body: { builds: [MACHINE_TYPE] } }
+      : { status: 200, body: { rigs: workers.map(inventoryEntry), hasNext: false } },
   );
   const settingsOf = (controller: Controller): unknown => {
-    const timing = { report_s: reportS, lease_s: LEASE_S, cancel_s: 31 };
-    const p = platformSettings(controller.label, controller.api, cloud.address, state, timing);
+    const timing = { report_s: heartbeatIntervalS, lease_s: LEASE_S, cancel_s: 31 };
+    const platform = platformSettings(controller.label, controller.api, cloud.address, stateStore, timing);
     const limits = memoryMb > 0 ? { core_share: 1, memory_mb: memoryMb, max_sockets: sockets } : undefined;
     const team = { cpus: 0, cpus_max: 0, gpus: 0, gpus_max: 0 };
     const teams = ['red', 'blue'].map((name) => ({ name, ...team }));
-    return { ...p, facts: { ...p.facts, teams, limits } };
+    return { ...platform, facts: { ...platform.facts, teams, limits } };
   };
   const leader = new Controller('leader');
   const standby = new Controller('standby');
   await leader.start(settingsOf(leader));
   await pause(1500);
   await standby.start(settingsOf(standby));
-  const watch = new TaskHistory();
-  workers = await startWorkers([leader.api, standby.api], watch);
+  const history = new TaskHistory();
+  workers = await startWorkers([leader.api, standby.api], history);
   await pause(4000);
-  for (const controller of [leader, standby]) controller.spent(1);
+  for (const controller of [leader, standby]) controller.usageSinceLastCall(1);
   await pause(5000);
   for (const controller of [leader, standby])
-    console.log(`${controller.label} at rest with ${machines} machines: ${controller.spent(5)}`);
+    console.log(`${controller.label} at rest with ${machines} machines: ${controller.usageSinceLastCall(5)}`);
   await keepBusy(leader.api);
   for (const controller of [leader, standby])
-    console.log(`${controller.label} busy: ${controller.spent(seconds)}`);
-  console.log(`${watch.startCount} tasks started, ${watch.conflicts.length} twice`);
+    console.log(`${controller.label} busy: ${controller.usageSinceLastCall(seconds)}`);
+  console.log(`${history.startCount} tasks started, ${history.conflicts.length} twice`);
   await leader.end('of the leader');
   const bySecond: string[] = [];
   for (let s = 0; s < TAKEOVER_S; s++) {
     await pause(1000);
-    bySecond.push(standby.spent(1).split(' ')[0] ?? '');
+    bySecond.push(standby.usageSinceLastCall(1).split(' ')[0] ?? '');
   }
   console.log(`the standby, of a core by the second after the leader ended: ${bySecond.join(' ')}`);
-  await waitFor('the steps', () => Promise.resolve(standby.steps), STEPS_LIMIT_MS).catch(() => null);
-  console.log(`the standby's first 20 s as leader, ms by step: ${standby.steps ?? 'not told'}`);
+  await waitFor('the steps', () => Promise.resolve(standby.startupProfile), STARTUP_PROFILE_TIMEOUT_MS).catch(
+    () => null,
+  );
+  console.log(`the standby's first 20 s as leader, ms by step: ${standby.startupProfile ?? 'not told'}`);
   await standby.end('of the standby');
   console.log(
     `two controllers' link: ${((await measurePeerLinkBytes()) / 1024).toFixed(1)} KB of heap, both ends`,
   );
   for (const worker of workers) worker.stop();
   cloud.close();
-  state.stop();
+  stateStore.stop();
   rmSync(folder, { recursive: true });
 }
 
