--- a/measure/memory.ts
+++ b/measure/memory.ts
@@ -23,15 +23,15 @@
  * hand: `npm run memory -- MACHINES OPEN_JOBS FINISHED_JOBS`. The engine's own pages are in "engine and program".
  */
 const [machines = 870, openJobs = 120, finishedJobs = 5000] = process.argv.slice(2).map(Number);
-const TASKS = 20;
+const TASKS_PER_JOB = 20;
 
-interface Held {
+interface MemoryUsage {
   readonly heap: number;
   readonly buffers: number;
   readonly rss: number;
 }
 
-function held(): Held {
+function measureMemory(): MemoryUsage {
   globalThis.gc?.();
   globalThis.gc?.();
   const { heapUsed, external, rss } = process.memoryUsage();
@@ -39,27 +39,31 @@
 }
 
 const megabytes = (bytes: number): string => (bytes / 2 ** 20).toFixed(2).padStart(8);
-let last = held();
+let previousUsage = measureMemory();
 
-function tell(part: string): void {
-  const now = held();
-  const row = [now.heap - last.heap, now.buffers - last.buffers, now.rss - last.rss].map(megabytes);
+function printGrowth(part: string): void {
+  const usage = measureMemory();
+  const row = [
+    usage.heap - previousUsage.heap,
+    usage.buffers - previousUsage.buffers,
+    usage.rss - previousUsage.rss,
+  ].map(megabytes);
   console.log(
     `${part.padEnd(56)} heap ${row[0] ?? ''} MB, buffers ${row[1] ?? ''} MB, resident ${row[2] ?? ''} MB`,
   );
-  last = now;
+  previousUsage = usage;
 }
 
 /** A followed copy without a state store. */
-class Copy {
+class ReplicaStandIn {
   readonly replica = new Map<string, ReplicaEntry>();
   readonly changes = new Subject<KeyChange>();
   readonly reloading = false;
-  private stamp = 0;
+  private lastModRevision = 0;
 
   put(key: string, value: unknown): void {
     // As it comes over the wire: nothing is shared with what wrote it.
-    const entry = { value: decode(encode(value)), modRevision: ++this.stamp };
+    const entry = { value: decode(encode(value)), modRevision: ++this.lastModRevision };
     this.replica.set(key, entry);
     this.changes.next({ key, entry });
   }
@@ -71,26 +75,26 @@
 
 const scheduler = createSchedulerWithType();
 
-const nameOf = (n: number): string => `n-${String(n).padStart(6, '0')}`;
+const machineNameOf = (n: number): string => `n-${String(n).padStart(6, '0')}`;
 
-function reportOf(n: number, seq: number): Heartbeat {
+function heartbeatOf(n: number, sequence: number): Heartbeat {
   const machine = {
-    machineName: nameOf(n),
+    machineName: machineNameOf(n),
     endpoint: `10.1.0.${n}:9000`,
     type: 'big',
     zone: 'east',
     spot: false,
   };
-  return { ...machine, agentEpoch: 1, sequence: seq, fencingToken: 1, preemptionNotice: null, tasks: [] };
+  return { ...machine, agentEpoch: 1, sequence, fencingToken: 1, preemptionNotice: null, tasks: [] };
 }
 
-const recordOf = (n: number, standing: JobRecord['status']): JobRecord => ({
-  spec: jobSpec(`req-${n}`, { taskCount: TASKS }),
+const jobRecordOf = (n: number, status: JobRecord['status']): JobRecord => ({
+  spec: jobSpec(`req-${n}`, { taskCount: TASKS_PER_JOB }),
   submittedAt: timeAt(0).wall,
-  status: standing,
+  status,
 });
 
-async function connections(): Promise<() => void> {
+async function openConnections(): Promise<() => void> {
   const options: HeartbeatReaderOptions = {
     maxBodyBytes: 65_536,
     queue: new HeartbeatQueue(),
@@ -123,50 +127,50 @@
 
 async function main(): Promise<void> {
   console.log(
-    `engine and program (compiled by tsx): resident ${megabytes(last.rss)} MB, heap ${megabytes(last.heap)} MB`,
+    `engine and program (compiled by tsx): resident ${megabytes(previousUsage.rss)} MB, heap ${megabytes(previousUsage.heap)} MB`,
   );
   for (let n = 0; n < machines; n++)
-    scheduler.handle({ kind: 'heartbeat', heartbeat: reportOf(n, 1) }, timeAt(0));
-  tell(`${machines} machine records`);
+    scheduler.handle({ kind: 'heartbeat', heartbeat: heartbeatOf(n, 1) }, timeAt(0));
+  printGrowth(`${machines} machine records`);
   for (let n = 0; n < openJobs; n++)
     scheduler.handle(
-      { kind: 'job-changed', id: `req-${n}`, record: recordOf(n, 'open'), modRevision: n + 1 },
+      { kind: 'job-changed', id: `req-${n}`, record: jobRecordOf(n, 'open'), modRevision: n + 1 },
       timeAt(1),
     );
-  tell(`${openJobs} open jobs of ${TASKS} tasks, as assigned by the leader`);
-  const copy = new Copy();
-  const counts = new TaskCounts(copy);
-  const ended = new FinishedJobCompactor(copy, counts);
-  const pages = new DecodedPageCache();
-  const routine = ended.start();
-  for (let n = 0; n < openJobs; n++) copy.put(jobKey(`req-${n}`), encodeJob(recordOf(n, 'open')));
-  tell('their records in the followed copy');
+  printGrowth(`${openJobs} open jobs of ${TASKS_PER_JOB} tasks, as assigned by the leader`);
+  const standIn = new ReplicaStandIn();
+  const taskCounts = new TaskCounts(standIn);
+  const compactor = new FinishedJobCompactor(standIn, taskCounts);
+  const pageCache = new DecodedPageCache();
+  const routine = compactor.start();
+  for (let n = 0; n < openJobs; n++) standIn.put(jobKey(`req-${n}`), encodeJob(jobRecordOf(n, 'open')));
+  printGrowth('their records in the followed copy');
   for (let n = 0; n < openJobs / 2; n++) {
-    const intents = Array.from({ length: 40 }, (_, task) => ({
-      ...{ taskIndex: task, attempt: 1, machineName: nameOf(task), agentEpoch: 1, zone: 'east' },
+    const assignments = Array.from({ length: 40 }, (_, task) => ({
+      ...{ taskIndex: task, attempt: 1, machineName: machineNameOf(task), agentEpoch: 1, zone: 'east' },
     }));
-    copy.put(
+    standIn.put(
       pageKey('all', n),
       encodePage(
         [
           {
             jobId: `req-${n}`,
             chunkIndex: 0,
-            record: { highestAttempt: 1, completedTasks: [], assignments: intents },
+            record: { highestAttempt: 1, completedTasks: [], assignments },
           },
         ],
         CLUSTER_CONFIG.zones,
       ),
     );
-    const entry = copy.replica.get(pageKey('all', n));
-    if (entry !== undefined) pages.entriesOf(entry);
+    const entry = standIn.replica.get(pageKey('all', n));
+    if (entry !== undefined) pageCache.entriesOf(entry);
   }
-  tell(`${openJobs / 2} pages of 40 places, taken apart`);
-  for (let n = 0; n < finishedJobs; n++) copy.put(jobKey(`req-9${n}`), encodeJob(recordOf(n, 'done')));
-  ended.sweep();
-  tell(`${finishedJobs} finished jobs in the followed copy`);
-  const close = await connections();
-  tell(`${machines} workers' connections, and the other ends of them`);
+  printGrowth(`${openJobs / 2} pages of 40 places, taken apart`);
+  for (let n = 0; n < finishedJobs; n++) standIn.put(jobKey(`req-9${n}`), encodeJob(jobRecordOf(n, 'done')));
+  compactor.sweep();
+  printGrowth(`${finishedJobs} finished jobs in the followed copy`);
+  const close = await openConnections();
+  printGrowth(`${machines} workers' connections, and the other ends of them`);
   close();
   routine.unsubscribe();
 }
