--- a/measure/zone-return.ts
+++ b/measure/zone-return.ts
@@ -20,50 +20,58 @@
   ['a takeover 12 s into the return', { ...ONE_PARTITION, failoverAfterS: 12 }],
 ];
 
-interface Row {
+interface Metric {
   readonly name: string;
   /** Whether more is better. */
-  readonly high: boolean;
-  readonly of: (played: ReturnType<typeof runScenario>) => number;
+  readonly higherIsBetter: boolean;
+  readonly measure: (result: ReturnType<typeof runScenario>) => number;
 }
 
-const findings = (played: ReturnType<typeof runScenario>): ReturnType<typeof checkHistory> =>
+const findingsOf = (played: ReturnType<typeof runScenario>): ReturnType<typeof checkHistory> =>
   checkHistory(played.simulation.history, SERVICES);
 
-const ROWS: readonly Row[] = [
+const METRICS: readonly Metric[] = [
   {
     name: 'last replica after its lease, s',
-    high: false,
-    of: (played) => findings(played).replacedAfter.at(-1) ?? 0,
+    higherIsBetter: false,
+    measure: (played) => findingsOf(played).replacedAfter.at(-1) ?? 0,
+  },
+  { name: 'lowest share of replicas', higherIsBetter: true, measure: (played) => played.lowestShare },
+  { name: 'replicas evicted', higherIsBetter: false, measure: (played) => findingsOf(played).evicted.length },
+  {
+    name: 'tasks in two places',
+    higherIsBetter: false,
+    measure: (played) => findingsOf(played).duplicates.length,
   },
-  { name: 'lowest share of replicas', high: true, of: (played) => played.lowestShare },
-  { name: 'replicas evicted', high: false, of: (played) => findings(played).evicted.length },
-  { name: 'tasks in two places', high: false, of: (played) => findings(played).duplicates.length },
   {
     name: 'most fetches begun in a second',
-    high: false,
-    of: (played) => findings(played).maxFetchesPerSecond,
+    higherIsBetter: false,
+    measure: (played) => findingsOf(played).maxFetchesPerSecond,
+  },
+  {
+    name: 'most starts in a second',
+    higherIsBetter: false,
+    measure: (played) => findingsOf(played).maxStartsPerSecond,
   },
-  { name: 'most starts in a second', high: false, of: (played) => findings(played).maxStartsPerSecond },
-  { name: 'tasks done', high: true, of: (played) => findings(played).finished },
+  { name: 'tasks done', higherIsBetter: true, measure: (played) => findingsOf(played).finished },
   {
     name: 'tasks done from the return on',
-    high: true,
-    of: (played) =>
+    higherIsBetter: true,
+    measure: (played) =>
       played.simulation.history.filter(
         (entry) => entry.kind === 'end' && entry.done && entry.at > played.healedAt,
       ).length,
   },
 ];
 
-function cell(values: readonly number[], high: boolean): string {
+function formatCell(values: readonly number[], high: boolean): string {
   const sorted = [...values].sort((a, b) => (high ? b - a : a - b));
   const median = sorted[Math.floor((sorted.length - 1) / 2)] ?? 0;
   const worst = sorted[sorted.length - 1] ?? 0;
-  return `${round(median)} (${round(worst)})`;
+  return `${formatNumber(median)} (${formatNumber(worst)})`;
 }
 
-const round = (value: number): string => (Number.isInteger(value) ? String(value) : value.toFixed(2));
+const formatNumber = (value: number): string => (Number.isInteger(value) ? String(value) : value.toFixed(2));
 
 for (const [name, scenario] of SCENARIOS) {
   const runs = [false, true].map((on) =>
@@ -71,8 +79,8 @@
   );
   console.log(`\n${name}: ${seeds} seeds, median (worst)`);
   console.log(`  ${''.padEnd(34)}${'off'.padEnd(18)}on`);
-  for (const row of ROWS) {
-    const [off, on] = runs.map((played) => cell(played.map(row.of), row.high));
-    console.log(`  ${row.name.padEnd(34)}${(off ?? '').padEnd(18)}${on ?? ''}`);
+  for (const metric of METRICS) {
+    const [off, on] = runs.map((played) => formatCell(played.map(metric.measure), metric.higherIsBetter));
+    console.log(`  ${metric.name.padEnd(34)}${(off ?? '').padEnd(18)}${on ?? ''}`);
   }
 }
