--- a/test/golden-bytes.ts
+++ b/test/golden-bytes.ts
@@ -12,28 +12,35 @@
   readonly base64: string;
 }
 
-const shown = (value: unknown): string => JSON.stringify(value);
+const toJson = (value: unknown): string => JSON.stringify(value);
 
 /** The value that the golden bytes hold. */
-export function valueIn(golden: Golden): unknown {
+export function decodeGolden(golden: Golden): unknown {
   const value = decode(Buffer.from(golden.base64, 'base64'));
-  assert.equal(shown(value), golden.text, 'the text beside the bytes says what they hold');
+  assert.equal(toJson(value), golden.text, 'the text beside the bytes says what they hold');
   return value;
 }
 
 /** Checks bytes that were written against the golden ones. */
 export function assertBytes(written: Buffer, golden: Golden): void {
-  assert.equal(shown(decode(written)), golden.text);
+  assert.equal(toJson(decode(written)), golden.text);
   assert.equal(written.toString('base64'), golden.base64);
 }
 
 /** Checks a request as it was sent: its first line, that the head tells of CBOR, and the body; null: there is none. */
-export function assertRequest(sent: RecordedRequest | undefined, line: string, golden: Golden | null): void {
-  assert.ok(sent !== undefined, `no request for ${line}`);
-  const length =
+export function assertRequest(
+  sent: RecordedRequest | undefined,
+  requestLine: string,
+  golden: Golden | null,
+): void {
+  assert.ok(sent !== undefined, `no request for ${requestLine}`);
+  const bodyHeaders =
     golden === null ? '' : `\r\nContent-Type: application/cbor\r\nContent-Length: ${sent.body.length}`;
-  const empty = golden === null && !line.startsWith('GET ') ? '\r\nContent-Length: 0' : '';
-  assert.equal(sent.head, `${line} HTTP/1.1\r\nHost: ADDRESS\r\nConnection: keep-alive${length}${empty}`);
+  const emptyBodyHeader = golden === null && !requestLine.startsWith('GET ') ? '\r\nContent-Length: 0' : '';
+  assert.equal(
+    sent.head,
+    `${requestLine} HTTP/1.1\r\nHost: ADDRESS\r\nConnection: keep-alive${bodyHeaders}${emptyBodyHeader}`,
+  );
   if (golden === null) assert.equal(sent.body.length, 0);
   else assertBytes(sent.body, golden);
 }
--- a/test/golden-records.test.ts
+++ b/test/golden-records.test.ts
@@ -17,7 +17,7 @@
 import { jobKey, pageKey, parseKey, leaderKey, versionKey, zoneRecordKey } from '../src/wire/keys.js';
 import { decodeJob, encodeJob } from '../src/wire/job-record.js';
 import { decodeLeader, type LeaderRecord } from '../src/wire/leader-record.js';
-import { assertBytes, valueIn, type Golden } from './golden-bytes.js';
+import { assertBytes, decodeGolden, type Golden } from './golden-bytes.js';
 
 // What is stored and what controllers send one another, in literal bytes, with every optional field present and absent.
 // An upgraded controller reads what earlier versions stored, and the other way round while versions run side by side.
@@ -110,14 +110,14 @@
   ];
   for (const [golden, record] of records) {
     assertBytes(encode(encodeJob(record)), golden);
-    assert.deepEqual(decodeJob(valueIn(golden)), record);
+    assert.deepEqual(decodeJob(decodeGolden(golden)), record);
   }
 });
 
 // A cancellation reads the record and writes it again: nothing may be lost or moved on the way.
 test('a record that is decoded and encoded again keeps its bytes', () => {
   for (const golden of [WHOLE_JOB, BARE_JOB, ARRAY_JOB])
-    assertBytes(encode(encodeJob(decodeJob(valueIn(golden)))), golden);
+    assertBytes(encode(encodeJob(decodeJob(decodeGolden(golden)))), golden);
 });
 
 test('the leader record', () => {
@@ -127,7 +127,7 @@
   };
   const owner: LeaderRecord = { label: 'hearth-1', incarnation: 'hearth-1-1893499200250-77' };
   assertBytes(encode(owner), golden);
-  assert.deepEqual(decodeLeader(valueIn(golden)), owner);
+  assert.deepEqual(decodeLeader(decodeGolden(golden)), owner);
 });
 
 test('the record of the features that a version supports', () => {
@@ -137,7 +137,7 @@
   };
   const version: VersionRecord = { features: ['dependencies'] };
   assertBytes(encode(version), golden);
-  assert.deepEqual(decodeFeatures(valueIn(golden)), ['dependencies']);
+  assert.deepEqual(decodeFeatures(decodeGolden(golden)), ['dependencies']);
 });
 
 test('the record of zones, in every phase', () => {
@@ -169,7 +169,7 @@
   ]);
   assertBytes(encode(encodeZones(zones, at)), golden);
   zones.delete('a');
-  assert.deepEqual(decodeZones(valueIn(golden), at), zones);
+  assert.deepEqual(decodeZones(decodeGolden(golden), at), zones);
 });
 
 // The first space before the places stands for no result, the second for no place.
--- a/test/golden-requests.test.ts
+++ b/test/golden-requests.test.ts
@@ -21,7 +21,7 @@
 } from '../src/wire/cloud-protocol.js';
 import { encodeCommands, parseHeartbeat, encodeRedirect } from '../src/wire/worker-protocol.js';
 import type { ParseResult } from '../src/wire/parse-result.js';
-import { assertBytes, assertRequest, valueIn, type Golden } from './golden-bytes.js';
+import { assertBytes, assertRequest, decodeGolden, type Golden } from './golden-bytes.js';
 import { call } from './standins/http.js';
 import { startRecorder } from './standins/recorder.js';
 import {
@@ -130,9 +130,9 @@
 };
 
 test('a submission is parsed with its optional fields given, null, omitted, and with unknown fields beside them', () => {
-  assert.deepEqual(valueOf(parseSubmission(valueIn(WHOLE))), whole);
+  assert.deepEqual(valueOf(parseSubmission(decodeGolden(WHOLE))), whole);
   for (const golden of [NULLS, OMITTED, LATER_FIELDS])
-    assert.deepEqual(valueOf(parseSubmission(valueIn(golden))), bare);
+    assert.deepEqual(valueOf(parseSubmission(decodeGolden(golden))), bare);
 });
 
 // The words are stored in records under other words: both sides of the table are part of an external form.
@@ -326,8 +326,8 @@
     [HELLO, heartbeat],
     [QUIET, quiet],
   ] as const) {
-    assert.deepEqual(valueOf(parseHeartbeat(valueIn(golden))), expected);
-    assert.deepEqual(valueOf(parseHeartbeat(bySchema(valueIn(golden)))), expected);
+    assert.deepEqual(valueOf(parseHeartbeat(decodeGolden(golden))), expected);
+    assert.deepEqual(valueOf(parseHeartbeat(bySchema(decodeGolden(golden)))), expected);
   }
 });
 
@@ -459,16 +459,16 @@
 
 test('cloud requests are encoded and their responses parsed in the bytes of the interface', async () => {
   const order = { type: 'g8', zone: 'a', spot: true, count: 12 };
-  assert.deepEqual(valueOf(parseMachineTypes(valueIn(FLAVORS))), types);
-  assert.deepEqual(valueOf(parseInventory(valueIn(MACHINES))), { machines: listed, hasMore: true });
+  assert.deepEqual(valueOf(parseMachineTypes(decodeGolden(FLAVORS))), types);
+  assert.deepEqual(valueOf(parseInventory(decodeGolden(MACHINES))), { machines: listed, hasMore: true });
   assertBytes(encode(encodeScaleOut('r-17', order)), RENTAL);
   assertBytes(encode(encodeScaleIn(['n-000231', 'n-000232'])), RETURN);
   assert.equal(inventoryPath(null, 500), '/machines?page=500');
   assert.equal(inventoryPath('n-000231', 500), '/machines?from=n-000231&page=500');
 
   const cloud = await startRecorder((line) => {
-    if (line === 'GET /flavors') return { status: 200, body: valueIn(FLAVORS) };
-    if (line === 'GET /machines?page=500') return { status: 200, body: valueIn(MACHINES) };
+    if (line === 'GET /flavors') return { status: 200, body: decodeGolden(FLAVORS) };
+    if (line === 'GET /machines?page=500') return { status: 200, body: decodeGolden(MACHINES) };
     if (line.startsWith('GET '))
       return { status: 200, body: JSON.parse('{"rigs":[],"hasNext":false}') as unknown };
     return { status: 200, body: JSON.parse('{"rigs":["n-000240"]}') as unknown };
