--- a/test/golden-records.test.ts
+++ b/test/golden-records.test.ts
@@ -22,7 +22,7 @@
 // What is stored and what controllers send one another, in literal bytes, with every optional field present and absent.
 // An upgraded controller reads what earlier versions stored, and the other way round while versions run side by side.
 
-const WHOLE_JOB: Golden = {
+const FULL_JOB: Golden = {
   text: '{"st":"open","at":"2030-01-01T12:00:00.250Z","s":{"id":"req-000412","class":"train","team":"vision","kind":"gang","priority":"high","tasks":16,"cpus":8,"gpus":1,"memory":64.5,"types":["g8","g9"],"zone":"a","oneZone":true,"spread":true,"spot":true,"image":"img-07","imageGb":6.2,"estimate":240,"checkpoint":30,"save":4,"due":900,"dependencies":["req-7","req-8"]}}',
   base64:
     'o2JzdGRvcGVuYmF0eBgyMDMwLTAxLTAxVDEyOjAwOjAwLjI1MFphc7ViaWRqcmVxLTAwMDQxMmVjbGFzc2V0cmFpbmR0ZWFtZn' +
@@ -30,7 +30,7 @@
     'OGJnOWR6b25lYWFnb25lWm9uZfVmc3ByZWFk9WRzcG909WVpbWFnZWZpbWctMDdnaW1hZ2VHYvtAGMzMzMzMzWhlc3RpbWF0ZR' +
     'jwamNoZWNrcG9pbnQYHmRzYXZlBGNkdWUZA4RsZGVwZW5kZW5jaWVzgmVyZXEtN2VyZXEtOA==',
 };
-const BARE_JOB: Golden = {
+const MINIMAL_JOB: Golden = {
   text: '{"st":"done","at":"2030-01-01T12:00:00.250Z","s":{"id":"req-1","class":"web","team":"shop","kind":"service","priority":"production","tasks":3,"cpus":0.5,"gpus":0,"memory":2,"types":null,"zone":null,"oneZone":false,"spread":false,"spot":false,"image":"img-1","imageGb":0,"estimate":0,"checkpoint":0,"save":0,"due":null}}',
   base64:
     'o2JzdGRkb25lYmF0eBgyMDMwLTAxLTAxVDEyOjAwOjAwLjI1MFphc7RiaWRlcmVxLTFlY2xhc3Njd2ViZHRlYW1kc2hvcGRraW' +
@@ -47,8 +47,8 @@
     'Bkc2F2ZQBjZHVlAA==',
 };
 
-const submitted = new Date(Date.UTC(2030, 0, 1, 12, 0, 0, 250));
-const bare: JobSpec = {
+const submittedAt = new Date(Date.UTC(2030, 0, 1, 12, 0, 0, 250));
+const minimalSpec: JobSpec = {
   id: 'req-1',
   class: 'web',
   team: 'shop',
@@ -71,7 +71,7 @@
   deadline: null,
   dependencies: [],
 };
-const whole: JobSpec = {
+const fullSpec: JobSpec = {
   id: 'req-000412',
   class: 'train',
   team: 'vision',
@@ -94,8 +94,8 @@
   deadline: seconds(900),
   dependencies: ['req-7', 'req-8'],
 };
-const array: JobSpec = {
-  ...bare,
+const arraySpec: JobSpec = {
+  ...minimalSpec,
   kind: 'array',
   priority: 'low',
   estimatedDuration: seconds(0.25),
@@ -104,9 +104,9 @@
 
 test('the record of a job, with all optional fields and with none', () => {
   const records: readonly [Golden, JobRecord][] = [
-    [WHOLE_JOB, { spec: whole, submittedAt: submitted, status: 'open' }],
-    [BARE_JOB, { spec: bare, submittedAt: submitted, status: 'done' }],
-    [ARRAY_JOB, { spec: array, submittedAt: submitted, status: 'cancelled' }],
+    [FULL_JOB, { spec: fullSpec, submittedAt, status: 'open' }],
+    [MINIMAL_JOB, { spec: minimalSpec, submittedAt, status: 'done' }],
+    [ARRAY_JOB, { spec: arraySpec, submittedAt, status: 'cancelled' }],
   ];
   for (const [golden, record] of records) {
     assertBytes(encode(encodeJob(record)), golden);
@@ -116,7 +116,7 @@
 
 // A cancellation reads the record and writes it again: nothing may be lost or moved on the way.
 test('a record that is decoded and encoded again keeps its bytes', () => {
-  for (const golden of [WHOLE_JOB, BARE_JOB, ARRAY_JOB])
+  for (const golden of [FULL_JOB, MINIMAL_JOB, ARRAY_JOB])
     assertBytes(encode(encodeJob(decodeJob(decodeGolden(golden)))), golden);
 });
 
@@ -125,9 +125,9 @@
     text: '{"label":"hearth-1","incarnation":"hearth-1-1893499200250-77"}',
     base64: 'omVsYWJlbGhoZWFydGgtMWtpbmNhcm5hdGlvbngZaGVhcnRoLTEtMTg5MzQ5OTIwMDI1MC03Nw==',
   };
-  const owner: LeaderRecord = { label: 'hearth-1', incarnation: 'hearth-1-1893499200250-77' };
-  assertBytes(encode(owner), golden);
-  assert.deepEqual(decodeLeader(decodeGolden(golden)), owner);
+  const leader: LeaderRecord = { label: 'hearth-1', incarnation: 'hearth-1-1893499200250-77' };
+  assertBytes(encode(leader), golden);
+  assert.deepEqual(decodeLeader(decodeGolden(golden)), leader);
 });
 
 test('the record of the features that a version supports', () => {
@@ -149,27 +149,27 @@
       'bmZsb3NzZXMCaWhvbGRVbnRpbBpw3IFeaGFkbWl0dGVkAKVkem9uZWFlZXBoYXNlaXJldHVybmluZ2Zsb3NzZXMCaWhvbGRVbn' +
       'RpbBpw3IFAaGFkbWl0dGVkB6Vkem9uZWFmZXBoYXNlZ2hlYWx0aHlmbG9zc2VzA2lob2xkVW50aWwacNyBQGhhZG1pdHRlZAA=',
   };
-  const at: Timestamp = { monotonic: seconds(1000), wall: new Date(Date.UTC(2030, 0, 1, 12)) };
+  const now: Timestamp = { monotonic: seconds(1000), wall: new Date(Date.UTC(2030, 0, 1, 12)) };
   const healthy: ZoneHealth = {
     phase: 'healthy',
-    since: at.monotonic,
+    since: now.monotonic,
     losses: 0,
-    lossesChangedAt: at.monotonic,
-    holdUntil: at.monotonic,
+    lossesChangedAt: now.monotonic,
+    holdUntil: now.monotonic,
     admitted: 0,
-    admittedAt: at.monotonic,
+    admittedAt: now.monotonic,
   };
   const zones = new Map<string, ZoneHealth>([
     ['a', healthy],
     ['b', { ...healthy, phase: 'suspect' }],
     ['c', { ...healthy, phase: 'lost', losses: 1 }],
-    ['d', { ...healthy, phase: 'held-down', losses: 2, holdUntil: at.monotonic + seconds(30) }],
+    ['d', { ...healthy, phase: 'held-down', losses: 2, holdUntil: now.monotonic + seconds(30) }],
     ['e', { ...healthy, phase: 'returning', losses: 2, admitted: 7 }],
     ['f', { ...healthy, losses: 3 }],
   ]);
-  assertBytes(encode(encodeZones(zones, at)), golden);
+  assertBytes(encode(encodeZones(zones, now)), golden);
   zones.delete('a');
-  assert.deepEqual(decodeZones(decodeGolden(golden), at), zones);
+  assert.deepEqual(decodeZones(decodeGolden(golden), now), zones);
 });
 
 // The first space before the places stands for no result, the second for no place.
