--- a/test/golden-settings.test.ts
+++ b/test/golden-settings.test.ts
@@ -24,7 +24,7 @@
 const folder = mkdtempSync(join(tmpdir(), 'golden-'));
 after(() => rmSync(folder, { recursive: true }));
 
-function fileWith(name: string, text: string): string {
+function writeSettings(name: string, text: string): string {
   const path = join(folder, name);
   writeFileSync(path, text);
   return path;
@@ -74,7 +74,7 @@
 };
 
 test('all platform settings are read', () => {
-  const platform = readPlatformSettings(fileWith('whole.json', PLATFORM));
+  const platform = readPlatformSettings(writeSettings('whole.json', PLATFORM));
   assert.deepEqual(clusterConfigFrom(platform), config);
   assert.equal(platform.label, 'hearth-0');
   assert.equal(platform.area, 'midtown');
@@ -105,7 +105,7 @@
 const SKEW = /,\s*"skew_ms": 5\.0/;
 
 test('optional platform settings have their defaults', () => {
-  const platform = readPlatformSettings(fileWith('bare.json', without(OBJECTIVES, NEXT, LIMITS, SKEW)));
+  const platform = readPlatformSettings(writeSettings('bare.json', without(OBJECTIVES, NEXT, LIMITS, SKEW)));
   assert.deepEqual(clusterConfigFrom(platform), {
     ...config,
     objectives: [],
@@ -118,81 +118,81 @@
 });
 
 /** What a mistake is told as, with the file's name shortened. */
-function mistakeIn(read: () => unknown): string {
+function errorMessageOf(read: () => unknown): string {
   try {
     read();
-  } catch (e) {
-    assert.ok(e instanceof SettingsError);
-    return e.message.replace(folder, 'DIR');
+  } catch (error) {
+    assert.ok(error instanceof SettingsError);
+    return error.message.replace(folder, 'DIR');
   }
   return 'no mistake';
 }
 
-const platformMistake = (from: string, to: string): string => {
+const platformErrorFor = (from: string, to: string): string => {
   assert.ok(PLATFORM.includes(from), from);
-  return mistakeIn(() => readPlatformSettings(fileWith('p.json', PLATFORM.replace(from, to))));
+  return errorMessageOf(() => readPlatformSettings(writeSettings('p.json', PLATFORM.replace(from, to))));
 };
 
 test('a mistake in the platform settings is reported with its path', () => {
   assert.equal(
-    mistakeIn(() => readPlatformSettings(join(folder, 'none.json'))),
+    errorMessageOf(() => readPlatformSettings(join(folder, 'none.json'))),
     'cannot read settings DIR/none.json: ENOENT',
   );
   // What follows the colon is the engine's own text.
-  assert.match(platformMistake('{', '{,'), /^settings DIR\/p\.json are not JSON: ./);
+  assert.match(platformErrorFor('{', '{,'), /^settings DIR\/p\.json are not JSON: ./);
   assert.equal(
-    platformMistake('"label": "hearth-0",', ''),
+    platformErrorFor('"label": "hearth-0",', ''),
     'settings DIR/p.json: label: Invalid input: expected string, received undefined',
   );
   assert.equal(
-    platformMistake('"hearth-0"', '""'),
+    platformErrorFor('"hearth-0"', '""'),
     'settings DIR/p.json: label: Too small: expected string to have >=1 characters',
   );
   assert.equal(
-    platformMistake('"10.0.0.1:8080"', '"10.0.0.1"'),
+    platformErrorFor('"10.0.0.1:8080"', '"10.0.0.1"'),
     'settings DIR/p.json: api_addr: must be HOST:PORT',
   );
   assert.equal(
-    platformMistake('"hearth-1"', '7'),
+    platformErrorFor('"hearth-1"', '7'),
     'settings DIR/p.json: known.0.label: Invalid input: expected string, received number',
   );
   assert.equal(
-    platformMistake('"cpus": 1.5', '"cpus": -1'),
+    platformErrorFor('"cpus": 1.5', '"cpus": -1'),
     'settings DIR/p.json: facts.teams.0.cpus: Too small: expected number to be >=0',
   );
   assert.equal(
-    platformMistake('"report_s": 3.0', '"report_s": "3"'),
+    platformErrorFor('"report_s": 3.0', '"report_s": "3"'),
     'settings DIR/p.json: facts.workers.report_s: Invalid input: expected number, received string',
   );
   assert.equal(
-    platformMistake('"report_s": 3.0', '"report_s": 0'),
+    platformErrorFor('"report_s": 3.0', '"report_s": 0'),
     'settings DIR/p.json: facts.workers.report_s: Too small: expected number to be >0',
   );
   assert.equal(
-    platformMistake('"txn_ops": 8', '"txn_ops": 1.5'),
+    platformErrorFor('"txn_ops": 8', '"txn_ops": 1.5'),
     'settings DIR/p.json: facts.state.txn_ops: Invalid input: expected int, received number',
   );
   assert.equal(
-    platformMistake('"memory_mb": 242.0', '"memory_mb": 1'),
+    platformErrorFor('"memory_mb": 242.0', '"memory_mb": 1'),
     'settings DIR/p.json: facts.limits.memory_mb: at least 96 is needed',
   );
   assert.equal(
-    platformMistake('"max_sockets": 2000', '"max_sockets": 1'),
+    platformErrorFor('"max_sockets": 2000', '"max_sockets": 1'),
     'settings DIR/p.json: facts.limits.max_sockets: at least 64 are needed',
   );
   assert.equal(
-    platformMistake('"value_kb": 4.0', '"value_kb": 1'),
+    platformErrorFor('"value_kb": 4.0', '"value_kb": 1'),
     'settings DIR/p.json: facts.state: values must hold 1792 bytes, now and by `next`',
   );
   assert.equal(
-    mistakeIn(() => readPlatformSettings(fileWith('p.json', '[]'))),
+    errorMessageOf(() => readPlatformSettings(writeSettings('p.json', '[]'))),
     'settings DIR/p.json: : Invalid input: expected object, received array',
   );
 });
 
 test('unreadable announced limits are ignored', () => {
-  assert.equal(platformMistake('"write_rps": 9.5', '"write_rps": "soon"'), 'no mistake');
-  assert.equal(platformMistake('"next": {', '"later": {'), 'no mistake');
+  assert.equal(platformErrorFor('"write_rps": 9.5', '"write_rps": "soon"'), 'no mistake');
+  assert.equal(platformErrorFor('"next": {', '"later": {'), 'no mistake');
 });
 
 // ---- Operators
@@ -215,7 +215,7 @@
 };
 
 test('all operator settings are read, and have their defaults without a file', () => {
-  assert.deepEqual(readOperatorSettings(fileWith('whole.sexp', OPERATORS)), operators);
+  assert.deepEqual(readOperatorSettings(writeSettings('whole.sexp', OPERATORS)), operators);
   const defaults: OperatorSettings = {
     alpha: 0.25,
     lambda: 0.5,
@@ -252,55 +252,55 @@
 });
 
 test('a mistake in the operator settings is reported with its line', () => {
-  const told = (text: string): string => mistakeIn(() => parseOperatorSettings(text, 'f'));
-  assert.equal(told('(placement\n (alpha 0.8))'), 'f:2: alpha must be from 0.25 to 0.75');
-  assert.equal(told('(fleet\n\n (idle-s 4))'), 'f:3: idle-s must be from 5 to 86400');
-  assert.equal(told('(placement (beta 1))'), 'f:1: unknown setting "beta" in placement');
+  const messageFor = (text: string): string => errorMessageOf(() => parseOperatorSettings(text, 'f'));
+  assert.equal(messageFor('(placement\n (alpha 0.8))'), 'f:2: alpha must be from 0.25 to 0.75');
+  assert.equal(messageFor('(fleet\n\n (idle-s 4))'), 'f:3: idle-s must be from 5 to 86400');
+  assert.equal(messageFor('(placement (beta 1))'), 'f:1: unknown setting "beta" in placement');
   assert.equal(
-    told('\n(place (alpha 0.5))'),
+    messageFor('\n(place (alpha 0.5))'),
     'f:2: unknown group "place" (known: placement, fleet, machines)',
   );
-  assert.equal(told('(fleet (idle-s soon))'), 'f:1: idle-s takes one number');
-  assert.equal(told('(fleet (idle-s 5 6))'), 'f:1: idle-s takes one number');
-  assert.equal(told('(fleet (idle-s))'), 'f:1: expected a name or a number');
-  assert.equal(told('(fleet idle-s)'), 'f:1: expected a list');
-  assert.equal(told('fleet'), 'f:1: expected a list');
-  assert.match(told('(fleet'), /^f: ./);
+  assert.equal(messageFor('(fleet (idle-s soon))'), 'f:1: idle-s takes one number');
+  assert.equal(messageFor('(fleet (idle-s 5 6))'), 'f:1: idle-s takes one number');
+  assert.equal(messageFor('(fleet (idle-s))'), 'f:1: expected a name or a number');
+  assert.equal(messageFor('(fleet idle-s)'), 'f:1: expected a list');
+  assert.equal(messageFor('fleet'), 'f:1: expected a list');
+  assert.match(messageFor('(fleet'), /^f: ./);
   assert.equal(
-    mistakeIn(() => readOperatorSettings(join(folder, 'none.sexp'))),
+    errorMessageOf(() => readOperatorSettings(join(folder, 'none.sexp'))),
     'cannot read DIR/none.sexp: ENOENT',
   );
 });
 
 test('a mistake in the features file is reported with its line', () => {
-  const told = (text: string): string => mistakeIn(() => parseFeatures(text, 'f'));
-  assert.equal(told('(features zone-recovery)'), 'no mistake');
-  assert.equal(told('(features\n warp)'), 'f:2: unknown feature "warp" (known: zone-recovery)');
-  assert.equal(told('(fleet)'), 'f:1: unknown group "fleet" (known: features)');
-  assert.equal(told('(features (warp))'), 'f:1: expected a name or a number');
+  const messageFor = (text: string): string => errorMessageOf(() => parseFeatures(text, 'f'));
+  assert.equal(messageFor('(features zone-recovery)'), 'no mistake');
+  assert.equal(messageFor('(features\n warp)'), 'f:2: unknown feature "warp" (known: zone-recovery)');
+  assert.equal(messageFor('(fleet)'), 'f:1: unknown group "fleet" (known: features)');
+  assert.equal(messageFor('(features (warp))'), 'f:1: expected a name or a number');
   assert.equal(
-    mistakeIn(() => readFeatures(join(folder, 'none.sexp'))),
+    errorMessageOf(() => readFeatures(join(folder, 'none.sexp'))),
     'cannot read DIR/none.sexp: ENOENT',
   );
 });
 
 // ---- Command line
 
-interface Ended {
+interface ExitResult {
   readonly code: number | null;
-  readonly out: string;
-  readonly told: string;
+  readonly stdout: string;
+  readonly stderr: string;
 }
 
-const run = (...words: readonly string[]): Promise<Ended> =>
+const runProgram = (...args: readonly string[]): Promise<ExitResult> =>
   new Promise((resolve, reject) => {
-    const child = spawn(process.execPath, ['--import', 'tsx', 'src/main.ts', ...words]);
-    let out = '';
-    let told = '';
-    child.stdout.on('data', (data: Buffer) => (out += data.toString()));
-    child.stderr.on('data', (data: Buffer) => (told += data.toString()));
+    const child = spawn(process.execPath, ['--import', 'tsx', 'src/main.ts', ...args]);
+    let stdout = '';
+    let stderr = '';
+    child.stdout.on('data', (data: Buffer) => (stdout += data.toString()));
+    child.stderr.on('data', (data: Buffer) => (stderr += data.toString()));
     child.once('error', reject);
-    child.once('close', (code) => resolve({ code, out, told: told.replaceAll(folder, 'DIR') }));
+    child.once('close', (code) => resolve({ code, stdout, stderr: stderr.replaceAll(folder, 'DIR') }));
   });
 
 const HELP = `Usage: pumiceroad [options]
@@ -319,27 +319,27 @@
 
 // Each start takes about a second: few, and all at once.
 test('the command line: exit codes and messages', async () => {
-  const platform = fileWith('cli.json', PLATFORM);
-  const settings = fileWith('cli.sexp', OPERATORS);
-  const features = fileWith('features.sexp', '(features zone-recovery)');
-  const wrong = fileWith('wrong.sexp', '(fleet\n (reserve 9))');
-  const [bare, checked, mistaken, help] = await Promise.all([
-    run(),
-    run('--config', platform, '--settings', settings, '--features', features, '--check'),
-    run('--config', platform, '--settings', wrong, '--check'),
-    run('--help'),
+  const platform = writeSettings('cli.json', PLATFORM);
+  const settings = writeSettings('cli.sexp', OPERATORS);
+  const features = writeSettings('features.sexp', '(features zone-recovery)');
+  const invalidSettings = writeSettings('wrong.sexp', '(fleet\n (reserve 9))');
+  const [withoutArguments, checked, invalid, help] = await Promise.all([
+    runProgram(),
+    runProgram('--config', platform, '--settings', settings, '--features', features, '--check'),
+    runProgram('--config', platform, '--settings', invalidSettings, '--check'),
+    runProgram('--help'),
   ]);
-  assert.deepEqual(bare, {
+  assert.deepEqual(withoutArguments, {
     code: 2,
     out: '',
     told: "error: required option '--config <file>' not specified\n",
   });
   assert.deepEqual(checked, { code: 0, out: 'settings are valid\n', told: '' });
-  assert.deepEqual(mistaken, {
+  assert.deepEqual(invalid, {
     code: 2,
     out: '',
     told: 'pumiceroad: DIR/wrong.sexp:2: reserve must be from 0 to 5\n',
   });
   assert.equal(help.code, 0);
-  assert.equal(help.out, HELP);
+  assert.equal(help.stdout, HELP);
 });
