--- a/test/records.test.ts
+++ b/test/records.test.ts
@@ -50,7 +50,7 @@
 test('records and keys are written and read in the bytes of earlier versions', () => {
   assert.equal(encode(encodeJob(record)).toString('base64'), JOB);
   assert.deepEqual(decodeJob(decode(Buffer.from(JOB, 'base64'))), record);
-  const places = [
+  const assignments = [
     { taskIndex: 4, attempt: 3, machineName: 'n-000231', agentEpoch: 2, zone: 'east' },
     { taskIndex: 5, attempt: 2, machineName: 'a.b/c', agentEpoch: 1, zone: 'other' },
   ];
@@ -58,7 +58,7 @@
     {
       jobId: 'req-000412',
       chunkIndex: 1,
-      record: { highestAttempt: 3, completedTasks: [0, 1, 2, 7], assignments: places },
+      record: { highestAttempt: 3, completedTasks: [0, 1, 2, 7], assignments },
     },
   ];
   assert.equal(encodePage(entries, ['east', 'west']), PAGE);
@@ -76,7 +76,7 @@
 });
 
 /** How the version before dependencies took a key apart, kept as it was. */
-function earlierKind(key: string): string {
+function kindInEarlierVersion(key: string): string {
   const [, kind, a, b] = key.split('/');
   if (kind === 'part' && a !== undefined) return 'part';
   if (kind === 'job' && a !== undefined) return 'job';
@@ -86,7 +86,7 @@
 
 // It passes over keys of kinds that it does not know, and reads any value under them.
 test('supported features are stored under a key that earlier versions ignore', () => {
-  assert.equal(earlierKind(versionKey('hearth-1')), 'other');
+  assert.equal(kindInEarlierVersion(versionKey('hearth-1')), 'other');
   assert.equal(parseKey(versionKey('hearth-1')).kind, 'version');
   assert.deepEqual(decodeFeatures({ features: ['dependencies', 'later'], more: 1 }), [
     'dependencies',
