--- a/test/versions.test.ts
+++ b/test/versions.test.ts
@@ -24,16 +24,16 @@
 const MACHINES = 6;
 
 /** A controller's picture of which versions run. */
-class Registry {
-  private readonly copy = new Map<string, ReplicaEntry>();
+class VersionRegistry {
+  private readonly replica = new Map<string, ReplicaEntry>();
 
-  upgraded(label: string): void {
-    this.copy.set(versionKey(label), { value: { features: [DEPENDENCIES_FEATURE] }, modRevision: 1 });
+  recordUpgrade(label: string): void {
+    this.replica.set(versionKey(label), { value: { features: [DEPENDENCIES_FEATURE] }, modRevision: 1 });
   }
 
-  seenBy(label: string, others: readonly string[]): ControllerVersions {
+  versionsSeenBy(label: string, others: readonly string[]): ControllerVersions {
     return new ControllerVersions(
-      { replica: this.copy } as unknown as StateStore,
+      { replica: this.replica } as unknown as StateStore,
       label,
       others,
       createLogger('test'),
@@ -41,39 +41,39 @@
   }
 }
 
-function takeOver(fleet: SimulatedFleet, codec: RecordCodec): void {
+function failOverTo(fleet: SimulatedFleet, codec: RecordCodec): void {
   fleet.codec = codec;
   fleet.startTerm();
 }
 
 /** Lets machines report, passes be made and transactions be carried out for a while. */
-function go(fleet: SimulatedFleet, seconds: number): void {
+function runFor(fleet: SimulatedFleet, seconds: number): void {
   for (let n = 0; n < seconds * 4; n++) {
     fleet.advance(0.25);
     fleet.sendHeartbeats();
     fleet.handle({ kind: 'tick' });
     fleet.commit();
-    checkPlaces(fleet);
+    checkNoTaskRunsTwice(fleet);
   }
 }
 
 function tasksOf(fleet: SimulatedFleet, job: string): string[] {
-  const out: string[] = [];
+  const running: string[] = [];
   for (const [machine, tasks] of fleet.tasks)
     for (const task of tasks)
       if (task.jobId === job && task.state !== 'exited')
-        out.push(`${task.taskIndex}#${task.attempt} on ${machine}`);
-  return out.sort();
+        running.push(`${task.taskIndex}#${task.attempt} on ${machine}`);
+  return running.sort();
 }
 
-function checkPlaces(fleet: SimulatedFleet): void {
-  const places = new Map<string, string>();
+function checkNoTaskRunsTwice(fleet: SimulatedFleet): void {
+  const machineByTask = new Map<string, string>();
   for (const [machine, tasks] of fleet.tasks)
     for (const task of tasks) {
       if (task.state === 'exited') continue;
       const key = `${task.jobId}/${task.taskIndex}`;
-      assert.equal(places.get(key), undefined, `${key} runs on ${machine} and elsewhere`);
-      places.set(key, machine);
+      assert.equal(machineByTask.get(key), undefined, `${key} runs on ${machine} and elsewhere`);
+      machineByTask.set(key, machine);
     }
 }
 
@@ -95,20 +95,20 @@
   const fleet = new SimulatedFleet(MACHINES, PRODUCTION_CODEC);
   fleet.sendHeartbeats();
   // Taken as proof they would show, later on, that nothing of the following runs.
-  const late = Array.from({ length: MACHINES }, (_, n) => fleet.nextHeartbeat(n));
+  const delayedHeartbeats = Array.from({ length: MACHINES }, (_, n) => fleet.nextHeartbeat(n));
   fleet.submit('req-1', { kind: 'service', taskCount: 2, priority: 'production', spreadAcrossZones: true });
   fleet.submit('req-2', { kind: 'gang', taskCount: 3, singleZone: true });
   fleet.submit('req-3', { taskCount: 4 });
-  go(fleet, 5);
+  runFor(fleet, 5);
   const before = ['req-1', 'req-2', 'req-3'].map((id) => tasksOf(fleet, id));
   assert.deepEqual(
     before.map((tasks) => tasks.length),
     [2, 3, 4],
   );
 
-  takeOver(fleet, THIS_CODEC);
+  failOverTo(fleet, THIS_CODEC);
   checkRecords(fleet);
-  go(fleet, 2);
+  runFor(fleet, 2);
   assert.deepEqual(
     ['req-1', 'req-2', 'req-3'].map((id) => tasksOf(fleet, id)),
     before,
@@ -117,53 +117,53 @@
   cancel(fleet, THIS_CODEC, 'req-2');
 
   // Before anything of the cancelled job is stopped, and with reports from before it still under way.
-  takeOver(fleet, PRODUCTION_CODEC);
-  go(fleet, 1);
-  for (const heartbeat of late) fleet.handle({ kind: 'heartbeat', heartbeat });
+  failOverTo(fleet, PRODUCTION_CODEC);
+  runFor(fleet, 1);
+  for (const heartbeat of delayedHeartbeats) fleet.handle({ kind: 'heartbeat', heartbeat });
   checkRecords(fleet);
-  go(fleet, 3);
+  runFor(fleet, 3);
   assert.deepEqual(tasksOf(fleet, 'req-2'), [], 'the cancellation that the new version wrote is carried out');
   assert.deepEqual(tasksOf(fleet, 'req-1'), before[0]);
   for (let n = 0; n < MACHINES; n++) fleet.finishTasksOf(n, 'req-3');
 
-  takeOver(fleet, THIS_CODEC);
-  go(fleet, 1);
-  for (const heartbeat of late) fleet.handle({ kind: 'heartbeat', heartbeat });
-  go(fleet, 3);
+  failOverTo(fleet, THIS_CODEC);
+  runFor(fleet, 1);
+  for (const heartbeat of delayedHeartbeats) fleet.handle({ kind: 'heartbeat', heartbeat });
+  runFor(fleet, 3);
   checkRecords(fleet);
-  const standing = (id: string): string => decodeJob(fleet.jobs.get(id)?.value).status;
-  assert.deepEqual(['req-1', 'req-2', 'req-3'].map(standing), ['open', 'cancelled', 'done']);
+  const statusOf = (id: string): string => decodeJob(fleet.jobs.get(id)?.value).status;
+  assert.deepEqual(['req-1', 'req-2', 'req-3'].map(statusOf), ['open', 'cancelled', 'done']);
   assert.deepEqual(tasksOf(fleet, 'req-1'), before[0]);
   assert.deepEqual([tasksOf(fleet, 'req-2'), tasksOf(fleet, 'req-3')], [[], []]);
 });
 
 // What the guard is for: the older version passes over the field and starts the job at once.
 test('the production version would start a dependent job at once; so none is accepted before every controller is new', () => {
-  const registry = new Registry();
+  const registry = new VersionRegistry();
   const labels = ['one', 'two', 'three'];
-  const allHave = (): boolean[] =>
+  const supportSeenByEach = (): boolean[] =>
     labels.map((label) =>
       registry
-        .seenBy(
+        .versionsSeenBy(
           label,
           labels.filter((other) => other !== label),
         )
         .allSupport(DEPENDENCIES_FEATURE),
     );
   for (const label of labels) {
-    assert.deepEqual(allHave(), [false, false, false], `before ${label} is upgraded`);
-    registry.upgraded(label);
+    assert.deepEqual(supportSeenByEach(), [false, false, false], `before ${label} is upgraded`);
+    registry.recordUpgrade(label);
   }
-  assert.deepEqual(allHave(), [true, true, true]);
+  assert.deepEqual(supportSeenByEach(), [true, true, true]);
 
   const fleet = new SimulatedFleet(MACHINES, THIS_CODEC);
   fleet.sendHeartbeats();
   fleet.submit('req-1', { taskCount: 1 });
   fleet.submit('req-2', { taskCount: 2, dependencies: ['req-1'] });
-  go(fleet, 3);
+  runFor(fleet, 3);
   assert.deepEqual(tasksOf(fleet, 'req-2'), [], 'this version waits');
-  takeOver(fleet, PRODUCTION_CODEC);
-  go(fleet, 3);
+  failOverTo(fleet, PRODUCTION_CODEC);
+  runFor(fleet, 3);
   assert.equal(tasksOf(fleet, 'req-2').length, 2, 'the older one does not');
 });
 
@@ -174,10 +174,10 @@
   fleet.submit('req-2', { dependencies: ['req-1'] });
   fleet.submit('req-3', { taskCount: 1 });
   fleet.submit('req-4', { dependencies: ['req-3', 'req-1'] });
-  go(fleet, 3);
+  runFor(fleet, 3);
   cancel(fleet, THIS_CODEC, 'req-3');
-  takeOver(fleet, THIS_CODEC);
-  go(fleet, 3);
+  failOverTo(fleet, THIS_CODEC);
+  runFor(fleet, 3);
   assert.deepEqual([tasksOf(fleet, 'req-2'), tasksOf(fleet, 'req-4')], [[], []]);
   assert.equal(
     PRODUCTION_CODEC.readJob(fleet.jobs.get('req-4')?.value).status,
@@ -185,8 +185,8 @@
     'readable by both',
   );
   for (let n = 0; n < MACHINES; n++) fleet.finishTasksOf(n, 'req-1');
-  takeOver(fleet, THIS_CODEC);
-  go(fleet, 3);
+  failOverTo(fleet, THIS_CODEC);
+  runFor(fleet, 3);
   assert.equal(tasksOf(fleet, 'req-2').length, 1);
   assert.deepEqual(tasksOf(fleet, 'req-4'), []);
 });
