--- a/test/malformed-records.test.ts
+++ b/test/malformed-records.test.ts
@@ -9,11 +9,11 @@
 
 const isRecordError =
   (record: MalformedRecordError['record'], reason: RegExp, hasCause: boolean) =>
-  (e: unknown): boolean => {
-    assert.ok(e instanceof MalformedRecordError);
-    assert.equal(e.record, record);
-    assert.match(e.reason, reason);
-    assert.equal(e.cause !== undefined, hasCause);
+  (error: unknown): boolean => {
+    assert.ok(error instanceof MalformedRecordError);
+    assert.equal(error.record, record);
+    assert.match(error.reason, reason);
+    assert.equal(error.cause !== undefined, hasCause);
     return true;
   };
 
@@ -36,7 +36,7 @@
 });
 
 test('bytes that are no frame are a typed error', () => {
-  const isFrameError = (e: unknown): boolean =>
-    e instanceof MalformedFrameError && e.reason === 'not a frame';
+  const isFrameError = (error: unknown): boolean =>
+    error instanceof MalformedFrameError && error.reason === 'not a frame';
   assert.throws(() => new FrameReader().push(Buffer.from('GET / HTTP/1.1\r\n')), isFrameError);
 });
