--- a/test/record-pages.test.ts
+++ b/test/record-pages.test.ts
@@ -35,11 +35,11 @@
   );
   for (const page of scheduler.state.records.pages.values()) {
     const entries = pageEntriesOf(page, chunkRecordOf);
-    const out = encodePage(entries, ['east', 'west']);
-    assert.ok(JSON.stringify(out).length <= 4096, `${out.length} characters`);
-    assert.deepEqual(decodePage(decode(encode(out))), entries);
+    const encoded = encodePage(entries, ['east', 'west']);
+    assert.ok(JSON.stringify(encoded).length <= 4096, `${encoded.length} characters`);
+    assert.deepEqual(decodePage(decode(encode(encoded))), entries);
     assert.equal(
-      taskCountsIn(out).reduce((sum, c) => sum + c.assigned, 0),
+      taskCountsIn(encoded).reduce((sum, c) => sum + c.assigned, 0),
       entries.reduce((sum, entry) => sum + entry.record.assignments.length, 0),
     );
   }
