--- a/test/heartbeat-parsing.test.ts
+++ b/test/heartbeat-parsing.test.ts
@@ -4,7 +4,7 @@
 import { parseHead } from '../src/edge/http/heartbeat-head.js';
 import { parseHeartbeat } from '../src/wire/worker-protocol.js';
 
-const HELLO = {
+const HEARTBEAT = {
   rig: 'n-000231',
   endpoint: '10.1.0.232:9000',
   build: 'g8',
@@ -18,12 +18,12 @@
 };
 
 test('heartbeats: the fast path and the schema parse alike, and invalid ones are refused', () => {
-  const plain = parseHeartbeat(HELLO);
+  const viaFastPath = parseHeartbeat(HEARTBEAT);
   // A count above 32 bits may come as a big integer: that goes to the schema.
-  const long = parseHeartbeat({ ...HELLO, tick: 88n, recallS: undefined });
-  assert.ok(plain.ok && long.ok);
-  assert.deepEqual(plain.value, long.value);
-  assert.deepEqual(plain.value.tasks[0], {
+  const viaSchema = parseHeartbeat({ ...HEARTBEAT, tick: 88n, recallS: undefined });
+  assert.ok(viaFastPath.ok && viaSchema.ok);
+  assert.deepEqual(viaFastPath.value, viaSchema.value);
+  assert.deepEqual(viaFastPath.value.tasks[0], {
     jobId: 'req-000412',
     taskIndex: 3,
     attempt: 2,
@@ -31,16 +31,16 @@
     exitReason: 'done',
     checkpointed: false,
   });
-  for (const wrong of [
+  for (const invalidFields of [
     { rig: '' },
     { tick: -1 },
     { baton: 1.5 },
     { tickets: {} },
-    { tickets: [{ ...HELLO.tickets[0], standing: 'toString' }] },
-    { tickets: [{ ...HELLO.tickets[0], ticket: 'req-1' }] },
+    { tickets: [{ ...HEARTBEAT.tickets[0], standing: 'toString' }] },
+    { tickets: [{ ...HEARTBEAT.tickets[0], ticket: 'req-1' }] },
     { tickets: [null] },
   ])
-    assert.equal(parseHeartbeat({ ...HELLO, ...wrong }).ok, false, JSON.stringify(wrong));
+    assert.equal(parseHeartbeat({ ...HEARTBEAT, ...invalidFields }).ok, false, JSON.stringify(invalidFields));
 });
 
 test('a heartbeat is recognised in the bytes of a connection; everything else is left to the general server', () => {
