--- a/test/submission-parsing.test.ts
+++ b/test/submission-parsing.test.ts
@@ -27,12 +27,12 @@
 };
 
 test('a submission: nullable fields may be missing, unknown ones are ignored, invalid ones refused', () => {
-  const r = parseSubmission(BODY);
-  assert.ok(r.ok);
-  assert.equal(r.value.kind, 'gang');
-  assert.equal(r.value.machineTypes, null);
-  assert.equal(r.value.deadline, seconds(900));
-  for (const wrong of [
+  const parsed = parseSubmission(BODY);
+  assert.ok(parsed.ok);
+  assert.equal(parsed.value.kind, 'gang');
+  assert.equal(parsed.value.machineTypes, null);
+  assert.equal(parsed.value.deadline, seconds(900));
+  for (const invalidFields of [
     { tickets: 0 },
     { tickets: 1.5 },
     { shape: 'gang' },
@@ -40,6 +40,6 @@
     { vcpus: -1 },
     { oneZone: null },
   ])
-    assert.equal(parseSubmission({ ...BODY, ...wrong }).ok, false, JSON.stringify(wrong));
+    assert.equal(parseSubmission({ ...BODY, ...invalidFields }).ok, false, JSON.stringify(invalidFields));
   assert.equal(parseSubmission('text').ok, false);
 });
