--- a/test/golden-settings.test.ts
+++ b/test/golden-settings.test.ts
@@ -331,14 +331,14 @@
   ]);
   assert.deepEqual(withoutArguments, {
     code: 2,
-    out: '',
-    told: "error: required option '--config <file>' not specified\n",
+    stdout: '',
+    stderr: "error: required option '--config <file>' not specified\n",
   });
-  assert.deepEqual(checked, { code: 0, out: 'settings are valid\n', told: '' });
+  assert.deepEqual(checked, { code: 0, stdout: 'settings are valid\n', stderr: '' });
   assert.deepEqual(invalid, {
     code: 2,
-    out: '',
-    told: 'pumiceroad: DIR/wrong.sexp:2: reserve must be from 0 to 5\n',
+    stdout: '',
+    stderr: 'pumiceroad: DIR/wrong.sexp:2: reserve must be from 0 to 5\n',
   });
   assert.equal(help.code, 0);
   assert.equal(help.stdout, HELP);
