--- a/measure/zone-return.ts
+++ b/measure/zone-return.ts
@@ -27,39 +27,39 @@
   readonly measure: (result: ReturnType<typeof runScenario>) => number;
 }
 
-const findingsOf = (played: ReturnType<typeof runScenario>): ReturnType<typeof checkHistory> =>
-  checkHistory(played.simulation.history, SERVICES);
+const findingsOf = (result: ReturnType<typeof runScenario>): ReturnType<typeof checkHistory> =>
+  checkHistory(result.simulation.history, SERVICES);
 
 const METRICS: readonly Metric[] = [
   {
     name: 'last replica after its lease, s',
     higherIsBetter: false,
-    measure: (played) => findingsOf(played).replacedAfter.at(-1) ?? 0,
+    measure: (result) => findingsOf(result).replacedAfter.at(-1) ?? 0,
   },
-  { name: 'lowest share of replicas', higherIsBetter: true, measure: (played) => played.lowestShare },
-  { name: 'replicas evicted', higherIsBetter: false, measure: (played) => findingsOf(played).evicted.length },
+  { name: 'lowest share of replicas', higherIsBetter: true, measure: (result) => result.lowestShare },
+  { name: 'replicas evicted', higherIsBetter: false, measure: (result) => findingsOf(result).evicted.length },
   {
     name: 'tasks in two places',
     higherIsBetter: false,
-    measure: (played) => findingsOf(played).duplicates.length,
+    measure: (result) => findingsOf(result).duplicates.length,
   },
   {
     name: 'most fetches begun in a second',
     higherIsBetter: false,
-    measure: (played) => findingsOf(played).maxFetchesPerSecond,
+    measure: (result) => findingsOf(result).maxFetchesPerSecond,
   },
   {
     name: 'most starts in a second',
     higherIsBetter: false,
-    measure: (played) => findingsOf(played).maxStartsPerSecond,
+    measure: (result) => findingsOf(result).maxStartsPerSecond,
   },
-  { name: 'tasks done', higherIsBetter: true, measure: (played) => findingsOf(played).finished },
+  { name: 'tasks done', higherIsBetter: true, measure: (result) => findingsOf(result).finished },
   {
     name: 'tasks done from the return on',
     higherIsBetter: true,
-    measure: (played) =>
-      played.simulation.history.filter(
-        (entry) => entry.kind === 'end' && entry.done && entry.at > played.healedAt,
+    measure: (result) =>
+      result.simulation.history.filter(
+        (entry) => entry.kind === 'end' && entry.done && entry.at > result.healedAt,
       ).length,
   },
 ];
@@ -80,7 +80,7 @@
   console.log(`\n${name}: ${seeds} seeds, median (worst)`);
   console.log(`  ${''.padEnd(34)}${'off'.padEnd(18)}on`);
   for (const metric of METRICS) {
-    const [off, on] = runs.map((played) => formatCell(played.map(metric.measure), metric.higherIsBetter));
+    const [off, on] = runs.map((result) => formatCell(result.map(metric.measure), metric.higherIsBetter));
     console.log(`  ${metric.name.padEnd(34)}${(off ?? '').padEnd(18)}${on ?? ''}`);
   }
 }
