--- a/packages/zone-recovery/test/zone-simulation.ts
+++ b/packages/zone-recovery/test/zone-simulation.ts
@@ -307,10 +307,10 @@
   }
 
   private handleEvent(event: Event): void {
-    for (const applyEffect of this.scheduler.handle(event, this.now())) this.effect(applyEffect);
+    for (const effect of this.scheduler.handle(event, this.now())) this.applyEffect(effect);
   }
 
-  private effect(effect: Effect): void {
+  private applyEffect(effect: Effect): void {
     if (effect.kind === 'persist-zones') this.zoneRecord = JSON.parse(JSON.stringify(effect.record));
     else if (effect.kind === 'scale-in') this.releaseMachines(effect.machineNames);
     else if (effect.kind === 'scale-out') {
