--- a/measure/peer-link.ts
+++ b/measure/peer-link.ts
@@ -31,11 +31,11 @@
   };
   const before = heapUsed();
   const links = [link(0), link(1)];
-  const subscriptions = links.map((subscription) => subscription.start());
+  const subscriptions = links.map((peerLink) => peerLink.start());
   await new Promise((done) => setTimeout(done, MEASURED_MS));
   const after = heapUsed();
-  if (!links.every((subscription) => subscription.peersServing() === 1))
+  if (!links.every((peerLink) => peerLink.peersServing() === 1))
     throw new Error('the controllers did not link');
-  for (const each of subscriptions) each.unsubscribe();
+  for (const subscription of subscriptions) subscription.unsubscribe();
   return after - before;
 }
