--- a/measure/zone-return.ts
+++ b/measure/zone-return.ts
@@ -64,8 +64,8 @@
   },
 ];
 
-function formatCell(values: readonly number[], high: boolean): string {
-  const sorted = [...values].sort((a, b) => (high ? b - a : a - b));
+function formatCell(values: readonly number[], higherIsBetter: boolean): string {
+  const sorted = [...values].sort((a, b) => (higherIsBetter ? b - a : a - b));
   const median = sorted[Math.floor((sorted.length - 1) / 2)] ?? 0;
   const worst = sorted[sorted.length - 1] ?? 0;
   return `${formatNumber(median)} (${formatNumber(worst)})`;
@@ -80,7 +80,7 @@
   console.log(`\n${name}: ${seeds} seeds, median (worst)`);
   console.log(`  ${''.padEnd(34)}${'off'.padEnd(18)}on`);
   for (const metric of METRICS) {
-    const [off, on] = runs.map((result) => formatCell(result.map(metric.measure), metric.higherIsBetter));
+    const [off, on] = runs.map((results) => formatCell(results.map(metric.measure), metric.higherIsBetter));
     console.log(`  ${metric.name.padEnd(34)}${(off ?? '').padEnd(18)}${on ?? ''}`);
   }
 }
