--- a/packages/zone-recovery/test/zone-simulation.ts
+++ b/packages/zone-recovery/test/zone-simulation.ts
@@ -213,7 +213,7 @@
   }
 
   private stepMachine(machine: SimulatedMachine): void {
-    this.progress(machine);
+    this.advanceTasks(machine);
     if (this.secondsElapsed - machine.lastRenewedAt > toSeconds(SIMULATED_CONFIG.workerLease))
       this.expireLease(machine);
     // Not all at the same moment.
@@ -228,7 +228,7 @@
     this.executeCommands(machine, commands);
   }
 
-  private progress(machine: SimulatedMachine): void {
+  private advanceTasks(machine: SimulatedMachine): void {
     machine.tasks = machine.tasks.map((task): SimulatedTask => {
       if (task.state === 'fetching' && task.imageReadyAt <= this.secondsElapsed) {
         const name = `${task.jobId}/${task.taskIndex}`;
@@ -267,22 +267,22 @@
 
   private executeCommands(machine: SimulatedMachine, commands: readonly WorkerCommand[]): void {
     for (const command of commands) {
-      const at = machine.tasks.findIndex(
+      const index = machine.tasks.findIndex(
         (task) =>
           task.jobId === command.jobId &&
           task.taskIndex === command.taskIndex &&
           task.attempt === command.attempt,
       );
-      const existing = machine.tasks[at];
+      const existing = machine.tasks[index];
       if (command.op === 'start' && existing === undefined) this.startTask(machine, command);
-      if (command.op === 'forget' && existing !== undefined) machine.tasks.splice(at, 1);
+      if (command.op === 'forget' && existing !== undefined) machine.tasks.splice(index, 1);
       if (command.op !== 'stop' || existing === undefined || existing.state === 'exited') continue;
       if (existing.state === 'running') {
         const task = `${command.jobId}/${command.taskIndex}`;
         this.history.push({ kind: 'stopped', at: this.secondsElapsed, task, machine: machine.name });
         this.recordEnd(machine, existing);
       }
-      machine.tasks[at] = { ...existing, state: 'exited', exitReason: 'stopped' };
+      machine.tasks[index] = { ...existing, state: 'exited', exitReason: 'stopped' };
     }
   }
 
