--- a/measure/load.ts
+++ b/measure/load.ts
@@ -87,13 +87,13 @@
 }
 
 /** Tells what the profile in the folder says, and takes it away. */
-function printProfile(folder: string, what: string): void {
+function printProfile(folder: string, description: string): void {
   const file = readdirSync(folder).find((f) => f.endsWith('.cpuprofile'));
   if (file === undefined) return;
   const rows = selfTimes(JSON.parse(readFileSync(join(folder, file), 'utf8')) as Profile);
   rmSync(join(folder, file));
   const totalMs = rows.reduce((sum, [, ms]) => sum + ms, 0);
-  console.log(`largest ${what}, of ${totalMs.toFixed(0)} ms:`);
+  console.log(`largest ${description}, of ${totalMs.toFixed(0)} ms:`);
   for (const [name, ms] of rows.slice(0, 45))
     console.log(
       `${((100 * ms) / totalMs).toFixed(1).padStart(5)} %  ${ms.toFixed(0).padStart(6)} ms  ${name}`,
@@ -151,17 +151,17 @@
   /** What it spent since the last look, as a share of a core. */
   usageSinceLastCall(seconds: number): string {
     const { userMs, systemMs, rssMb } = this.usage;
-    const all = (userMs + systemMs - this.lastUsage.userMs - this.lastUsage.systemMs) / (seconds * 1000);
-    const kernel = (systemMs - this.lastUsage.systemMs) / (seconds * 1000);
+    const cpuShare = (userMs + systemMs - this.lastUsage.userMs - this.lastUsage.systemMs) / (seconds * 1000);
+    const kernelShare = (systemMs - this.lastUsage.systemMs) / (seconds * 1000);
     this.lastUsage = { userMs, systemMs, rssMb };
-    return `${all.toFixed(3)} of a core (${kernel.toFixed(3)} in the kernel), ${rssMb.toFixed(1)} MB`;
+    return `${cpuShare.toFixed(3)} of a core (${kernelShare.toFixed(3)} in the kernel), ${rssMb.toFixed(1)} MB`;
   }
 
   /** Ends it in the way in which it writes its profile, and tells what that says. */
-  async end(what: string): Promise<void> {
+  async end(description: string): Promise<void> {
     if (this.child === null) return;
     await terminate(this.child);
-    printProfile(folder, what);
+    printProfile(folder, description);
   }
 }
 
@@ -191,7 +191,7 @@
 });
 
 /** Work that comes steadily for a while. */
-async function keepBusy(api: string): Promise<void> {
+async function submitLoad(api: string): Promise<void> {
   const jobs = Math.ceil(machines / 4);
   let next = 0;
   const submit = async (): Promise<void> => {
@@ -234,7 +234,7 @@
   await pause(5000);
   for (const controller of [leader, standby])
     console.log(`${controller.label} at rest with ${machines} machines: ${controller.usageSinceLastCall(5)}`);
-  await keepBusy(leader.api);
+  await submitLoad(leader.api);
   for (const controller of [leader, standby])
     console.log(`${controller.label} busy: ${controller.usageSinceLastCall(seconds)}`);
   console.log(`${history.startCount} tasks started, ${history.conflicts.length} twice`);
