--- a/measure/memory.ts
+++ b/measure/memory.ts
@@ -142,7 +142,7 @@
   const taskCounts = new TaskCounts(standIn);
   const compactor = new FinishedJobCompactor(standIn, taskCounts);
   const pageCache = new DecodedPageCache();
-  const routine = compactor.start();
+  const subscription = compactor.start();
   for (let n = 0; n < openJobs; n++) standIn.put(jobKey(`req-${n}`), encodeJob(jobRecordOf(n, 'open')));
   printGrowth('their records in the followed copy');
   for (let n = 0; n < openJobs / 2; n++) {
@@ -172,7 +172,7 @@
   const close = await openConnections();
   printGrowth(`${machines} workers' connections, and the other ends of them`);
   close();
-  routine.unsubscribe();
+  subscription.unsubscribe();
 }
 
 void main().then(() => process.exit(0));
