--- a/packages/zone-recovery/src/index.ts
+++ b/packages/zone-recovery/src/index.ts
@@ -1,4 +1,4 @@
-/** @file The package's exports; the edge loads this module only if the feature is switched on. */
+/** @file The exports of the package. The edge loads this module only if the feature is switched on. */
 export { ZoneRecovery } from './zone-recovery.js';
 export { MAX_HOLD_DOWN, holdDownDuration, newZone, nextHealth } from './zone-health.js';
 export type { FleetConditions, ZoneHealth, ZonePhase, ZoneTiming } from './zone-health.js';
--- a/packages/zone-recovery/src/zone-health.ts
+++ b/packages/zone-recovery/src/zone-health.ts
@@ -1,69 +1,73 @@
 /**
- * @file The state machine of one zone. It judges by the heartbeats that the leader gets, never by their absence alone: a
- * zone is suspected only while other zones are responsive, and being lost changes where tasks are assigned, not what
- * counts as proof that a task is gone. It is pure: time comes with each call.
+ * @file The state machine of one zone, driven by the heartbeats that the leader receives. Missing heartbeats alone are
+ * not enough: a zone is suspected only while other zones are responsive. The loss of a zone changes where tasks are
+ * assigned, but not what counts as proof that a task has ended. The functions are pure: the time is a parameter.
  */
 import type { ZoneObservation } from '../../../src/core/model/zone-policy.js';
 import type { Duration, MonotonicTime } from '../../../src/core/model/time.js';
 
-/** The health of a zone. */
+/** The phases of a zone's health. */
 export type ZonePhase = 'healthy' | 'suspect' | 'lost' | 'held-down' | 'returning';
 
-/** All that is kept of a zone. */
+/** The state of one zone. */
 export interface ZoneHealth {
   readonly phase: ZonePhase;
-  /** When this phase began. */
+  /** Start of this phase. */
   readonly since: MonotonicTime;
-  /** How often the zone was lost; losses decay. */
+  /** Number of times the zone was lost, reduced again while it is healthy. */
   readonly losses: number;
-  /** When the number of losses last changed. */
+  /** Time of the last change of `losses`. */
   readonly lossesChangedAt: MonotonicTime;
-  /** Held down: until when. */
+  /** End of the hold-down, if the zone is held down. */
   readonly holdUntil: MonotonicTime;
-  /** Returning: how many of its machines take ordinary tasks, and since when. */
+  /** Number of machines that accept ordinary tasks, if the zone is returning. */
   readonly admitted: number;
+  /** Start of the current step of the return. */
   readonly admittedAt: MonotonicTime;
 }
 
-/** What the judgement of a zone depends on beside the zone itself. */
+/** Conditions outside a zone that its transitions depend on. */
 export interface FleetConditions {
-  /** Most machines of some other zone are responsive, so that it is not the leader that is cut off. */
+  /** At least half of the machines of some other zone are responsive, so the leader itself is not partitioned. */
   readonly otherZonesResponsive: boolean;
-  /** The state store has lately confirmed the leader. */
+  /** The state store has recently confirmed the leader. */
   readonly leadershipConfirmed: boolean;
+  /** Service replicas that are wanted and not running. */
   readonly replicasMissing: number;
+  /** Duration of the slowest task start in progress, with its image fetch. */
   readonly slowestStart: Duration;
 }
 
-/** Spans that follow from the deployment's settings. */
+/** Durations from the platform settings. */
 export interface ZoneTiming {
   readonly workerLease: Duration;
   readonly heartbeatInterval: Duration;
 }
 
-/** What an observation leads to; `reason` is null where the phase stays. */
+/** The result of an observation. `reason` is null if the phase does not change. */
 export interface ZoneTransition {
   readonly health: ZoneHealth;
   readonly reason: string | null;
 }
 
 const SECOND: Duration = 1_000_000_000n;
-/** Unresponsive machines, as a share of those known, that make a zone suspect, and below which it is healthy again. */
+/** A zone becomes suspect at this share of unresponsive machines among the known ones. */
 const SUSPECT_SHARE = 0.5;
+/** A suspect zone is healthy again below this share. */
 const CLEAR_SHARE = 0.25;
-/** In a zone of fewer machines, a loss cannot be told from single machines that fail. */
+/** A zone with fewer machines is never suspected, because its loss looks the same as the failure of single machines. */
 const MIN_MACHINES = 2;
-/** The first step of a return admits this share of the machines; each further step twice as many. */
+/** The first step of a return admits this share of the machines. Each further step doubles the number. */
 const FIRST_STEP_SHARE = 0.1;
-/** The longest hold-down: capacity is not excluded for good, and the largest jobs still start in time. */
+/** Upper bound on a hold-down, so that no capacity is excluded permanently and the largest jobs still start in time. */
 export const MAX_HOLD_DOWN: Duration = 120n * SECOND;
-/** Each further loss doubles the hold-down; more doublings than this make no difference. */
+/** Upper bound on the doublings of the hold-down, one per further loss. More would make no difference. */
 const MAX_DOUBLINGS = 16;
-/** A loss decays after so many leases of health, but not sooner than the minimum. */
+/** A healthy zone drops one loss this many worker leases after the last change of the count, at least `MIN_DECAY`. */
 const DECAY_LEASES = 12n;
 const MIN_DECAY: Duration = 120n * SECOND;
 
-/** A zone of which nothing is known. */
+/** Returns the state of a zone without a history. */
 export const newZone = (now: MonotonicTime): ZoneHealth => ({
   phase: 'healthy',
   since: now,
@@ -77,7 +81,10 @@
 const minDuration = (a: Duration, b: Duration): Duration => (a < b ? a : b);
 const maxDuration = (a: Duration, b: Duration): Duration => (a > b ? a : b);
 
-/** How long a zone is held down after so many losses: not at all after the first, then twice as long each time. */
+/**
+ * Returns the hold-down after `losses` losses: 0 after the first, one worker lease after the second, then twice as long
+ * each time, up to `MAX_HOLD_DOWN`.
+ */
 export function holdDownDuration(losses: number, timing: ZoneTiming): Duration {
   if (losses < 2) return 0n;
   const doublings = BigInt(Math.min(losses - 2, MAX_DOUBLINGS));
@@ -101,7 +108,7 @@
   return enterPhase({ ...health, losses, lossesChangedAt: now, admitted: 0 }, 'lost', now, reason);
 }
 
-/** What follows once machines of a lost zone are responsive again. */
+/** Ends the phase 'lost' after machines have become responsive again: the zone is held down or returns. */
 function leaveLost(
   health: ZoneHealth,
   zone: ZoneObservation,
@@ -124,7 +131,10 @@
   return enterPhase({ ...health, admitted, admittedAt: now }, 'returning', now, reason);
 }
 
-/** The next step of a return comes once the starts of this one should be done and services run, or after two leases. */
+/**
+ * Starts the next step of a return as soon as the task starts of the current step should be finished and no service
+ * replica is missing, or else after two worker leases.
+ */
 function continueReturn(
   health: ZoneHealth,
   zone: ZoneObservation,
@@ -148,8 +158,8 @@
   return unchanged({ ...health, losses: health.losses - 1, lossesChangedAt: now });
 }
 
-/** What follows for a zone from an observation. */
-// The whole state machine in one place: a case for each phase, its transitions in order of precedence.
+/** Returns the state of a zone after an observation. */
+// The whole state machine is in one function: one case per phase, with its transitions in order of precedence.
 // eslint-disable-next-line complexity
 export function nextHealth(
   health: ZoneHealth,
@@ -158,7 +168,7 @@
   timing: ZoneTiming,
   now: MonotonicTime,
 ): ZoneTransition {
-  // A leader without contact to the state store may itself be cut off, and concludes nothing.
+  // A leader without contact to the state store may itself be partitioned, so it changes nothing.
   if (!conditions.leadershipConfirmed) return unchanged(health);
   const unresponsive =
     conditions.otherZonesResponsive && zone.known >= MIN_MACHINES && unresponsiveShare(zone) >= SUSPECT_SHARE;
--- a/packages/zone-recovery/src/zone-record.ts
+++ b/packages/zone-recovery/src/zone-record.ts
@@ -1,5 +1,5 @@
 /**
- * @file What the next leader must know of zones, as it is stored in the state store. The names of the stored fields are
+ * @file The zone record in the state store, from which the next leader continues. The names of the stored fields are
  * part of the record's format and must not change.
  */
 import * as z from 'zod';
@@ -13,33 +13,33 @@
   'held-down',
   'returning',
 ] as const satisfies readonly ZonePhase[];
-/** More losses than this make no difference. */
+/** Upper bound on the stored losses. More would make no difference. */
 const MAX_LOSSES = 32;
 
 const zoneSchema = z.object({
   zone: z.string(),
   phase: z.enum(PHASES),
   losses: z.number().int().nonnegative(),
-  /** Seconds of wall time: milliseconds would not fit the 32 bits that every reader takes as a number. */
+  /** Wall time in seconds. Milliseconds exceed 32 bits, up to which every reader decodes an integer as a number. */
   holdUntil: z.number().int(),
   admitted: z.number().int().nonnegative(),
 });
 
 const recordSchema = z.object({ version: z.literal(1), zones: z.array(zoneSchema) });
 
-/** The record of all zones of which anything need be known. */
+/** The record of all zones that are not healthy or have losses. */
 export type ZonesRecord = z.infer<typeof recordSchema>;
 
 const MILLISECONDS_PER_SECOND = 1000;
 const NANOSECONDS_PER_MILLISECOND = 1_000_000n;
 
-/** The first whole second of wall time that is not before a moment. */
+/** Converts a monotonic time to wall time, rounded up to whole seconds. */
 function wallSecondOf(moment: MonotonicTime, now: Timestamp): number {
   const milliseconds = now.wall.getTime() + Number((moment - now.monotonic) / NANOSECONDS_PER_MILLISECOND);
   return Math.ceil(milliseconds / MILLISECONDS_PER_SECOND);
 }
 
-/** The record to be stored. Times are wall time, since the monotonic clocks of controllers have nothing in common. */
+/** Encodes the zone record. It holds wall times, because monotonic clocks of different controllers are unrelated. */
 export function encodeZones(zones: ReadonlyMap<string, ZoneHealth>, now: Timestamp): ZonesRecord {
   const encoded: ZonesRecord['zones'] = [];
   for (const [zone, health] of zones) {
@@ -51,13 +51,13 @@
   return { version: 1, zones: encoded };
 }
 
-/** The zones of a record that an earlier leader stored; null if it cannot be read. */
+/** Decodes the record that an earlier leader stored. Returns null if it is malformed. */
 export function decodeZones(value: unknown, now: Timestamp): Map<string, ZoneHealth> | null {
   const record = recordSchema.safeParse(value);
   if (!record.success) return null;
   const zones = new Map<string, ZoneHealth>();
   for (const { zone, phase, losses, holdUntil, admitted } of record.data.zones) {
-    // Clocks drift, and a record may be old: no hold-down becomes longer than the longest.
+    // Clocks drift and a record may be old, so the remaining hold-down is limited to MAX_HOLD_DOWN.
     const remainingMs = Math.max(0, holdUntil * MILLISECONDS_PER_SECOND - now.wall.getTime());
     const remaining = BigInt(remainingMs) * NANOSECONDS_PER_MILLISECOND;
     zones.set(zone, {
--- a/packages/zone-recovery/src/zone-recovery.ts
+++ b/packages/zone-recovery/src/zone-recovery.ts
@@ -1,6 +1,6 @@
 /**
- * @file The zone policy of the feature zone-recovery: lost zones are evacuated, and return in steps. It decides only;
- * reading clocks, storing its record and assigning tasks are the leader's.
+ * @file The zone policy of the feature zone-recovery: lost zones are evacuated and return in steps. The policy only
+ * makes decisions. The leader reads the clock, stores the record and assigns the tasks.
  */
 import type {
   FleetObservation,
@@ -20,9 +20,9 @@
 } from './zone-health.js';
 import { decodeZones, encodeZones } from './zone-record.js';
 
-/** A job that has been pending for so long is assigned wherever it fits, so that the largest jobs start in time. */
+/** A job pending for at least this long may use any zone that is not lost, so that the largest jobs start in time. */
 const MAX_PENDING: Duration = seconds(150);
-/** A zone counts as responsive from this share of its machines on. */
+/** A zone is responsive if at least this share of its machines is. */
 const RESPONSIVE_SHARE = 0.5;
 
 const isResponsive = (zone: ZoneObservation): boolean =>
@@ -35,19 +35,19 @@
   slowestStart: fleet.slowestStart,
 });
 
-/** Decides by the health of zones which machines take which tasks. */
+/** Decides from the health of zones which machines accept which tasks. */
 export class ZoneRecovery implements ZonePolicy {
   private zones = new Map<string, ZoneHealth>();
-  /** Machines of returning zones that take ordinary tasks. */
+  /** Names of the machines that accept ordinary tasks, by returning zone. */
   private readonly admittedMachines = new Map<string, ReadonlySet<string>>();
-  /** What of the zones was last to be stored, or restored, as text to compare with. */
+  /** The last state that was to be stored or was restored, as JSON for comparison. */
   private recordedState = '[]';
   private hasUnsavedRecord = false;
   private lastObservedAt: Timestamp | null = null;
 
   constructor(private readonly timing: ZoneTiming) {}
 
-  /** The phase of a zone; one never seen is healthy. */
+  /** Returns the phase of a zone. A zone that was never observed is healthy. */
   phaseOf(zone: string): ZonePhase {
     return this.zones.get(zone)?.phase ?? 'healthy';
   }
@@ -105,7 +105,7 @@
     this.hasUnsavedRecord = false;
   }
 
-  /** The first machines by name, so that the same ones are admitted in whatever order they are observed. */
+  /** Admits the first machines by name, so that the choice does not depend on the order of the observation. */
   private updateAdmittedMachines(zone: ZoneObservation, health: ZoneHealth): void {
     if (health.phase !== 'returning') {
       this.admittedMachines.delete(zone.zone);
@@ -116,7 +116,7 @@
   }
 
   private updateRecord(now: Timestamp): void {
-    // Compared without the times, which differ each time they are converted.
+    // Compared without times, because each conversion to wall time yields slightly different values.
     const state = JSON.stringify(
       encodeZones(this.zones, now).zones.map(({ zone, phase, losses, admitted }) => [
         zone,
