--- a/packages/zone-recovery/test/history-checker.ts
+++ b/packages/zone-recovery/test/history-checker.ts
@@ -1,13 +1,13 @@
-/** @file Judges a history of what machines ran. */
+/** @file Checks the history of the tasks that machines ran. */
 import type { HistoryEntry } from './zone-simulation.js';
 
-/** What a checker finds in the machines' record. */
+/** The results of a check. */
 export interface Findings {
-  /** Tasks that ran in two places at once. */
+  /** Tasks that ran on two machines at the same time. */
   readonly duplicates: readonly string[];
-  /** Replicas of services that a command stopped. */
+  /** Service replicas that were stopped by a command. */
   readonly evicted: readonly string[];
-  /** Seconds from the end of each replica that was lost to its running elsewhere, in order; infinite: never again. */
+  /** Seconds from the end of each lost replica to its next start, in ascending order. Infinity if it never started again. */
   readonly replacedAfter: readonly number[];
   readonly finished: number;
   readonly maxFetchesPerSecond: number;
@@ -16,7 +16,7 @@
 
 const jobIdOf = (task: string): string => task.slice(0, task.indexOf('/'));
 
-/** Judges by what machines did, not by what the leader says of it. */
+/** Checks what the machines did, independently of the leader's state. */
 export function checkHistory(record: readonly HistoryEntry[], services: ReadonlySet<string>): Findings {
   const machinesByTask = new Map<string, Set<string>>();
   const duplicates: string[] = [];
--- a/packages/zone-recovery/test/loopback.test.ts
+++ b/packages/zone-recovery/test/loopback.test.ts
@@ -17,8 +17,9 @@
 import { TaskHistory, WorkerStandIn } from '../../../test/standins/worker.js';
 
 /**
- * Three controllers, three zones of stand-in workers, a state store and a cloud on loopback: a zone is lost and comes
- * back. Spans are a tenth of an ordinary deployment's: a lease of 4 s, so that 30 s become 3 s; a shorter one would end before another controller can lead.
+ * Three controllers, three zones of stand-in workers, a state store and a cloud on loopback. A zone is lost and returns.
+ * Durations are a tenth of those of an ordinary deployment: 30 s become 3 s. The lease is 4 s, because a shorter one would
+ * expire before another controller can become leader.
  */
 const ZONES = ['east', 'north', 'west'];
 const WORKERS_PER_ZONE = 4;
@@ -98,7 +99,7 @@
 const waitForReplicas = (when: string, limitMs = 15_000): Promise<true> =>
   waitUntil(`all replicas run ${when}`, () => replicas().size === 2 * REPLICAS, limitMs);
 
-/** Cuts a zone off, or only in the direction from its workers, or ends the cut. */
+/** Starts or ends a partition of a zone: in both directions, or only for messages from its workers. */
 function setPartition(zone: string, isPartitioned: boolean, bothWays = isPartitioned): void {
   for (const worker of workers)
     if (worker.zone === zone) {
@@ -107,8 +108,8 @@
     }
 }
 
-/** Lower work that goes on all the time. */
 let jobNumber = 100;
+/** Submits lower-priority jobs, which keep the machines busy. */
 async function submitJobs(count: number): Promise<void> {
   for (let n = 0; n < count; n++) {
     jobNumber += 1;
@@ -122,7 +123,7 @@
   }
 }
 
-/** The zone with most replicas: cutting it hurts most. */
+/** Returns the zone with the most replicas, whose partition affects most of them. */
 function busiestZone(): string {
   const count = (zone: string): number =>
     [...replicas().values()].filter((name) => workers.find((worker) => worker.name === name)?.zone === zone)
@@ -130,7 +131,7 @@
   return [...ZONES].sort((a, b) => count(b) - count(a))[0] ?? '';
 }
 
-/** Cuts a zone for longer than a lease; yields the replicas that ran elsewhere, which must not be touched. */
+/** Partitions a zone for longer than a lease. Returns the replicas in other zones, which must keep running. */
 async function loseZone(zone: string): Promise<Map<string, string>> {
   const elsewhere = new Map(
     [...replicas()].filter(([, name]) => workers.find((worker) => worker.name === name)?.zone !== zone),
@@ -138,7 +139,7 @@
   setPartition(zone, true);
   await pause(LEASE_S * 1000 + 500);
   const startedAt = process.hrtime.bigint();
-  await waitForReplicas('beside the lost zone', REPLACED_WITHIN_MS + 4000);
+  await waitForReplicas('outside the lost zone', REPLACED_WITHIN_MS + 4000);
   const tookMs = Number(process.hrtime.bigint() - startedAt) / 1e6;
   assert.ok(tookMs <= REPLACED_WITHIN_MS, `replaced ${tookMs} ms after the leases`);
   return elsewhere;
@@ -148,7 +149,7 @@
   const stopped = history.stopped.filter((task) => SERVICES.some((id) => task.startsWith(`${id}/`)));
   assert.deepEqual(stopped, [], 'no replica is stopped by a command');
   for (const [task, name] of elsewhere) assert.equal(history.running.get(task), name, task);
-  assert.deepEqual(history.conflicts, [], 'no task runs in two places');
+  assert.deepEqual(history.conflicts, [], 'no task runs on two machines');
 }
 
 const storedPhases = (): unknown =>
@@ -156,11 +157,11 @@
     stateStore.items.get(zoneRecordKey('all'))?.value as { zones?: { phase: string }[] } | undefined
   )?.zones?.map(({ phase }) => phase);
 
-test('a zone is lost under load: replicas are replaced in time, and its return evicts none', async () => {
+test('a zone is lost under load: replicas are replaced in time, and the return of the zone evicts none', async () => {
   await submitJobs(6);
   const zone = busiestZone();
   const elsewhere = await loseZone(zone);
-  await waitUntil('the loss is kept', () => JSON.stringify(storedPhases() ?? '').includes('lost'));
+  await waitUntil('the loss is stored', () => JSON.stringify(storedPhases() ?? '').includes('lost'));
   setPartition(zone, false);
   const before = history.startCount;
   for (let n = 0; n < 6; n++) {
@@ -168,10 +169,10 @@
     await pause(500);
   }
   checkNotMoved(elsewhere);
-  assert.ok(history.startCount > before + 8, `${history.startCount - before} starts: lower work goes on`);
+  assert.ok(history.startCount > before + 8, `${history.startCount - before} starts of lower-priority tasks`);
 });
 
-test('a zone flaps, and the leader fails in the middle of its return', async () => {
+test('a zone flaps, and the leader fails during the return of the zone', async () => {
   const zone = busiestZone();
   const elsewhere = await loseZone(zone);
   setPartition(zone, false);
@@ -184,7 +185,7 @@
   startByLabel.get(leaderLabel)?.();
 });
 
-test('a state store outage for all controllers while a zone returns', async () => {
+test('the state store is down for all controllers while a zone returns', async () => {
   const zone = busiestZone();
   await loseZone(zone);
   const before = replicas();
@@ -199,7 +200,7 @@
   );
 });
 
-test('a partition shorter than a lease, or asymmetric, moves no replica: tasks are still running afterwards', async () => {
+test('a partition shorter than a lease, or an asymmetric one, moves no replica: all run on afterwards', async () => {
   const zone = busiestZone();
   const before = replicas();
   setPartition(zone, true);
--- a/packages/zone-recovery/test/scenario.ts
+++ b/packages/zone-recovery/test/scenario.ts
@@ -4,27 +4,29 @@
 import { seconds } from '../../../src/core/model/time.js';
 import { ZoneSimulation } from './zone-simulation.js';
 
-/** The services of every scenario; the rest of the work is arrays that fill all machines. */
+/** The services of every scenario. All other jobs are arrays, which fill all machines. */
 export const SERVICES: ReadonlySet<string> = new Set(['req-1', 'req-2', 'req-3', 'req-4']);
 export const REPLICAS = 4;
 const MACHINES_PER_ZONE = 8;
 const WARM_UP_S = 60;
 
-/** What happens to a zone. */
+/** The partitions of a zone and what happens after them. */
 export interface Scenario {
-  /** So many times the zone is cut, and heard again after so long. */
+  /** Number of partitions. */
   readonly partitions: number;
+  /** Duration of each partition in seconds. */
   readonly partitionS: number;
+  /** Seconds after each partition, and after its failover if there is one, before the scenario continues. */
   readonly pauseS: number;
-  /** So many of its machines come back. */
+  /** Number of machines of the zone that are reachable again after a partition. */
   readonly machinesBack: number;
-  /** Seconds after each return at which another leader takes over; null: none does. */
+  /** Seconds from the end of each partition to a failover, or null for no failover. */
   readonly failoverAfterS: number | null;
-  /** How long the end is looked at. */
+  /** Seconds of observation after the last partition. */
   readonly observedS: number;
 }
 
-/** One cut of a lease and more, and a whole return. */
+/** One partition of more than a worker lease, and the return of all machines. */
 export const ONE_PARTITION: Scenario = {
   partitions: 1,
   partitionS: 40,
@@ -34,13 +36,14 @@
   observedS: 150,
 };
 
-/** What is measured beside the machines' record. */
+/** The simulation after a scenario, and what was measured besides its history. */
 export interface ScenarioResult {
   readonly simulation: ZoneSimulation;
-  /** The lowest share of replicas that ran in any second after the first minute. */
+  /** Lowest share of replicas running in any second after the first minute. */
   readonly lowestShare: number;
-  /** When the first cut began and the last one ended. */
+  /** Start of the first partition in seconds. */
   readonly partitionedAt: number;
+  /** End of the last partition in seconds. */
   readonly healedAt: number;
 }
 
@@ -49,7 +52,7 @@
   return () => uniformInt(generator, 0, 999_999) / 1_000_000;
 }
 
-/** Plays a scenario on full machines, with or without zone recovery. */
+/** Runs a scenario on fully loaded machines, with or without zone recovery. */
 export function runScenario(scenario: Scenario, withRecovery: boolean, seed: number): ScenarioResult {
   const simulation = new ZoneSimulation(MACHINES_PER_ZONE, withRecovery, randomSource(seed));
   const service = { kind: 'service', priority: 'production', spreadAcrossZones: true, imageGb: 4 } as const;
--- a/packages/zone-recovery/test/zone-health.test.ts
+++ b/packages/zone-recovery/test/zone-health.test.ts
@@ -1,4 +1,4 @@
-/** @file The health of zones: suspicion, loss, return and what is stored of it. */
+/** @file The health of zones: suspicion, loss, return and the stored record. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import * as fc from 'fast-check';
@@ -18,7 +18,7 @@
 } from '../src/index.js';
 import { timeAt } from '../../../test/fixtures/clock.js';
 
-/** Sequences of losses, partial returns, flaps and takeovers. The seed is fixed, so that every run judges the same. */
+/** Runs over sequences of losses, partial returns, flaps and failovers. The seed is fixed, so every run checks the same. */
 const RUNS = { seed: 20300101, numRuns: Number(process.env['ZONE_RUNS'] ?? 300) };
 const TIMING = { workerLease: seconds(24), heartbeatInterval: seconds(4) };
 const MACHINES = 40;
@@ -41,7 +41,7 @@
   slowestStart: seconds(10),
 };
 
-/** A stretch of a zone's life. */
+/** A period in which the conditions of a zone do not change, and whether a failover follows it. */
 const episodeArbitrary = fc.record({
   responsive: fc.constantFrom(0, 0, 0, 1, 10, 19, 25, 39, 40, 40, 40),
   otherZonesResponsive: fc.boolean(),
@@ -62,7 +62,7 @@
 
 type Episode = typeof episodeArbitrary extends fc.Arbitrary<infer T> ? T : never;
 
-/** Plays a life second by second; the state goes through its kept record at each takeover. */
+/** Advances a zone through the episodes second by second. At each failover, the state is stored and decoded again. */
 function playEpisodes(episodes: readonly Episode[], check: (step: Step) => void): ZoneHealth {
   let health = newZone(timeAt(0).monotonic);
   let elapsedS = 0;
@@ -93,7 +93,7 @@
   return health;
 }
 
-test('a partitioned leader concludes nothing, and a zone is suspected only while another is responsive', () => {
+test('a leader without contact to the state store changes nothing, and a zone is suspected only while another is responsive', () => {
   fc.assert(
     fc.property(fc.array(episodeArbitrary, { maxLength: 20 }), (episodes) => {
       playEpisodes(episodes, ({ before, after, conditions }) => {
@@ -121,7 +121,7 @@
   );
 });
 
-// However often it flapped, and whatever leader comes: capacity is not shut out for good.
+// No number of flaps or failovers excludes capacity permanently.
 test('a zone that stays responsive is healthy again within bounded time', () => {
   const steps = Math.ceil(Math.log2(MACHINES)) + 3;
   const bound = Number(MAX_HOLD_DOWN / seconds(1)) + steps * 2 * 24 + 5;
@@ -182,7 +182,7 @@
   );
 });
 
-test('the zone record is small, and an unreadable one means a fresh start', () => {
+test('the zone record is small, and after a malformed one all zones start without a history', () => {
   const zones = new Map(
     ['alpharetta', 'augusta', 'midtown'].map((zone) => [
       zone,
@@ -200,7 +200,7 @@
   ])
     assert.equal(decodeZones(malformed, timeAt(0)), null, JSON.stringify(malformed));
   const storedRecord = encodeZones(zones, { monotonic: 0n, wall: new Date(Date.UTC(2038, 0, 1)) });
-  assert.deepEqual(decode(encode(storedRecord)), storedRecord, 'it comes back as it was written');
+  assert.deepEqual(decode(encode(storedRecord)), storedRecord, 'the decoded record equals the encoded one');
   const recovery = new ZoneRecovery(TIMING);
   recovery.restore({ zones: 'cut sho' }, timeAt(0));
   assert.equal(recovery.phaseOf('a'), 'healthy');
@@ -213,7 +213,10 @@
   pendingFor: 0n,
 };
 
-/** Lets a recovery see zone a with so many machines for a while, beside a healthy zone b. */
+/**
+ * Observes zone a with `responsive` machines for `durationS` seconds, next to a healthy zone b. Returns the time after it
+ * in seconds.
+ */
 function observeFor(
   recovery: ZoneRecovery,
   from: number,
@@ -237,7 +240,7 @@
 const countAdmitted = (recovery: ZoneRecovery, request: ZoneAdmissionRequest): number =>
   names('a', MACHINES).filter((name) => recovery.admits('a', name, request)).length;
 
-test('a zone returns in steps: services at once, other work on twice as many machines each step', () => {
+test('a zone returns in steps: services at once, other jobs on twice as many machines each step', () => {
   const recovery = new ZoneRecovery(TIMING);
   let elapsedS = observeFor(recovery, 0, 5, MACHINES);
   elapsedS = observeFor(recovery, elapsedS, 40, 0);
@@ -256,13 +259,13 @@
   assert.equal(
     countAdmitted(recovery, { ...REQUEST, pendingFor: seconds(150) }),
     MACHINES,
-    'the largest still begin in time',
+    'the largest jobs still start in time',
   );
   observeFor(recovery, elapsedS, 22, MACHINES);
   assert.equal(recovery.phaseOf('a'), 'healthy');
 });
 
-test('while replicas are missing, steps wait for two leases', () => {
+test('while replicas are missing, each step of a return takes two leases', () => {
   const recovery = new ZoneRecovery(TIMING);
   let elapsedS = observeFor(recovery, 0, 40, 0);
   elapsedS = observeFor(recovery, elapsedS, 47, MACHINES, 2);
@@ -276,7 +279,7 @@
   let elapsedS = observeFor(recovery, 0, 40, 0);
   elapsedS = observeFor(recovery, elapsedS, 10, MACHINES);
   elapsedS = observeFor(recovery, elapsedS, 5, 0);
-  assert.equal(recovery.phaseOf('a'), 'lost', 'at once: it was returning');
+  assert.equal(recovery.phaseOf('a'), 'lost', 'lost at once, because it was returning');
   elapsedS = observeFor(recovery, elapsedS, 1, 20);
   assert.equal(recovery.phaseOf('a'), 'held-down');
   assert.ok(recovery.isUnavailable('a'));
@@ -290,7 +293,7 @@
 test('a change is stored once, and the next leader continues from it', () => {
   const recovery = new ZoneRecovery(TIMING);
   observeFor(recovery, 0, 3, MACHINES);
-  assert.equal(recovery.takeUnsavedRecord(), null, 'nothing to keep while all is well');
+  assert.equal(recovery.takeUnsavedRecord(), null, 'nothing to store while all zones are healthy');
   observeFor(recovery, 3, 40, 0);
   const record = recovery.takeUnsavedRecord();
   assert.ok(record !== null);
@@ -298,5 +301,5 @@
   const next = new ZoneRecovery(TIMING);
   next.restore(record, timeAt(50));
   assert.equal(next.phaseOf('a'), 'lost');
-  assert.equal(next.takeUnsavedRecord(), null, 'what was read need not be written');
+  assert.equal(next.takeUnsavedRecord(), null, 'a restored record is not stored again');
 });
--- a/packages/zone-recovery/test/zone-return.test.ts
+++ b/packages/zone-recovery/test/zone-return.test.ts
@@ -1,4 +1,4 @@
-/** @file Scenarios of zone loss and return, judged by the history of the machines. */
+/** @file Scenarios of zone loss and return, checked against the history of the machines. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { checkHistory, type Findings } from './history-checker.js';
@@ -12,20 +12,20 @@
 } from './scenario.js';
 import type { HistoryEntry } from './zone-simulation.js';
 
-/** What the operators asked for: seconds from the end of a replica's lease to its running elsewhere. */
+/** The operators' requirement: upper bound in seconds from the end of a replica's worker lease to its next start. */
 const REPLACED_WITHIN_S = 30;
 
 function check(result: ScenarioResult, findings: Findings): void {
   assert.deepEqual(findings.duplicates, [], 'no task ran on two machines');
   assert.deepEqual(findings.evicted, [], 'no replica was stopped');
-  assert.ok(findings.replacedAfter.length > 0, 'the cut hit replicas');
+  assert.ok(findings.replacedAfter.length > 0, 'the partition affected replicas');
   const slowest = findings.replacedAfter[findings.replacedAfter.length - 1] ?? Infinity;
-  assert.ok(slowest <= REPLACED_WITHIN_S, `a replica was away for ${slowest} s after its lease`);
+  assert.ok(slowest <= REPLACED_WITHIN_S, `a replica was not running for ${slowest} s after its lease`);
   for (const id of SERVICES) assert.equal(result.simulation.runningTasks(id), REPLICAS, id);
   const progress = result.simulation.history.filter(
     (entry) => entry.kind === 'end' && entry.done && entry.at > result.healedAt,
   );
-  assert.ok(progress.length > 20, `${progress.length} tasks of lower work were done after the return`);
+  assert.ok(progress.length > 20, `${progress.length} lower-priority tasks finished after the return`);
 }
 
 const SCENARIOS: readonly (readonly [string, Scenario])[] = [
@@ -56,7 +56,7 @@
   done: false,
 });
 
-// The checker itself: each fault is found when it is put into a record.
+// Tests the checker itself with histories that contain one fault each.
 test('the checker finds a duplicate task, an evicted replica, and one that was never replaced', () => {
   const good = [entry('start', 1, 'a'), end(10, 'a'), entry('start', 15, 'b')];
   assert.deepEqual(checkHistory(good, SERVICES).replacedAfter, [5]);
--- a/packages/zone-recovery/test/zone-simulation.ts
+++ b/packages/zone-recovery/test/zone-simulation.ts
@@ -27,10 +27,10 @@
 };
 const SIMULATED_CONFIG: ClusterConfig = { ...CLUSTER_CONFIG, zones: [...ZONES] };
 
-/** What machines did, as they saw it: a checker judges by this alone. */
+/** What a machine did, recorded by the machine. The history checker uses nothing else. */
 export type HistoryEntry =
   | { readonly kind: 'start'; readonly at: number; readonly task: string; readonly machine: string }
-  /** `done`: with its result; else it was stopped or lost. */
+  /** A task ended: with its result if `done`, otherwise it was stopped or lost. */
   | {
       readonly kind: 'end';
       readonly at: number;
@@ -38,9 +38,13 @@
       readonly machine: string;
       readonly done: boolean;
     }
-  /** A command stopped a task that ran. */
+  /** A command stopped a running task. */
   | { readonly kind: 'stopped'; readonly at: number; readonly task: string; readonly machine: string }
-  | { readonly kind: 'lease over' | 'cut' | 'back'; readonly at: number; readonly machine: string }
+  | {
+      readonly kind: 'lease expired' | 'partitioned' | 'healed';
+      readonly at: number;
+      readonly machine: string;
+    }
   | { readonly kind: 'fetch'; readonly at: number; readonly machine: string };
 
 interface SimulatedTask extends ReportedTask {
@@ -48,13 +52,13 @@
   readonly endsAt: number;
 }
 
-/** A machine with its worker. */
+/** A machine and its worker. */
 class SimulatedMachine {
   agentEpoch = 1;
   sequence = 0;
   fencingToken = 0;
   reachable = true;
-  /** When the last report that was answered was sent. */
+  /** Time of the last heartbeat that was answered. */
   lastRenewedAt: number;
   tasks: SimulatedTask[] = [];
   readonly images = new Set<string>();
@@ -62,7 +66,7 @@
   constructor(
     readonly name: string,
     readonly zone: string,
-    /** Up from then on. */
+    /** End of the boot. The machine runs from this time on. */
     readonly bootedAt: number,
   ) {
     this.lastRenewedAt = bootedAt;
@@ -118,7 +122,7 @@
     for (const zone of ZONES) for (let n = 0; n < machinesPerZone; n++) this.addMachine(zone, 0);
   }
 
-  /** A new leader reads what is kept and goes on. */
+  /** Starts the term of a new leader, which loads the stored records. */
   startTerm(): ClusterScheduler {
     const startedAt = this.now().monotonic;
     const policy = this.withRecovery ? new ZoneRecovery(SIMULATED_CONFIG) : null;
@@ -146,19 +150,19 @@
     this.handleEvent({ kind: 'job-changed', id, record, modRevision: this.revision });
   }
 
-  /** The zone's machines reach nobody and are reached by nobody. */
+  /** Partitions all machines of the zone in both directions. */
   partition(zone: string): void {
     for (const machine of this.machinesIn(zone)) this.setReachable(machine, false);
   }
 
-  /** The cut is over; `count`: so many of its machines come back, the others are gone for good. */
+  /** Ends the partition for the first `count` machines of the zone. The others never become reachable again. */
   healPartition(zone: string, count = Infinity): void {
     this.machinesIn(zone).forEach((machine, n) => {
       if (n < count) this.setReachable(machine, true);
     });
   }
 
-  /** Lets time pass; `each` is called every second. */
+  /** Advances the simulated time, and calls `onSecond` every second. */
   run(durationS: number, onSecond: () => void = () => undefined): void {
     const end = this.secondsElapsed + durationS;
     while (this.secondsElapsed < end) {
@@ -167,7 +171,7 @@
     }
   }
 
-  /** Tasks of a job that run now. */
+  /** Returns the number of running tasks of a job. */
   runningTasks(job: string): number {
     return this.machines.reduce(
       (sum, machine) =>
@@ -196,7 +200,11 @@
 
   private setReachable(machine: SimulatedMachine, reachable: boolean): void {
     machine.reachable = reachable;
-    this.history.push({ kind: reachable ? 'back' : 'cut', at: this.secondsElapsed, machine: machine.name });
+    this.history.push({
+      kind: reachable ? 'healed' : 'partitioned',
+      at: this.secondsElapsed,
+      machine: machine.name,
+    });
   }
 
   private step(): void {
@@ -216,7 +224,7 @@
     this.advanceTasks(machine);
     if (this.secondsElapsed - machine.lastRenewedAt > toSeconds(SIMULATED_CONFIG.workerLease))
       this.expireLease(machine);
-    // Not all at the same moment.
+    // Spreads the heartbeats of the machines over the second.
     const due =
       Math.round(this.secondsElapsed / STEP_S + machine.name.charCodeAt(machine.name.length - 1)) % 4 === 0;
     if (!machine.reachable || !due) return;
@@ -247,7 +255,7 @@
   private expireLease(machine: SimulatedMachine): void {
     for (const task of machine.tasks) if (task.state === 'running') this.recordEnd(machine, task);
     if (machine.tasks.length > 0)
-      this.history.push({ kind: 'lease over', at: this.secondsElapsed, machine: machine.name });
+      this.history.push({ kind: 'lease expired', at: this.secondsElapsed, machine: machine.name });
     machine.tasks = [];
     machine.agentEpoch += 1;
     machine.sequence = 0;
