--- a/measure/cost.ts
+++ b/measure/cost.ts
@@ -1,9 +1,9 @@
-/** @file What events cost the scheduler as machines and tasks increase. */
+/** @file Cost of events in the scheduler, by the number of machines and tasks. */
 import { SimulatedFleet } from '../test/standins/simulated-fleet.js';
 
 /**
- * What events cost the scheduler as machines and tasks become more. Run by hand: `npm run cost`. Absolute times
- * depend on the machine, so what counts is each column's ratio to the smallest size, and the counts beside it.
+ * Measures what events cost the scheduler with increasing numbers of machines and tasks. Run by hand: `npm run cost`.
+ * Absolute times depend on the machine, so compare the ratio of each column to the smallest size, and the counts.
  */
 const averageMicros = (iterations: number, run: (k: number) => void): number => {
   const startedAt = process.hrtime.bigint();
@@ -20,23 +20,23 @@
   let jobNumber = 0;
   const results: Record<string, number> = { machines, tasks };
   const arrayCount = Math.ceil(tasks / 40) - 1;
-  results['place one array'] = averageMicros(arrayCount, () => {
+  results['assign one array'] = averageMicros(arrayCount, () => {
     fleet.submit(`req-${++jobNumber}`, array);
     fleet.advance(0.3);
     fleet.handle({ kind: 'tick' });
   });
   fleet.commit();
-  results['changes, a placed task'] = fleet.operations / (arrayCount * 40);
+  results['operations, a task assigned'] = fleet.operations / (arrayCount * 40);
   fleet.sendHeartbeats();
   fleet.sendHeartbeats();
-  results['report'] = averageMicros(2000, (k) =>
+  results['heartbeat'] = averageMicros(2000, (k) =>
     fleet.handle({ kind: 'heartbeat', heartbeat: fleet.nextHeartbeat(k % machines) }),
   );
-  results['report and answer'] = averageMicros(2000, (k) => fleet.sendHeartbeat(k % machines));
+  results['heartbeat and response'] = averageMicros(2000, (k) => fleet.sendHeartbeat(k % machines));
   for (let k = 0; k < 20; k++) fleet.submit(`req-${++jobNumber}`, array);
   fleet.advance(0.3);
   fleet.handle({ kind: 'tick' });
-  results['pass, 20 arrays blocked'] = averageMicros(10, () => {
+  results['cycle, 20 arrays blocked'] = averageMicros(10, () => {
     fleet.advance(0.3);
     fleet.handle({ kind: 'tick' });
   });
@@ -48,14 +48,14 @@
       taskCount: 4,
       singleZone: true,
     });
-  results['pass, and 20 gangs'] = averageMicros(10, () => {
+  results['cycle, and 20 gangs'] = averageMicros(10, () => {
     fleet.advance(0.3);
     fleet.handle({ kind: 'tick' });
   });
   fleet.operations = 0;
   fleet.commits = 0;
   let finishedTasks = 0;
-  results['exit, pass and commit'] = averageMicros(200, (k) => {
+  results['exit, cycle and commit'] = averageMicros(200, (k) => {
     if (fleet.finishOneTask((k * 7) % machines)) finishedTasks += 1;
     fleet.sendHeartbeat((k * 7) % machines);
     fleet.advance(0.03);
@@ -64,17 +64,17 @@
       fleet.commit();
     }
   });
-  results['changes, an ended task'] = fleet.operations / finishedTasks;
+  results['operations, a task finished'] = fleet.operations / finishedTasks;
   results['tick'] = averageMicros(100, () => {
     fleet.advance(0.1);
     fleet.handle({ kind: 'tick' });
   });
-  results['takeover'] = averageMicros(1, () => fleet.startTerm());
+  results['failover'] = averageMicros(1, () => fleet.startTerm());
   return results;
 }
 
 const sizes = process.argv.slice(2).map(Number);
-for (const n of sizes.length > 0 ? sizes : [50]) measure(n); // warms the code up
+for (const n of sizes.length > 0 ? sizes : [50]) measure(n); // lets the engine compile the code
 const rows = (sizes.length > 0 ? sizes : [50, 200, 1000]).map(measure);
 const first = rows[0] ?? {};
 for (const key of Object.keys(first)) {
--- a/measure/load.ts
+++ b/measure/load.ts
@@ -1,4 +1,4 @@
-/** @file Processor time and memory of two controller processes under load and at a failover. */
+/** @file Processor time and memory of two controller processes under load and during a failover. */
 import { spawn, type ChildProcess } from 'node:child_process';
 import { Agent } from 'node:http';
 import { mkdtempSync, readFileSync, readdirSync, rmSync, writeFileSync } from 'node:fs';
@@ -11,11 +11,11 @@
 import { TaskHistory, WorkerStandIn } from '../test/standins/worker.js';
 
 /**
- * Two controllers as real processes against our stand-ins: what the leader's and the standby's start, rest, work and
- * memory come to, what the standby spends when it takes over, by second, by function and by step of ours, and what the
- * link between them holds. Run by hand after a build:
- * `npm run load -- MACHINES REPORT_S SECONDS [MEMORY_MB [SOCKETS]]`. The shares count; absolute times depend on the
- * machine.
+ * Runs two controllers as real processes against stand-ins. Measures the startup, idle load, busy load and memory of the
+ * leader and the standby, the processor time of the standby during a failover (by second, by function and by step of the
+ * term's startup profile), and the memory of the link between them. Run by hand after a build:
+ * `npm run load -- MACHINES HEARTBEAT_INTERVAL_S SECONDS [MEMORY_MB [SOCKETS]]`. Compare shares only, because absolute
+ * times depend on the machine.
  */
 const [machines = 60, heartbeatIntervalS = 1, seconds = 20, memoryMb = 0, sockets = 4000] = process.argv
   .slice(2)
@@ -44,7 +44,7 @@
   readonly rssMb: number;
 }
 
-/** What a process has used and holds, as the kernel counts it. */
+/** Returns the processor time and memory of a process, as the kernel reports them. */
 function readUsage(pid: number): ProcessUsage {
   const fields = readFileSync(`/proc/${pid}/stat`, 'utf8').split(') ')[1]?.split(' ') ?? [];
   return {
@@ -64,7 +64,7 @@
   readonly timeDeltas: readonly number[];
 }
 
-/** The time spent in each function itself, largest first. */
+/** Returns the self time of each function in milliseconds, largest first. */
 function selfTimes(profile: Profile): [string, number][] {
   const names = new Map(
     profile.nodes.map((n) => [
@@ -80,34 +80,34 @@
   return [...timeByFunction].filter(([name]) => !name.startsWith('(idle)')).sort((a, b) => b[1] - a[1]);
 }
 
-/** Ends a process in the way in which it writes its profile. */
+/** Ends a process with SIGTERM, so that it writes its profile, and waits for its exit. */
 async function terminate(child: ChildProcess): Promise<void> {
   child.kill('SIGTERM');
   await new Promise((done) => child.once('exit', done));
 }
 
-/** Tells what the profile in the folder says, and takes it away. */
+/** Prints the profile in the folder and deletes its file. */
 function printProfile(folder: string, description: string): void {
   const file = readdirSync(folder).find((f) => f.endsWith('.cpuprofile'));
   if (file === undefined) return;
   const rows = selfTimes(JSON.parse(readFileSync(join(folder, file), 'utf8')) as Profile);
   rmSync(join(folder, file));
   const totalMs = rows.reduce((sum, [, ms]) => sum + ms, 0);
-  console.log(`largest ${description}, of ${totalMs.toFixed(0)} ms:`);
+  console.log(`largest self times ${description}, of ${totalMs.toFixed(0)} ms:`);
   for (const [name, ms] of rows.slice(0, 45))
     console.log(
       `${((100 * ms) / totalMs).toFixed(1).padStart(5)} %  ${ms.toFixed(0).padStart(6)} ms  ${name}`,
     );
 }
 
-/** How long the standby is looked at once it leads. */
+/** Seconds for which the new leader is observed. */
 const TAKEOVER_S = 20;
-/** The steps are told 20 s after the term begins, which may be some seconds after the leader's end. */
+/** The startup profile is logged 20 s after the term starts, which may be some seconds after the old leader's exit. */
 const STARTUP_PROFILE_TIMEOUT_MS = 10_000;
 
 const folder = mkdtempSync(join(tmpdir(), 'load-'));
 
-/** A controller as a process of its own. */
+/** A controller in its own process. */
 class Controller {
   readonly api = reserveAddress();
   private child: ChildProcess | null = null;
@@ -120,7 +120,7 @@
     return readUsage(this.child?.pid ?? 0);
   }
 
-  /** Starts it and waits until it takes requests. */
+  /** Starts the process and waits until it accepts requests. */
   async start(settings: unknown): Promise<void> {
     const file = join(folder, `${this.label}.json`);
     writeFileSync(file, JSON.stringify(settings));
@@ -139,7 +139,7 @@
     );
   }
 
-  /** What it said of a term's first seconds; null: it has not led for so long. */
+  /** The startup profile that the controller logged, as JSON, or null if its term is not old enough for one. */
   get startupProfile(): string | null {
     const line = this.log
       .join('')
@@ -148,7 +148,7 @@
     return line === undefined ? null : JSON.stringify((JSON.parse(line) as { stepMs: unknown }).stepMs);
   }
 
-  /** What it spent since the last look, as a share of a core. */
+  /** Returns the processor time since the last call as a share of a core, and the memory. */
   usageSinceLastCall(seconds: number): string {
     const { userMs, systemMs, rssMb } = this.usage;
     const cpuShare = (userMs + systemMs - this.lastUsage.userMs - this.lastUsage.systemMs) / (seconds * 1000);
@@ -157,7 +157,7 @@
     return `${cpuShare.toFixed(3)} of a core (${kernelShare.toFixed(3)} in the kernel), ${rssMb.toFixed(1)} MB`;
   }
 
-  /** Ends it in the way in which it writes its profile, and tells what that says. */
+  /** Ends the process and prints its profile. */
   async end(description: string): Promise<void> {
     if (this.child === null) return;
     await terminate(this.child);
@@ -190,7 +190,7 @@
   ageS: 100,
 });
 
-/** Work that comes steadily for a while. */
+/** Submits jobs at the start and then every second, for `seconds` seconds. */
 async function submitLoad(api: string): Promise<void> {
   const jobs = Math.ceil(machines / 4);
   let next = 0;
@@ -237,18 +237,20 @@
   await submitLoad(leader.api);
   for (const controller of [leader, standby])
     console.log(`${controller.label} busy: ${controller.usageSinceLastCall(seconds)}`);
-  console.log(`${history.startCount} tasks started, ${history.conflicts.length} twice`);
+  console.log(`${history.startCount} tasks started, ${history.conflicts.length} of them twice`);
   await leader.end('of the leader');
   const bySecond: string[] = [];
   for (let s = 0; s < TAKEOVER_S; s++) {
     await pause(1000);
     bySecond.push(standby.usageSinceLastCall(1).split(' ')[0] ?? '');
   }
-  console.log(`the standby, of a core by the second after the leader ended: ${bySecond.join(' ')}`);
-  await waitFor('the steps', () => Promise.resolve(standby.startupProfile), STARTUP_PROFILE_TIMEOUT_MS).catch(
-    () => null,
-  );
-  console.log(`the standby's first 20 s as leader, ms by step: ${standby.startupProfile ?? 'not told'}`);
+  console.log(`the standby, share of a core in each second after the leader's exit: ${bySecond.join(' ')}`);
+  await waitFor(
+    'the startup profile',
+    () => Promise.resolve(standby.startupProfile),
+    STARTUP_PROFILE_TIMEOUT_MS,
+  ).catch(() => null);
+  console.log(`the standby's first 20 s as leader, ms by step: ${standby.startupProfile ?? 'not logged'}`);
   await standby.end('of the standby');
   console.log(
     `two controllers' link: ${((await measurePeerLinkBytes()) / 1024).toFixed(1)} KB of heap, both ends`,
--- a/measure/memory.ts
+++ b/measure/memory.ts
@@ -1,4 +1,4 @@
-/** @file Memory of the parts of a controller, each built alone. */
+/** @file Memory use of the parts of a controller, each created separately. */
 import { connect, createServer, type Socket } from 'node:net';
 import { Subject } from 'rxjs';
 import type { JobRecord } from '../src/core/model/job.js';
@@ -19,8 +19,9 @@
 import { createSchedulerWithType } from '../test/fixtures/scheduler.js';
 
 /**
- * What the parts of a controller hold, each built alone in one process and looked at after a full collection. Run by
- * hand: `npm run memory -- MACHINES OPEN_JOBS FINISHED_JOBS`. The engine's own pages are in "engine and program".
+ * Measures the memory of the parts of a controller, which are created one after another in one process, after a full
+ * garbage collection each. Run by hand: `npm run memory -- MACHINES OPEN_JOBS FINISHED_JOBS`. The memory of the engine
+ * itself is part of "engine and program".
  */
 const [machines = 870, openJobs = 120, finishedJobs = 5000] = process.argv.slice(2).map(Number);
 const TASKS_PER_JOB = 20;
@@ -54,7 +55,7 @@
   previousUsage = usage;
 }
 
-/** A followed copy without a state store. */
+/** A replica without a state store. */
 class ReplicaStandIn {
   readonly replica = new Map<string, ReplicaEntry>();
   readonly changes = new Subject<KeyChange>();
@@ -62,7 +63,7 @@
   private lastModRevision = 0;
 
   put(key: string, value: unknown): void {
-    // As it comes over the wire: nothing is shared with what wrote it.
+    // Decoded as if it came over the wire, so that it shares no memory with the encoder's input.
     const entry = { value: decode(encode(value)), modRevision: ++this.lastModRevision };
     this.replica.set(key, entry);
     this.changes.next({ key, entry });
@@ -144,7 +145,7 @@
   const pageCache = new DecodedPageCache();
   const subscription = compactor.start();
   for (let n = 0; n < openJobs; n++) standIn.put(jobKey(`req-${n}`), encodeJob(jobRecordOf(n, 'open')));
-  printGrowth('their records in the followed copy');
+  printGrowth('their records in the replica');
   for (let n = 0; n < openJobs / 2; n++) {
     const assignments = Array.from({ length: 40 }, (_, task) => ({
       ...{ taskIndex: task, attempt: 1, machineName: machineNameOf(task), agentEpoch: 1, zone: 'east' },
@@ -165,12 +166,12 @@
     const entry = standIn.replica.get(pageKey('all', n));
     if (entry !== undefined) pageCache.entriesOf(entry);
   }
-  printGrowth(`${openJobs / 2} pages of 40 places, taken apart`);
+  printGrowth(`${openJobs / 2} pages of 40 assignments, decoded`);
   for (let n = 0; n < finishedJobs; n++) standIn.put(jobKey(`req-9${n}`), encodeJob(jobRecordOf(n, 'done')));
   compactor.sweep();
-  printGrowth(`${finishedJobs} finished jobs in the followed copy`);
+  printGrowth(`${finishedJobs} finished jobs in the replica`);
   const close = await openConnections();
-  printGrowth(`${machines} workers' connections, and the other ends of them`);
+  printGrowth(`${machines} worker connections, both ends`);
   close();
   subscription.unsubscribe();
 }
--- a/measure/peer-link.ts
+++ b/measure/peer-link.ts
@@ -1,4 +1,4 @@
-/** @file Heap of a link between two controllers. */
+/** @file Heap use of the link between two controllers. */
 import { setFlagsFromString } from 'node:v8';
 import { runInNewContext } from 'node:vm';
 import { createLogger } from '../src/edge/runtime/logger.js';
@@ -7,7 +7,7 @@
 
 const MEASURED_MS = 3000;
 
-/** The heap that two controllers' link takes, both ends of both connections, after some seconds of statuses. */
+/** Returns the heap bytes that the link of two controllers uses, both ends of both connections, after 3 s of statuses. */
 export async function measurePeerLinkBytes(): Promise<number> {
   setFlagsFromString('--expose-gc');
   const collectGarbage = runInNewContext('gc') as () => void;
--- a/measure/startup.ts
+++ b/measure/startup.ts
@@ -1,4 +1,4 @@
-/** @file Processor time of each step of a start. */
+/** @file Processor time of each step of the startup. */
 import { spawnSync } from 'node:child_process';
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -6,8 +6,8 @@
 import { reserveAddress, platformSettings } from '../test/standins/cluster.js';
 
 /**
- * What each step of a start costs, by the processor time of a process that ends after it. Run by hand after a build:
- * `npm run startup`. The median of several runs counts.
+ * Measures each step of the startup by the processor time of a process that exits after it. Run by hand after a build:
+ * `npm run startup`. The result is the median of several runs.
  */
 const RUNS = 9;
 
@@ -18,7 +18,7 @@
   JSON.stringify(platformSettings('one', reserveAddress(), reserveAddress(), { address: reserveAddress() })),
 );
 
-/** The processor time of one run in milliseconds, as the shell counts it. */
+/** Returns the processor time of one run in milliseconds, as the shell reports it. */
 function run(args: readonly string[]): number {
   const script = `TIMEFORMAT='%U %S'; time "$@" >/dev/null`;
   const child = spawnSync('bash', ['-c', script, 'bash', process.execPath, ...args], { encoding: 'utf8' });
@@ -36,5 +36,5 @@
   const times = Array.from({ length: RUNS }, () => run(args)).sort((a, b) => a - b);
   console.log(`${step.padEnd(48)} ${String(Math.round(times[Math.floor(RUNS / 2)] ?? 0)).padStart(5)} ms`);
 }
-console.log('From there to the first answers: `npm run load` tells it as "healthy after".');
+console.log('`npm run load` prints the time to the first response as "healthy after".');
 rmSync(folder, { recursive: true });
--- a/measure/zone-return.ts
+++ b/measure/zone-return.ts
@@ -8,21 +8,21 @@
 } from '../packages/zone-recovery/test/scenario.js';
 
 /**
- * A zone that is lost and comes back, by the core in simulated time, with zone recovery off and on. Run by hand:
+ * Simulates the loss and return of a zone with the scheduler core, with zone recovery off and on. Run by hand:
  * `npm run zone-return -- [SEEDS]`. Each cell is the median and the worst of all seeds.
  */
 const [seeds = 8] = process.argv.slice(2).map(Number);
 
 const SCENARIOS: readonly (readonly [string, Scenario])[] = [
-  ['one cut of 40 s', ONE_PARTITION],
-  ['three cuts, 40 s between', { ...ONE_PARTITION, partitions: 3, pauseS: 40 }],
+  ['one partition of 40 s', ONE_PARTITION],
+  ['three partitions, 40 s between', { ...ONE_PARTITION, partitions: 3, pauseS: 40 }],
   ['3 of 8 machines come back', { ...ONE_PARTITION, machinesBack: 3 }],
-  ['a takeover 12 s into the return', { ...ONE_PARTITION, failoverAfterS: 12 }],
+  ['a failover 12 s into the return', { ...ONE_PARTITION, failoverAfterS: 12 }],
 ];
 
 interface Metric {
   readonly name: string;
-  /** Whether more is better. */
+  /** True if a higher value is better. */
   readonly higherIsBetter: boolean;
   readonly measure: (result: ReturnType<typeof runScenario>) => number;
 }
@@ -32,19 +32,19 @@
 
 const METRICS: readonly Metric[] = [
   {
-    name: 'last replica after its lease, s',
+    name: 'slowest replica after lease, s',
     higherIsBetter: false,
     measure: (result) => findingsOf(result).replacedAfter.at(-1) ?? 0,
   },
   { name: 'lowest share of replicas', higherIsBetter: true, measure: (result) => result.lowestShare },
   { name: 'replicas evicted', higherIsBetter: false, measure: (result) => findingsOf(result).evicted.length },
   {
-    name: 'tasks in two places',
+    name: 'tasks running twice',
     higherIsBetter: false,
     measure: (result) => findingsOf(result).duplicates.length,
   },
   {
-    name: 'most fetches begun in a second',
+    name: 'most fetches started in a second',
     higherIsBetter: false,
     measure: (result) => findingsOf(result).maxFetchesPerSecond,
   },
@@ -55,7 +55,7 @@
   },
   { name: 'tasks done', higherIsBetter: true, measure: (result) => findingsOf(result).finished },
   {
-    name: 'tasks done from the return on',
+    name: 'tasks done after the return',
     higherIsBetter: true,
     measure: (result) =>
       result.simulation.history.filter(
