--- a/deploy/precompile.mjs
+++ b/deploy/precompile.mjs
@@ -1,9 +1,10 @@
 /**
- * @file The last step of the build: runs the bundle once against the stand-ins until it leads and has scheduled a few
- * jobs, and writes what the engine has compiled by then to target/program.cache, from which src/launch.ts starts.
+ * @file The last step of the build: runs the bundle once against the stand-ins until it is the leader and has scheduled a
+ * few jobs, and writes the code that the engine has compiled by then to target/program.cache, which src/launch.ts loads.
  *
- * Why jobs are run: a cache of the start alone left a new leader to compile heartbeats, scheduling cycles, records and
- * commits in its first seconds; with them the start itself went from 0.18 to 0.14 s of processor time as well.
+ * Jobs are run because a new leader would otherwise compile the code for heartbeats, scheduling cycles, records and
+ * commits in its first seconds. With that code in the cache, the processor time of the startup itself also fell from
+ * 0.18 to 0.14 s.
  */
 import { createServer } from 'node:net';
 import { createRequire } from 'node:module';
@@ -13,7 +14,7 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import { WorkerStandIn, sendRequest, startCloud, startStateStore } from './stand-ins.mjs';
 
-/** How long the controller runs the jobs before its compiled code is kept. */
+/** Time for which the controller runs the jobs before its compiled code is saved. */
 const WARM_UP_MS = 2500;
 const HEALTH_POLLS = 100;
 const HEALTH_POLL_MS = 20;
@@ -50,7 +51,7 @@
   };
 }
 
-/** A submission in the protocol's terms. */
+/** Returns the body of a submission in the user protocol. */
 function submission(number, shape, precedence, tickets) {
   return {
     ref: `req-${number}`,
@@ -76,7 +77,7 @@
   };
 }
 
-/** One job of each kind, so that all of scheduling is compiled. */
+/** Jobs of all kinds and priorities, so that the whole scheduling code is compiled. */
 const SUBMISSIONS = [
   submission(1, 'batch', 'idle', 6),
   submission(2, 'ensemble', 'normal', 2),
@@ -100,7 +101,7 @@
   await sleep(WARM_UP_MS / 2);
 }
 
-/** Starts the built program in this process, as its own command line would. */
+/** Starts the built program in this process, as its command line does. */
 function startProgram(settingsPath) {
   const entryPoint = join(target, 'main.js');
   process.env.LOG_LEVEL = 'error';
--- a/deploy/stand-ins.mjs
+++ b/deploy/stand-ins.mjs
@@ -1,7 +1,7 @@
 /**
- * @file Stand-ins for the outside systems, for the build alone: a state store, a cloud and one worker, each with just
- * enough behaviour for a controller to lead and to schedule, run and finish a few jobs. Tests have stand-ins of their
- * own, which check what they are sent; these check nothing and must not be used for tests.
+ * @file Stand-ins for the external systems, used only by the build: a state store, a cloud and one worker, each with just
+ * enough behaviour for a controller to become leader and to schedule, run and finish a few jobs. They check nothing, so
+ * tests must not use them. Tests have their own stand-ins, which check the requests that they receive.
  */
 import { Agent, createServer, request } from 'node:http';
 import { setTimeout as sleep } from 'node:timers/promises';
@@ -25,7 +25,7 @@
   return raw.length > 0 ? cbor.decode(raw) : null;
 }
 
-/** Serves CBOR on a free port of the loopback address, and returns the address. `handle` returns status and body. */
+/** Serves CBOR on a free loopback port and returns the address. `handle` returns the status and the body. */
 function startServer(handle) {
   return new Promise((resolve) => {
     const server = createServer(async (req, res) => {
@@ -39,7 +39,7 @@
   });
 }
 
-/** Sends one request; null if there was no response. */
+/** Sends one request. Returns the response, or null if there was none. */
 export function sendRequest(address, method, path, body, agent = false) {
   return new Promise((resolve) => {
     const [host, port] = address.split(':');
@@ -59,7 +59,7 @@
   });
 }
 
-/** Starts a state store whose compare conditions always hold; returns its address. */
+/** Starts a state store whose compare conditions always hold. Returns its address. */
 export function startStateStore() {
   const items = new Map();
   const watchers = new Set();
@@ -104,7 +104,7 @@
   halls: ['a'],
 };
 
-/** Starts a cloud with the worker's instance and no capacity for more; returns its address. */
+/** Starts a cloud that has the worker's instance and no capacity for others. Returns its address. */
 export function startCloud(worker) {
   return startServer((method, url) => {
     if (url.pathname === '/flavors') return [200, { builds: [MACHINE_TYPE] }];
@@ -122,12 +122,12 @@
   });
 }
 
-/** A worker that runs each task for a moment, and sends heartbeats until the process ends. */
+/** A worker that runs each task for 300 ms and sends heartbeats until the process ends. */
 export class WorkerStandIn {
   name = 'n-000001';
   sequence = 0;
   fencingToken = 0;
-  /** Tasks in the protocol's terms, by task and attempt. */
+  /** Tasks as in the worker protocol, by task and attempt. */
   tasks = new Map();
 
   async start(controllerAddress) {
