--- a/.dependency-cruiser.mjs
+++ b/.dependency-cruiser.mjs
@@ -1,7 +1,7 @@
 /**
- * @file Cycles between files, those that only types make included: ESLint's plugins see imports that are left when the
- * program runs, and a file that can't be read without another is no easier to read when only their types are entangled.
- * Which folder may import which is in eslint.config.mjs (`LAYERS`).
+ * @file Forbids import cycles between files, including those made by types alone. ESLint's plugins see only imports that
+ * remain at run time, but files that depend on each other are hard to read even if only their types do. `LAYERS` in
+ * eslint.config.mjs defines which folder may import which.
  *
  * @type {import('dependency-cruiser').IConfiguration}
  */
@@ -9,7 +9,7 @@
   forbidden: [
     {
       name: 'no-circular',
-      comment: 'Move what both files need into a third one, or hand it over as a parameter.',
+      comment: 'Move the code that both files need into a third one, or pass it as a parameter.',
       severity: 'error',
       from: {},
       to: { circular: true },
@@ -17,7 +17,7 @@
   ],
   options: {
     doNotFollow: { path: 'node_modules' },
-    // Reads the sources before types are taken out of them.
+    // Reads the sources before the compiler removes types.
     tsPreCompilationDeps: true,
     tsConfig: { fileName: 'tsconfig.json' },
   },
--- a/eslint.config.mjs
+++ b/eslint.config.mjs
@@ -6,17 +6,17 @@
 import ts from 'typescript-eslint';
 import { shortNames } from './lint-rules/short-names.mjs';
 
-/* ---- What is meant to be changed with the sources ---- */
+/* ---- Settings that change with the sources ---- */
 
 /**
- * The folders that the strict rules (sizes, names of one letter, typed errors, file comments) hold for. Tests and tools
- * are freer: a scenario is read from top to bottom and may be long.
+ * The folders to which the strict rules apply (sizes, names of one letter, typed errors, file comments). Tests and tools
+ * are exempt, because a scenario is read from top to bottom and may be long.
  */
 const STRICT_FOLDERS = ['src', 'packages/*/src'];
 
 /**
- * The order of the sources: a folder or file may import what stands in an earlier row of its list, and itself. Entries
- * of one row don't know one another. What is in no row may import nothing.
+ * The layers of the sources: a folder or file may import itself and the entries of earlier rows of its list. Entries of
+ * one row may not import each other. An entry that is in no row may import nothing.
  */
 const LAYERS = {
   'src/core': [
@@ -46,39 +46,39 @@
   ],
 };
 
-/** What a folder may import besides its own layers, as paths below the root. */
+/** Paths (relative to the root) that a folder may import besides its own layers. */
 const ALSO_ALLOWED = {
   'src/core': [],
   'src/wire': ['src/core/model'],
-  // `packages`: config/feature-loader knows the types of the features that it loads.
+  // `packages`: config/feature-loader imports the types of the features that it loads.
   'src/edge': ['src/core', 'src/wire', 'packages'],
-  // A feature answers the questions that the core asks, in the core's terms.
+  // A feature implements interfaces of the core's model.
   'packages/zone-recovery/src': ['src/core/model'],
 };
 
-/** Lines of a function without blank ones and comments. */
+/** Maximum lines of a function, without blank lines and comments. */
 const MAX_FUNCTION_LINES = 40;
 
-/** Lines of a file, all of them counted. */
+/** Maximum lines of a file, with blank lines and comments. */
 const MAX_FILE_LINES = 250;
 
 /**
- * Ways through a function (cyclomatic complexity). When the bound was set, nine functions had more (17 to 36), and twenty
- * lay between 13 and 15.
+ * Maximum cyclomatic complexity of a function. When the bound was set, nine functions exceeded it (17 to 36), and twenty
+ * were between 13 and 15.
  */
 const MAX_COMPLEXITY = 15;
 
-/** Lines that a name of one letter may be known over. */
+/** Maximum lines of the scope of a name of one letter. */
 const MAX_LINES_OF_SHORT_NAMES = 3;
 
-/* ---- From here on: how it is told to the linter ---- */
+/* ---- The ESLint configuration made from these settings ---- */
 
-/** One zone of `import-x/no-restricted-paths`: files at `target` may import nothing of ours but `allowed`. */
+/** One zone of `import-x/no-restricted-paths`: of this repository, files in `target` may import only `target` and `allowed`. */
 function zone(target, allowed, message) {
   return { target: `./${target}`, from: '.', except: ['node_modules', target, ...allowed], message };
 }
 
-/** The zones of a folder whose entries stand in layers, entries that stand in none included. */
+/** The zones of a folder with layers, including its entries that are in no layer. */
 function layerZones(folder, rows) {
   const listed = rows.flat();
   const zones = rows.flatMap((row, index) => {
@@ -88,7 +88,7 @@
     return row.map((entry) => zone(`${folder}/${entry}`, allowed, message));
   });
   const unlisted = readdirSync(new URL(folder, import.meta.url)).filter((entry) => !listed.includes(entry));
-  const message = `This file is in no row of LAYERS (eslint.config.mjs): give it its place.`;
+  const message = `This file is in no row of LAYERS (eslint.config.mjs): add it to a row.`;
   return [...zones, ...unlisted.map((entry) => zone(`${folder}/${entry}`, [], message))];
 }
 
@@ -100,7 +100,7 @@
 
 export default ts.config(
   { ignores: ['target/', 'node_modules/'] },
-  // A directive that silences nothing is a leftover and would hide the next mistake.
+  // A disable directive that suppresses nothing is obsolete and would hide the next mistake.
   { linterOptions: { reportUnusedDisableDirectives: 'error' } },
   js.configs.recommended,
   {
@@ -123,9 +123,9 @@
     extends: [...ts.configs.strictTypeChecked],
     languageOptions: { parserOptions: { projectService: true, tsconfigRootDir: import.meta.dirname } },
     rules: {
-      // Counts and amounts are told in log lines and messages everywhere; numbers have one obvious text.
+      // Log lines and messages contain many counts and amounts, and the text of a number is unambiguous.
       '@typescript-eslint/restrict-template-expressions': ['error', { allowNumber: true }],
-      // The test runner itself waits for the tests that it is given.
+      // The test runner itself waits for its tests.
       '@typescript-eslint/no-floating-promises': [
         'error',
         {
@@ -134,9 +134,9 @@
           ],
         },
       ],
-      // `() => void doIt()` and `return void reject()` are the short forms of this code base for early ends.
+      // This code base uses `() => void doIt()` and `return void reject()` as short forms of an early return.
       '@typescript-eslint/no-confusing-void-expression': 'off',
-      // Types that are only types are imported as such: what is left says what a file needs when it runs.
+      // With types imported as types, the remaining imports are those that a file needs at run time.
       '@typescript-eslint/consistent-type-imports': 'error',
     },
   },
@@ -148,7 +148,7 @@
       'import-x/parsers': { '@typescript-eslint/parser': ['.ts'] },
     },
     rules: {
-      // Cycles are dependency-cruiser's part (`npm run cycles`): it also sees those that only types make.
+      // Cycles are checked by dependency-cruiser (`npm run cycles`), which also finds those made by types alone.
       'import-x/no-restricted-paths': ['error', { basePath: import.meta.dirname, zones: importZones }],
       'import-x/no-self-import': 'error',
       'import-x/no-duplicates': 'error',
@@ -183,8 +183,7 @@
         'error',
         {
           selector: ':matches(NewExpression, CallExpression)[callee.name="Error"]',
-          message:
-            'Use a class of its own (extends Error) with fields and a cause: callers tell errors by class.',
+          message: 'Use a subclass of Error with fields and a cause: callers distinguish errors by class.',
         },
       ],
       'jsdoc/require-file-overview': [
@@ -206,7 +205,7 @@
   {
     files: ['src/core/**/*.ts', 'packages/zone-recovery/src/**/*.ts'],
     rules: {
-      // The core takes what happened and when; it must reach no clock, file or socket by itself.
+      // The core receives events and the time as parameters. It must not access clocks, files or sockets.
       'no-restricted-imports': [
         'error',
         { patterns: ['node:*', 'rxjs*', 'express', 'pino', '**/edge/**', '**/wire/**'] },
--- a/lint-rules/short-names.mjs
+++ b/lint-rules/short-names.mjs
@@ -1,12 +1,13 @@
 /**
- * @file A lint rule: a name of one letter may live for a few lines only. In `xs.map((x) => x.id)` the reader sees where
- * `x` comes from; thirty lines on he has to search for it. ESLint's own `id-length` does not know how far a name reaches.
+ * @file A lint rule that allows names of one letter only in scopes of a few lines. In `xs.map((x) => x.id)` the reader
+ * sees where `x` comes from. Thirty lines further down, the reader has to search for it. ESLint's own rule `id-length`
+ * does not consider the size of the scope.
  */
 
-/** Lines that the scope of a name of one letter may span. */
+/** Maximum number of lines in the scope of a name of one letter. */
 const DEFAULT_MAX_LINES = 3;
 
-/** What the rule looks at: parameters, variables and caught errors. Type parameters (`T`) and imports are not. */
+/** The kinds of names that the rule checks. It ignores type parameters (`T`) and imports. */
 const NAMED_KINDS = new Set(['Parameter', 'Variable', 'CatchClause']);
 
 /** @param {import('eslint').Scope.Scope} scope */
@@ -16,7 +17,7 @@
 
 /**
  * Reports each parameter and variable of one letter whose function, block or loop spans more than `maxLines` lines.
- * `_` is free: it says that a value is not used.
+ * `_` is always allowed, because it marks an unused value.
  *
  * @type {import('eslint').Rule.RuleModule}
  */
@@ -33,7 +34,7 @@
     ],
     messages: {
       tooShort:
-        "'{{name}}' is known over {{lines}} lines; names of one letter may be over {{maxLines}} at most.",
+        "The scope of '{{name}}' spans {{lines}} lines; a name of one letter may span {{maxLines}} at most.",
     },
   },
   create(context) {
@@ -42,7 +43,7 @@
     /** @param {import('eslint').Scope.Scope} scope */
     function check(scope) {
       const lines = linesOf(scope);
-      // An inner scope is never longer than the one around it, so there is nothing to find below a short one.
+      // An inner scope is never longer than its outer one, so the scopes within a short one need no check.
       if (lines <= maxLines) return;
       for (const { name, defs } of scope.variables) {
         const definition = defs[0];
