--- a/test/versions.test.ts
+++ b/test/versions.test.ts
@@ -1,4 +1,4 @@
-/** @file The production version and this one lead in turn on the same records. */
+/** @file The production version and this one are leader in turn, on the same records. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { createLogger } from '../src/edge/runtime/logger.js';
@@ -12,8 +12,8 @@
 import { PRODUCTION_CODEC } from './standins/production-version.js';
 
 /**
- * The version in production and this one side by side, as in an upgrade: each leads in turn and goes on with what the
- * other recorded. The older one's records are written and read by copies kept from it.
+ * The production version and this one run side by side, as in an upgrade. Each is leader in turn and continues from the
+ * records of the other. Copies of the production version's code encode and decode its records.
  */
 const THIS_CODEC: RecordCodec = {
   writeJob: encodeJob,
@@ -23,7 +23,7 @@
 };
 const MACHINES = 6;
 
-/** A controller's picture of which versions run. */
+/** The version records of the controllers, as each controller sees them in its replica. */
 class VersionRegistry {
   private readonly replica = new Map<string, ReplicaEntry>();
 
@@ -46,7 +46,7 @@
   fleet.startTerm();
 }
 
-/** Lets machines report, passes be made and transactions be carried out for a while. */
+/** Runs heartbeats, scheduling cycles and transactions for some seconds. */
 function runFor(fleet: SimulatedFleet, seconds: number): void {
   for (let n = 0; n < seconds * 4; n++) {
     fleet.advance(0.25);
@@ -77,7 +77,7 @@
     }
 }
 
-/** Both versions read the same from what is stored. */
+/** Checks that both versions decode the stored records to the same values. */
 function checkRecords(fleet: SimulatedFleet): void {
   for (const { value } of fleet.jobs.values())
     assert.deepEqual(PRODUCTION_CODEC.readJob(value), decodeJob(value));
@@ -91,10 +91,10 @@
   fleet.storeJob(id, codec.writeJob({ ...codec.readJob(stored.value), status: 'cancelled' }));
 }
 
-test('old and new versions lead in turn: no task is started twice or lost, final statuses hold', () => {
+test('old and new versions are leader in turn: no task is started twice or lost, and final statuses stay', () => {
   const fleet = new SimulatedFleet(MACHINES, PRODUCTION_CODEC);
   fleet.sendHeartbeats();
-  // Taken as proof they would show, later on, that nothing of the following runs.
+  // Delivered late, they would wrongly prove that none of the following tasks runs, if they were accepted as proof.
   const delayedHeartbeats = Array.from({ length: MACHINES }, (_, n) => fleet.nextHeartbeat(n));
   fleet.submit('req-1', { kind: 'service', taskCount: 2, priority: 'production', spreadAcrossZones: true });
   fleet.submit('req-2', { kind: 'gang', taskCount: 3, singleZone: true });
@@ -112,17 +112,17 @@
   assert.deepEqual(
     ['req-1', 'req-2', 'req-3'].map((id) => tasksOf(fleet, id)),
     before,
-    'all run on, in place',
+    'all tasks run on, on the same machines',
   );
   cancel(fleet, THIS_CODEC, 'req-2');
 
-  // Before anything of the cancelled job is stopped, and with reports from before it still under way.
+  // The failover happens before any task of the cancelled job is stopped, and while old heartbeats are still in transit.
   failOverTo(fleet, PRODUCTION_CODEC);
   runFor(fleet, 1);
   for (const heartbeat of delayedHeartbeats) fleet.handle({ kind: 'heartbeat', heartbeat });
   checkRecords(fleet);
   runFor(fleet, 3);
-  assert.deepEqual(tasksOf(fleet, 'req-2'), [], 'the cancellation that the new version wrote is carried out');
+  assert.deepEqual(tasksOf(fleet, 'req-2'), [], 'the cancellation written by the new version takes effect');
   assert.deepEqual(tasksOf(fleet, 'req-1'), before[0]);
   for (let n = 0; n < MACHINES; n++) fleet.finishTasksOf(n, 'req-3');
 
@@ -137,8 +137,8 @@
   assert.deepEqual([tasksOf(fleet, 'req-2'), tasksOf(fleet, 'req-3')], [[], []]);
 });
 
-// What the guard is for: the older version passes over the field and starts the job at once.
-test('the production version would start a dependent job at once; so none is accepted before every controller is new', () => {
+// Reason for this check: the production version ignores the field `dependencies` and starts the job at once.
+test('the production version would start a dependent job at once, so none is accepted before every controller is upgraded', () => {
   const registry = new VersionRegistry();
   const labels = ['one', 'two', 'three'];
   const supportSeenByEach = (): boolean[] =>
@@ -161,13 +161,13 @@
   fleet.submit('req-1', { taskCount: 1 });
   fleet.submit('req-2', { taskCount: 2, dependencies: ['req-1'] });
   runFor(fleet, 3);
-  assert.deepEqual(tasksOf(fleet, 'req-2'), [], 'this version waits');
+  assert.deepEqual(tasksOf(fleet, 'req-2'), [], 'this version waits for the dependency');
   failOverTo(fleet, PRODUCTION_CODEC);
   runFor(fleet, 3);
-  assert.equal(tasksOf(fleet, 'req-2').length, 2, 'the older one does not');
+  assert.equal(tasksOf(fleet, 'req-2').length, 2, 'the production version does not');
 });
 
-test('with all controllers new, blocked jobs and jobs cancelled through a dependency stay so across failovers', () => {
+test('with all controllers upgraded, blocked jobs and jobs cancelled through a dependency stay so across failovers', () => {
   const fleet = new SimulatedFleet(MACHINES, THIS_CODEC);
   fleet.sendHeartbeats();
   fleet.submit('req-1', { taskCount: 1 });
@@ -182,7 +182,7 @@
   assert.equal(
     PRODUCTION_CODEC.readJob(fleet.jobs.get('req-4')?.value).status,
     'cancelled',
-    'readable by both',
+    'the production version can decode the cancellation',
   );
   for (let n = 0; n < MACHINES; n++) fleet.finishTasksOf(n, 'req-1');
   failOverTo(fleet, THIS_CODEC);
