--- a/test/heartbeat-parsing.test.ts
+++ b/test/heartbeat-parsing.test.ts
@@ -17,9 +17,9 @@
   tickets: [{ ticket: 'req-000412/3', try: 2, standing: 'exited', cause: 'done' }],
 };
 
-test('heartbeats: the fast path and the schema parse alike, and invalid ones are refused', () => {
+test('heartbeats: the fast path and the schema yield the same result, and invalid ones are refused', () => {
   const viaFastPath = parseHeartbeat(HEARTBEAT);
-  // A count above 32 bits may come as a big integer: that goes to the schema.
+  // A count above 32 bits may be decoded as a big integer, which only the schema accepts.
   const viaSchema = parseHeartbeat({ ...HEARTBEAT, tick: 88n, recallS: undefined });
   assert.ok(viaFastPath.ok && viaSchema.ok);
   assert.deepEqual(viaFastPath.value, viaSchema.value);
@@ -43,7 +43,7 @@
     assert.equal(parseHeartbeat({ ...HEARTBEAT, ...invalidFields }).ok, false, JSON.stringify(invalidFields));
 });
 
-test('a heartbeat is recognised in the bytes of a connection; everything else is left to the general server', () => {
+test('a heartbeat is recognised in the bytes of a connection, and all other requests are left to the general server', () => {
   const head = 'POST /hello HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\n';
   assert.deepEqual(parseHead(Buffer.from(`${head}abcPOST`), 100), {
     kind: 'heartbeat',
--- a/test/lint-rules.test.ts
+++ b/test/lint-rules.test.ts
@@ -7,7 +7,7 @@
 RuleTester.it = it as typeof RuleTester.it;
 RuleTester.itOnly = it.only as typeof RuleTester.itOnly;
 
-/** A function of `lines` lines whose parameter is written `parameter`. */
+/** Returns the code of a function with `lines` lines and the given parameter. */
 const functionOf = (lines: number, parameter: string): string =>
   [`function run(${parameter}) {`, ...Array.from({ length: lines - 2 }, () => '  go();'), '}'].join('\n');
 
@@ -19,7 +19,7 @@
 new RuleTester({ languageOptions: { parser: ts.parser } }).run('short-names', shortNames, {
   valid: [
     { name: 'one line', code: 'const ids = jobs.map((j) => j.id);' },
-    { name: 'a scope of the longest length allowed', code: functionOf(3, 'j') },
+    { name: 'a scope of the maximum length', code: functionOf(3, 'j') },
     { name: 'a longer name', code: functionOf(9, 'job') },
     { name: 'the underscore', code: functionOf(9, '_') },
     { name: 'a field is not a variable', code: 'const point = {\n  x: 1,\n  y: 2,\n  z: 3,\n};' },
@@ -35,11 +35,11 @@
   ],
   invalid: [
     { name: 'a parameter', code: functionOf(4, 'j'), errors: [reported('j', 4)] },
-    { name: 'a parameter taken apart', code: functionOf(4, '{ id: i }'), errors: [reported('i', 4)] },
+    { name: 'a destructured parameter', code: functionOf(4, '{ id: i }'), errors: [reported('i', 4)] },
     { name: 'a parameter with a default', code: functionOf(4, 'n = 1'), errors: [reported('n', 4)] },
     { name: 'a variable of the module', code: 'const a = 1;\n\n\ngo(a);', errors: [reported('a', 4)] },
     {
-      name: 'a loop, but not the short one in it',
+      name: 'a loop, but not the short loop in it',
       code: 'for (const a of as) {\n  for (const b of bs) go(b);\n  go();\n  go(a);\n}',
       errors: [reported('a', 5)],
     },
--- a/test/malformed-records.test.ts
+++ b/test/malformed-records.test.ts
@@ -17,7 +17,7 @@
     return true;
   };
 
-test('a malformed record is a typed error with its kind, its reason and the cause', () => {
+test('a malformed record throws a typed error with the kind of record, the reason and the cause', () => {
   assert.throws(() => decodeJob({ st: 'open' }), isRecordError('job', /"at"/, true));
   assert.throws(() => decodeJob(null), isRecordError('job', /object/, true));
   assert.throws(() => decodeLeader({ label: 7 }), isRecordError('leader', /label/, true));
@@ -26,16 +26,16 @@
   assert.throws(() => decodePage('%E0%A4%A|'), isRecordError('page', /name "%E0%A4%A"/, true));
 });
 
-test('values that cannot be decoded are known by their key', () => {
+test('whether a value can be decoded is checked by the kind of its key', () => {
   assert.equal(isDecodable('main/job/req-1', {}), false);
   assert.equal(isDecodable('main/part/all', { label: 'a' }), false);
   assert.equal(isDecodable('main/part/all', { label: 'a', incarnation: 'b' }), true);
   assert.equal(isDecodable('main/page/all/1', 7), false);
-  assert.equal(isDecodable('main/page/all/1', 'not a page, which only its reader finds'), true);
+  assert.equal(isDecodable('main/page/all/1', 'not a page, which only decoding detects'), true);
   assert.equal(isDecodable('main/zones/all', 7), true);
 });
 
-test('bytes that are no frame are a typed error', () => {
+test('bytes that are not a frame throw a typed error', () => {
   const isFrameError = (error: unknown): boolean =>
     error instanceof MalformedFrameError && error.reason === 'not a frame';
   assert.throws(() => new FrameReader().push(Buffer.from('GET / HTTP/1.1\r\n')), isFrameError);
--- a/test/operator-settings.test.ts
+++ b/test/operator-settings.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { parseOperatorSettings } from '../src/edge/config/operator-settings.js';
 
-test('operator settings: ranges and the line of a mistake', () => {
+test('operator settings: values have ranges, and an error names the line of the mistake', () => {
   assert.equal(parseOperatorSettings('(placement (alpha 0.3)) ; ok', 'f').alpha, 0.3);
   assert.throws(
     () => parseOperatorSettings('(placement\n (alpha 0.8))', 'f'),
--- a/test/peer-frames.test.ts
+++ b/test/peer-frames.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { FrameReader, encodeStatus } from '../src/wire/controller-status-frame.js';
 
-test('peer frames: reassembled wherever they are split; bytes that are no frame are refused', () => {
+test('peer frames: reassembled wherever they are split, and bytes that are not a frame are refused', () => {
   const status = {
     label: 'hearth-1',
     isLeader: true,
@@ -21,7 +21,7 @@
   }
   const unknownVersion = Buffer.from(encodeStatus(status));
   unknownVersion.writeUInt8(9, 2);
-  assert.deepEqual(new FrameReader().push(unknownVersion), [], 'a version not known yet is passed over');
+  assert.deepEqual(new FrameReader().push(unknownVersion), [], 'a frame of an unknown version is skipped');
   assert.throws(() => new FrameReader().push(Buffer.from('GET / HTTP/1.1\r\n')), /not a frame/);
   const tooLong = Buffer.from(encodeStatus(status));
   tooLong.writeUInt16BE(60_000, 4);
--- a/test/records.test.ts
+++ b/test/records.test.ts
@@ -1,4 +1,4 @@
-/** @file Records that are written and read in the bytes of earlier versions. */
+/** @file Records are encoded and decoded in the bytes of earlier versions. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { seconds } from '../src/core/model/time.js';
@@ -11,8 +11,8 @@
 import { jobSpec } from './fixtures/cluster-config.js';
 
 /**
- * Bytes that earlier versions have written and read. Names in the code may change; what is stored and what controllers
- * send one another may not, since versions run side by side during an upgrade.
+ * Bytes that earlier versions write and read. Stored records and the frames between controllers must not change, because
+ * different versions run side by side during an upgrade.
  */
 const JOB =
   'o2JzdGljYW5jZWxsZWRiYXR4GDIwMzAtMDEtMDFUMTI6MDA6MDAuMjUwWmFztGJpZGpyZXEtMDAwNDEyZWNsYXNzZXRyYWluZHRlYW1mdmlzaW9u' +
@@ -69,13 +69,13 @@
   );
 });
 
-test('peer frames are those of earlier versions', () => {
+test('peer frames are encoded and decoded in the bytes of earlier versions', () => {
   const status = { label: 'hearth-1', isLeader: true, stateStoreContactMs: 420, fencingToken: 77n };
   assert.equal(encodeStatus(status).toString('hex'), STATUS);
   assert.deepEqual(new FrameReader().push(Buffer.from(STATUS, 'hex')), [status]);
 });
 
-/** How the version before dependencies took a key apart, kept as it was. */
+/** Copy of the key parser of the version before dependencies. */
 function kindInEarlierVersion(key: string): string {
   const [, kind, a, b] = key.split('/');
   if (kind === 'part' && a !== undefined) return 'part';
@@ -84,7 +84,7 @@
   return 'other';
 }
 
-// It passes over keys of kinds that it does not know, and reads any value under them.
+// That version skips keys of unknown kinds, whatever their value.
 test('supported features are stored under a key that earlier versions ignore', () => {
   assert.equal(kindInEarlierVersion(versionKey('hearth-1')), 'other');
   assert.equal(parseKey(versionKey('hearth-1')).kind, 'version');
@@ -95,7 +95,7 @@
   for (const value of [null, 'x', {}, { features: 7 }]) assert.deepEqual(decodeFeatures(value), []);
 });
 
-test('dependencies are a field of their own in a record, absent where there are none', () => {
+test('dependencies are a separate field in a record, absent if there are none', () => {
   const dependent = { ...record, spec: { ...record.spec, dependencies: ['req-1', 'req-2'] } };
   const written = encodeJob(dependent) as { s: Record<string, unknown> };
   assert.deepEqual(written.s['dependencies'], ['req-1', 'req-2']);
--- a/test/submission-parsing.test.ts
+++ b/test/submission-parsing.test.ts
@@ -26,7 +26,7 @@
   somethingNew: 1,
 };
 
-test('a submission: nullable fields may be missing, unknown ones are ignored, invalid ones refused', () => {
+test('a submission: nullable fields may be missing, unknown ones are ignored, and invalid ones are refused', () => {
   const parsed = parseSubmission(BODY);
   assert.ok(parsed.ok);
   assert.equal(parsed.value.kind, 'gang');
