--- a/src/core/scheduling/candidates.ts
+++ b/src/core/scheduling/candidates.ts
@@ -1,6 +1,6 @@
 /**
- * @file The machines that may receive tasks, with the capacity that one scheduling cycle works on. A cycle reserves on
- * these copies; the machines themselves change only when a task is assigned.
+ * @file The machines that may receive tasks, each with a copy of its capacity for one scheduling cycle. The cycle
+ * reserves capacity on the copies; the machines themselves change only when a task is assigned.
  */
 import { isUsable, resourcesOf } from '../machines/free-resources.js';
 import type { JobSpec } from '../model/job.js';
@@ -15,7 +15,7 @@
   readonly type: MachineType;
   /** Capacity that neither an assignment nor a reported task uses. */
   readonly free: Resources;
-  /** Free capacity plus that of tasks being stopped, minus what is reserved for jobs of higher priority. */
+  /** Free capacity, plus that of tasks being stopped, minus what this cycle has reserved on the machine. */
   readonly projected: Resources;
   taskCount: number;
   /** Images that the machine is fetching, by name, with a lower bound on the remaining gigabytes. */
--- a/src/core/scheduling/cycle-context.ts
+++ b/src/core/scheduling/cycle-context.ts
@@ -15,12 +15,13 @@
   readonly now: Timestamp;
   readonly candidates: readonly Candidate[];
   /**
-   * The lowest priority of a task on each machine that is not being stopped. A job not above it preempts nothing there.
+   * For each machine, the lowest scheduling priority among its tasks that are not being stopped, or Infinity if there
+   * are none. A job whose priority is not higher preempts nothing there.
    */
   readonly lowestPriority: ReadonlyMap<Machine, number>;
-  /** Demands for which no machine has free capacity. */
+  /** Requirements of tasks for which no allowed machine has free capacity. */
   readonly unsatisfiableShapes: ResourceShape[];
-  /** Ids of the jobs for which capacity has been reserved. */
+  /** Ids of the jobs for which `preemptFor` has reserved capacity in this cycle. */
   readonly jobsWithReservations: Set<string>;
   /** Id of the first gang for which free capacity is reserved, or null. */
   gangHoldingCapacity: string | null;
@@ -51,8 +52,9 @@
 }
 
 /**
- * The filter step: returns the machines with capacity for a task of the job. For a job that needs at least as much as
- * one for which no machine had capacity earlier in this cycle, returns none without scanning the machines again.
+ * The filter step: returns the machines that the job may use and that have capacity for one of its tasks. If, earlier
+ * in this cycle, no machine had capacity for a job that needs no more than this one, returns none without scanning the
+ * machines again.
  */
 export function feasibleCandidates(cycle: SchedulingCycle, job: Job): Candidate[] {
   const { spec } = job;
--- a/src/core/scheduling/cycle-interval.ts
+++ b/src/core/scheduling/cycle-interval.ts
@@ -9,9 +9,10 @@
 /** The interval grows by a quarter of a millisecond for each machine beyond `SMALL_FLEET_MACHINES`. */
 const INTERVAL_PER_MACHINE = seconds(1) / 4000n;
 
-/** Cycles take at most 1/`CYCLE_TIME_DIVISOR` of the time, unless that needs more than `MAX_CYCLE_INTERVAL`. */
+/** Cycles take at most 1/`CYCLE_TIME_DIVISOR` of the time, unless the interval would exceed `MAX_CYCLE_INTERVAL`. */
 const CYCLE_TIME_DIVISOR = 4n;
 
+/** Upper bound on the interval by cycle duration, and the interval of an overloaded process. */
 const MAX_CYCLE_INTERVAL = seconds(2);
 
 /**
--- a/src/core/scheduling/displaced-replicas.ts
+++ b/src/core/scheduling/displaced-replicas.ts
@@ -1,6 +1,7 @@
 /**
  * @file Reserves capacity in the remaining zones for service replicas whose zone may be lost. The capacity is only
- * withheld from jobs of lower priority; the replicas start elsewhere once it is proven that they no longer run.
+ * withheld from jobs of lower priority; the service replicas start elsewhere only once it is proven that they no longer
+ * run.
  */
 import { assignmentsByZone } from '../assignments/assignments.js';
 import { isResponsive, zoneOf } from '../machines/responsiveness.js';
@@ -12,13 +13,13 @@
 import type { Candidate } from './candidates.js';
 import { isMachineAllowed, isZoneAllowed } from './placement-constraints.js';
 
-/** Replicas of a service that may have to start elsewhere because their machines are in a zone that may be lost. */
+/** Service replicas of one job that may have to start elsewhere, because the zone of their machines may be lost. */
 export interface DisplacedReplicas {
   readonly job: Job;
   readonly tasks: ReadonlySet<number>;
 }
 
-/** Returns the replicas on unresponsive machines of zones that may be lost, grouped by job. */
+/** Returns the service replicas on unresponsive machines of zones that may be lost, grouped by job. */
 export function displacedReplicas(state: ClusterState, now: Timestamp): DisplacedReplicas[] {
   const policy = state.zonePolicy;
   if (policy === null) return [];
@@ -38,7 +39,7 @@
   else tasks.add(assignment.taskIndex);
 }
 
-/** Reserves capacity in the remaining zones for as many of the replicas as fit. */
+/** Reserves capacity in the remaining zones for as many of the service replicas as fit. */
 export function reserveForDisplaced(
   displaced: readonly DisplacedReplicas[],
   candidates: readonly Candidate[],
@@ -66,7 +67,7 @@
   return null;
 }
 
-/** Returns the machine with the fewest free GPUs among those that fit, or null. Whole machines elsewhere stay free. */
+/** Returns the machine that fits with the fewest free GPUs, so that whole machines stay free, or null if none fits. */
 function tightestFit(
   job: Job,
   candidates: readonly Candidate[],
--- a/src/core/scheduling/eviction-cost.ts
+++ b/src/core/scheduling/eviction-cost.ts
@@ -10,7 +10,7 @@
  */
 const RECENT_START_S = 30;
 
-/** Seconds of lost work that one step of scheduling priority counts as: priority takes precedence over lost work. */
+/** Seconds of lost work that one step of scheduling priority counts as, so that priority outweighs lost work. */
 const SECONDS_PER_PRIORITY = 10_000;
 
 /** CPUs that count as much as one GPU. */
@@ -20,10 +20,11 @@
 export const IMAGE_FETCH_WEIGHT = 10;
 
 /**
- * Returns the cost of stopping the task now, weighted by its size: its lost work, or at most the duration of a
- * checkpoint if it makes checkpoints. For a task that is still fetching its image or has hardly begun, the time since
- * its assignment is added. Without that, such tasks were the cheapest, and the same job was stopped again and again
- * before it ever ran.
+ * Returns the cost of stopping the task now: its priority, its lost work and the earlier preemptions of its job,
+ * weighted by the size of the task and, for a gang, by the number of its tasks. The lost work is the time that the task
+ * has run, but at most the duration of a checkpoint if it makes checkpoints. For a task that is still fetching its
+ * image or has run for less than `RECENT_START_S`, the time since its assignment and `RECENT_START_S` are added.
+ * Without that, such tasks were the cheapest, and the same job was stopped again and again before it ever ran.
  */
 export function evictionCost(assignment: Assignment, job: Job, now: Timestamp): number {
   const { spec } = job;
--- a/src/core/scheduling/eviction.ts
+++ b/src/core/scheduling/eviction.ts
@@ -34,15 +34,19 @@
   for (const each of stopped) stopAssignment(state, each, grace, 'preempted', now.monotonic);
 }
 
-/** True if a checkpoint takes longer than the preemptor can wait. An array task then falls back to its last one. */
+/**
+ * True if the preemptor is a production job whose start objective is shorter than the grace period of the victim, an
+ * array. Its task then falls back to its last checkpoint.
+ */
 const checkpointWouldBeTooLate = (cycle: SchedulingCycle, victim: Job, preemptor: Job): boolean =>
   victim.spec.kind === 'array' &&
   preemptor.spec.priority === 'production' &&
   startObjectiveSeconds(cycle, preemptor) < gracePeriodSeconds(victim);
 
 /**
- * Returns the seconds within which the objectives of its class require the job to start, or Infinity if none is in
- * force.
+ * Returns the seconds within which the job must start according to the objectives of its class, or Infinity if there is
+ * none or the job has missed it by more than `OBJECTIVE_TOLERANCE_S`. After the loss of a service replica, the
+ * objective applies again for the same time.
  */
 function startObjectiveSeconds({ state, now }: SchedulingCycle, job: Job): number {
   let withinSeconds = Infinity;
--- a/src/core/scheduling/gang-drain-plan.ts
+++ b/src/core/scheduling/gang-drain-plan.ts
@@ -30,7 +30,7 @@
   readonly lastEmptySeconds: number;
 }
 
-/** Whether a plan has fewer missing tasks than the best so far, or as many and is ready sooner. */
+/** Whether a plan has fewer missing tasks than the best so far, or equally many and is ready sooner. */
 export const isBetterDrainPlan = (plan: GangDrainPlan, best: GangDrainPlan): boolean =>
   plan.missingTasks < best.missingTasks ||
   (plan.missingTasks === best.missingTasks && plan.lastEmptySeconds < best.lastEmptySeconds);
@@ -93,7 +93,7 @@
   );
 }
 
-/** Returns the expected seconds until a machine is empty, or null if it runs replicas, which never finish. */
+/** Returns the expected seconds until a machine is empty, or null if it runs service replicas, which never end. */
 function secondsUntilEmpty(state: ClusterState, machine: Machine, now: Timestamp): number | null {
   let longest = 0;
   for (const assignment of machine.assignments.values()) {
--- a/src/core/scheduling/gang-plan.ts
+++ b/src/core/scheduling/gang-plan.ts
@@ -53,8 +53,9 @@
 
 /**
  * Returns a plan in which the image fetches end at about the same time. Otherwise a task with a cached image would stop
- * waiting before the others have fetched theirs, and the whole attempt would fail. If there is no such plan, returns
- * any plan, because the fetched images help the next attempt, or null if the gang does not fit.
+ * waiting before the others have fetched theirs, and the whole attempt would fail. If there is no such plan, returns a
+ * plan regardless of the fetches, because the fetched images help the next attempt. Returns null if the gang does not
+ * fit.
  */
 function planWithAlignedFetches(
   cycle: SchedulingCycle,
--- a/src/core/scheduling/gang-scheduling.ts
+++ b/src/core/scheduling/gang-scheduling.ts
@@ -9,10 +9,13 @@
 import { type SchedulingCycle, feasibleCandidates } from './cycle-context.js';
 import { planGang } from './gang-plan.js';
 
-/** A gang that was first seen longer ago than this may again use the machines on which it failed. */
+/** A gang without capacity that was first seen longer ago than this may again use the machines on which it failed. */
 const CLEAR_FAILURES_AFTER = seconds(30);
 
-/** Assigns the gang if its previous attempt has ended and there is capacity for all of its tasks. */
+/**
+ * Assigns the gang if its previous attempt has ended, its team's quota allows all of its tasks and there is capacity
+ * for them. If one of its tasks has completed, completes the gang instead.
+ */
 export function scheduleGang(cycle: SchedulingCycle, job: Job): void {
   const { state, now } = cycle;
   if (job.completedCount > 0) return completeGang(state, job, now.monotonic);
--- a/src/core/scheduling/job-queue.ts
+++ b/src/core/scheduling/job-queue.ts
@@ -6,7 +6,7 @@
 import type { ClusterState } from '../state/cluster-state.js';
 import { schedulingPriority } from './priority.js';
 
-/** Lower than production, higher than all other jobs. */
+/** Scheduling priority of a prioritized starved gang: below production jobs, above all others. */
 const STARVED_GANG_PRIORITY = 999;
 
 interface QueuedJob {
@@ -16,7 +16,10 @@
   readonly startBy: number;
 }
 
-/** Returns the pending jobs by priority and fair share, then by the time by which they should have started. */
+/**
+ * Returns the pending jobs that can be scheduled now, by priority and fair share, then by the time by which they should
+ * have started. Removes jobs without unassigned tasks from the pending jobs.
+ */
 export function pendingJobsInOrder(state: ClusterState, now: Timestamp): Job[] {
   const queue: QueuedJob[] = [];
   for (const id of state.jobs.pending) {
@@ -28,7 +31,7 @@
   return queue.sort(compareQueued).map(({ job }) => job);
 }
 
-/** False while a job waits out its back-off after failures, and while its record pages are being rearranged. */
+/** False during a job's retry delay after failures, and while one of its pages is in an uncommitted atomic group. */
 const isSchedulable = (state: ClusterState, job: Job, now: Timestamp): boolean =>
   job.status === 'open' && job.retryNotBefore <= now.monotonic && !hasPageInAtomicGroup(state.records, job);
 
--- a/src/core/scheduling/placement-constraints.ts
+++ b/src/core/scheduling/placement-constraints.ts
@@ -33,7 +33,7 @@
 export const isSpreadAllowed = (spec: JobSpec, taskCount: number): boolean =>
   !spec.spreadAcrossZones || taskCount + 1 <= maxTasksPerZone(spec);
 
-/** Whether another task of the job may start in the zone. `tasksByZone` counts its tasks that may be in each zone. */
+/** Whether another task of the job may start in the zone. `tasksByZone` counts its assigned and planned tasks. */
 export function isZoneAllowed(job: Job, zone: string, tasksByZone: ReadonlyMap<string, number>): boolean {
   const { spec } = job;
   if (spec.zone !== null && spec.zone !== zone) return false;
--- a/src/core/scheduling/preemption.ts
+++ b/src/core/scheduling/preemption.ts
@@ -13,8 +13,10 @@
 import { type FreeByZone, reserveForGang } from './starved-gangs.js';
 
 /**
- * Reserves projected capacity for a blocked job, and stops the tasks that it preempts for that. Returns whether any was
- * found. With `cachedImageOnly`, uses only machines that have the image cached and run no task of the job.
+ * Reserves projected capacity for a blocked job, and stops the tasks that it preempts for that. Returns whether it
+ * found capacity for at least one task, or in the case of a gang for all tasks; for a gang without such capacity, it
+ * calls `reserveForGang`. With `cachedImageOnly`, uses only machines that have the image cached and run no task of the
+ * job.
  */
 export function preemptFor(cycle: SchedulingCycle, job: Job, cachedImageOnly: boolean): boolean {
   const { state } = cycle;
@@ -37,7 +39,7 @@
 const victimsOf = (reservations: readonly Reservation[]): Assignment[] =>
   reservations.flatMap(({ victims }) => victims);
 
-/** Returns the number of pending tasks, or 0 for a gang with assigned tasks or beyond its team's quota as a whole. */
+/** Returns the number of pending tasks, or 0 for a gang that has assigned tasks or would exceed its team's quota. */
 function tasksToReserve({ state }: SchedulingCycle, { spec, assignedCount, unassignedTasks }: Job): number {
   if (spec.kind === 'gang' && (assignedCount > 0 || !state.jobs.quotas.allows(spec, spec.taskCount)))
     return 0;
@@ -56,7 +58,7 @@
   );
 }
 
-/** Two replicas of one service on the same machine would be lost together. */
+/** Whether the machine has a task of the job. Two replicas of one service on one machine would be lost together. */
 const hasTaskOf = (machine: Machine, job: Job): boolean =>
   [...machine.assignments.values()].some((assignment) => assignment.jobId === job.spec.id);
 
@@ -68,9 +70,9 @@
 }
 
 /**
- * If all tasks need the same zone, plans each zone separately. Starting with the cheapest machine of any zone could
- * choose a zone without capacity for the other tasks; no capacity would then be reserved, and jobs of lower priority
- * could take it until the next cycle.
+ * Returns the plan with the lowest average cost per task. If all tasks need the same zone, each zone is planned
+ * separately. Starting with the cheapest machine of any zone could choose a zone without capacity for the other tasks;
+ * no capacity would then be reserved, and jobs of lower priority could take the machines until the next cycle.
  */
 function planCheapestZone(
   cycle: SchedulingCycle,
--- a/src/core/scheduling/priority.ts
+++ b/src/core/scheduling/priority.ts
@@ -1,4 +1,4 @@
-/** @file The strict order among jobs, by priority and fair share, and which of them may preempt which. */
+/** @file The strict order among jobs, by priority and fair share, and which jobs may preempt which others. */
 import type { ClusterConfig, Team } from '../model/cluster-config.js';
 import { type Job, priorityRank } from '../model/job.js';
 import { RESOURCE_EPSILON } from '../model/resources.js';
@@ -19,7 +19,10 @@
   return (job.withinFairShare ? FAIR_SHARE_BONUS : 0) + priorityRank(job.priority);
 }
 
-/** Updates which active jobs are within their team's fair share, counting the team's earlier unfinished jobs too. */
+/**
+ * Updates which active jobs are within their team's fair share. A job is within it if its tasks and those of the team's
+ * active jobs that were submitted before it fit the share together.
+ */
 export function updateFairShares(state: ClusterState): void {
   for (const [teamName, jobs] of activeJobsByTeam(state)) {
     const team = findTeam(state.config, teamName);
@@ -62,8 +65,8 @@
   (team.fairShareGpus <= 0 || gpus <= team.fairShareGpus + RESOURCE_EPSILON);
 
 /**
- * Whether a blocked job may preempt a victim. A victim of equal or higher priority yields only to another team's fair
- * share.
+ * Whether a blocked job may preempt a victim. A victim of equal or higher priority is preempted only for a job of
+ * another team that is within its fair share, and only if the victim is not within its own.
  */
 export function mayPreempt(job: Job, victim: Job): boolean {
   if (schedulingPriority(job) <= schedulingPriority(victim)) return false;
--- a/src/core/scheduling/reservation.ts
+++ b/src/core/scheduling/reservation.ts
@@ -16,7 +16,7 @@
   readonly cost: number;
 }
 
-/** Subtracts the reservation from the candidate's projected capacity, and adds the capacity of the victims. */
+/** Subtracts one task of the job from the candidate's projected capacity, and adds the capacity of the victims. */
 export function reserve(state: ClusterState, job: Job, { candidate, victims }: Reservation): void {
   subtractResources(candidate.projected, job.spec);
   for (const assignment of victims) {
--- a/src/core/scheduling/scheduling-cycle.ts
+++ b/src/core/scheduling/scheduling-cycle.ts
@@ -1,6 +1,6 @@
 /**
- * @file One scheduling cycle. It considers the pending jobs in order: each is assigned, has capacity reserved, or stays
- * pending.
+ * @file One scheduling cycle. It considers the pending jobs in order and assigns their tasks. For tasks that remain, it
+ * reserves capacity if preemption finds any; they stay pending.
  */
 import { pendingSeconds } from '../jobs/deadline-slack.js';
 import type { Job } from '../model/job.js';
@@ -17,7 +17,10 @@
 import { scheduleTasks } from './task-scheduling.js';
 import { anyJobNeedsWholeMachine } from './tie-breaking.js';
 
-/** Runs one cycle and returns the jobs that stay blocked. They wait for the next cycle, as in the paper. */
+/**
+ * Runs one cycle and returns the blocked jobs: those that still have unassigned tasks. They wait for the next cycle, as
+ * in the paper that scoring.ts names.
+ */
 export function runSchedulingCycle(state: ClusterState, now: Timestamp): Job[] {
   state.scheduling.cycleNeeded = false;
   state.scheduling.lastCycleAt = now.monotonic;
@@ -31,7 +34,7 @@
   let unreserved = displacedReplicas(state, now);
   const blocked: Job[] = [];
   for (const job of pendingJobsInOrder(state, now)) {
-    // Jobs of the same priority that are pending already come before replicas that may turn out to be lost.
+    // Pending jobs precede displaced service replicas of the same priority, whose loss is not proven yet.
     if (anyHasHigherPriority(unreserved, job)) {
       reserveForDisplaced(unreserved, cycle.candidates);
       unreserved = [];
--- a/src/core/scheduling/scoring.ts
+++ b/src/core/scheduling/scoring.ts
@@ -15,7 +15,7 @@
  * | Γ (gamma) | eq. (18) | `contentionCost` |
  * | Ω (omega) | eq. (3), Algorithm 2 | `placementCost` |
  * | α (alpha) | weight of the processing delay against the network delay | `settings.alpha` |
- * | φ (phi) | share of the free CPU that a task may be granted beyond its request | `settings.phi` |
+ * | φ (phi) | share of the free CPU up to which a task may be granted more than its request | `settings.phi` |
  * | λ (lambda) | seconds: costs at most this far above the lowest count as equal | `settings.lambda` |
  * | βCS, βRC | seconds of contention: fixed for any task, and doubling with each task | `settings.betaCs`, `settings.betaRc` |
  *
--- a/src/core/scheduling/starved-gangs.ts
+++ b/src/core/scheduling/starved-gangs.ts
@@ -17,15 +17,18 @@
 const DRAIN_AFTER_S = 75;
 
 /**
- * Seconds of waiting after which a gang precedes all jobs but production ones, because jobs within their team's fair
- * share would otherwise take every machine.
+ * Seconds of waiting after which the starved gang precedes all jobs but production ones, because jobs within their
+ * team's fair share would otherwise take every machine.
  */
 const PRIORITIZE_AFTER_S = 120;
 
 /** Reservations without victims for tasks of a gang, by planned zone. The key null stands for all zones together. */
 export type FreeByZone = ReadonlyMap<string | null, readonly Reservation[]>;
 
-/** Chooses the gang for which machines are drained: the longest waiting one of those that lack capacity. */
+/**
+ * Chooses the starved gang, for which machines are drained: of the gangs that lack capacity, the one that has waited
+ * longest, if it has waited for at least `DRAIN_AFTER_S`.
+ */
 export function chooseStarvedGang(state: ClusterState, now: Timestamp): void {
   const longest = longestWaitingGang(state, now);
   const waitedSeconds = longest === null ? 0 : pendingSeconds(longest, now);
@@ -55,9 +58,9 @@
 /**
  * Reserves capacity for a gang that has waited and for which preemption finds no capacity. Free capacity in its best
  * zone is reserved, because small tasks would otherwise keep taking every piece of it. If that is not enough for the
- * gang that has waited longest, the machines that will be empty soonest receive no new tasks, because small tasks would
- * otherwise keep them from ever becoming free. Only that gang and the first gang of a cycle hold capacity, so that
- * little capacity stays idle.
+ * starved gang, the capacity that it lacks is reserved on the machines that will be empty soonest, because small tasks
+ * would otherwise keep them from ever becoming free. Only the starved gang and the first gang of a cycle hold capacity,
+ * so that little capacity stays idle.
  */
 export function reserveForGang(
   cycle: SchedulingCycle,
--- a/src/core/scheduling/task-scheduling.ts
+++ b/src/core/scheduling/task-scheduling.ts
@@ -28,7 +28,7 @@
 /** In a smaller fleet no empty machines are kept, because they would be more than an eighth of it. */
 const MIN_FLEET_TO_KEEP_EMPTY_MACHINES = EMPTY_MACHINES_KEPT * 8;
 
-/** A job whose tasks are being assigned, with the machines that still have capacity for one. */
+/** A job whose tasks are being assigned, with the machines that still have capacity for one of them. */
 interface TaskPlacement {
   readonly job: Job;
   readonly tieBreaker: TieBreaker;
@@ -63,7 +63,7 @@
   }
 }
 
-/** Returns the feasible candidates, without the empty machines that are kept for jobs with less time. */
+/** Returns the feasible candidates, without the empty machines kept for other jobs if the job has deadline slack. */
 function taskCandidates(cycle: SchedulingCycle, job: Job): Candidate[] {
   const { state, candidates, now } = cycle;
   const feasible = feasibleCandidates(cycle, job);
--- a/src/core/scheduling/tie-breaking.ts
+++ b/src/core/scheduling/tie-breaking.ts
@@ -8,7 +8,7 @@
 import type { Candidate } from './candidates.js';
 import type { ScoredCandidate } from './scoring.js';
 
-/** Number of empty machines that jobs with deadline slack leave to jobs with less time. */
+/** Number of empty machines that jobs with deadline slack leave to jobs without it. */
 export const EMPTY_MACHINES_KEPT = 2;
 
 /** Removes the empty machines from `feasible` in place if there are at most `EMPTY_MACHINES_KEPT` of them in all. */
@@ -24,10 +24,11 @@
 const LAST_RANK = 2;
 
 /**
- * Ranks equally good machines; the lowest rank is preferred. Jobs that may run on spot instances prefer these. Service
- * replicas prefer machines with the most replicas, so that few of the expensive machines that only replicas need are in
- * use, but avoid machines with a replica of the same job. While some job needs most of a machine, small tasks prefer
- * machines that run other tasks, and leave empty machines free.
+ * Ranks equally good machines; the lowest rank is preferred. Jobs that may run on spot instances prefer these. Other
+ * service replicas prefer machines with the most service replicas, so that few of the expensive machines that only
+ * service replicas need are in use, but avoid machines with a replica of the same service. While some job needs most of
+ * a machine, small tasks, except those service replicas, prefer machines that run other tasks, and leave empty machines
+ * free.
  */
 export function tieBreakScore(state: ClusterState, job: Job, candidate: Candidate): number {
   const occupiesEmptyMachine =
@@ -70,7 +71,7 @@
   return schedulable.length > 0 ? schedulable : options;
 }
 
-/** For replicas, returns the options in zones with the fewest tasks of the job: the loss of one zone costs little. */
+/** For service replicas, returns the options in zones with the fewest of them: the loss of one zone costs little. */
 export function spreadReplicas(
   job: Job,
   options: ScoredCandidate[],
@@ -80,7 +81,7 @@
   return withLowest(options, ({ candidate }) => tasksByZone.get(candidate.machine.zone) ?? 0);
 }
 
-/** Returns the machines on which the job failed least often, for a job that has failed on every machine. */
+/** Returns the options on which the job has failed least often, for a job that has failed on all of them. */
 export function leastFailedCandidates(job: Job, options: readonly ScoredCandidate[]): ScoredCandidate[] {
   return withLowest(options, ({ candidate }) => job.failuresByMachine.get(candidate.machine.name) ?? 0);
 }
--- a/src/core/scheduling/zone-availability.ts
+++ b/src/core/scheduling/zone-availability.ts
@@ -21,12 +21,12 @@
   kind: job.spec.kind,
   priority: job.priority,
   restrictedToZone: job.spec.zone === zone,
-  // A job that has started before and was lost with its zone is not entitled to a timely start.
+  // A job that was assigned before, such as one that was lost with its zone, is not entitled to a timely start.
   pendingFor: hasStarted(job) ? 0n : seconds(pendingSeconds(job, now)),
 });
 
 const hasStarted = (job: Job): boolean => [...job.chunks.values()].some((chunk) => chunk.highestAttempt > 0);
 
-/** Whether no machines should be requested in the zone, and its machines should not be waited for. */
+/** Whether the scheduler should neither request machines in the zone nor wait for the machines there. */
 export const isZoneUnavailable = (state: ClusterState, zone: string): boolean =>
   state.zonePolicy?.isUnavailable(zone) === true;
