--- a/src/core/capacity/capacity-reuse.ts
+++ b/src/core/capacity/capacity-reuse.ts
@@ -1,6 +1,7 @@
 /**
- * @file Which pending array tasks can reuse the capacity of other tasks in time instead of getting capacity of their
- * own: tasks of one job run one after another, and on capacity that running array tasks of other jobs will soon free.
+ * @file Computes which pending array tasks can reuse the capacity of other tasks in time instead of getting capacity of
+ * their own: tasks of one job can run one after another, and tasks can use the capacity that running array tasks will
+ * soon free.
  */
 import { estimatedSeconds, startDeadline } from '../jobs/deadline-slack.js';
 import { isUsable } from '../machines/free-resources.js';
@@ -12,7 +13,7 @@
 
 /**
  * Upper bound on the time that an array task may wait for a finishing task, as a share of the time until its start
- * deadline. Image fetches and tasks that finish late need the other part.
+ * deadline. The remaining part is for image fetches and tasks that finish late.
  */
 const MAX_WAIT_SHARE = 0.3;
 
@@ -24,7 +25,7 @@
   claimed: boolean;
 }
 
-/** Returns how many of a job's pending tasks need capacity of their own. The others can follow before the deadline. */
+/** Returns how many of a job's pending tasks need capacity of their own. The others can follow there in time. */
 export function tasksNeedingCapacity(state: ClusterState, job: Job, bootS: number, now: Timestamp): number {
   const pending = job.unassignedTasks.size;
   if (job.spec.kind !== 'array') return pending;
@@ -34,7 +35,7 @@
   return Math.ceil(pending / tasksInSequence);
 }
 
-/** Returns the running array tasks that are not being stopped, soonest to finish first. */
+/** Returns the running array tasks on usable machines that are not being stopped, soonest to finish first. */
 export function finishingTasks(state: ClusterState, now: Timestamp): FinishingTask[] {
   const finishing: FinishingTask[] = [];
   for (const machine of state.machines.byName.values()) {
@@ -52,8 +53,8 @@
 }
 
 /**
- * Yields the finishing tasks that the job's tasks can wait for, soonest first. Each serves one task in a round of fleet
- * sizing.
+ * Yields the finishing tasks that the job's tasks can wait for, soonest first. In one round of fleet sizing, each frees
+ * capacity for only one pending task.
  */
 export function* finishingTasksFor(
   state: ClusterState,
--- a/src/core/capacity/demand-forecast.ts
+++ b/src/core/capacity/demand-forecast.ts
@@ -11,13 +11,13 @@
 
 /** A forecast of demand, measured in machines. */
 export interface DemandForecast {
-  /** Work that arrives until a machine requested now has booted. */
+  /** Work expected to arrive until a machine requested now has booted. */
   readonly arriving: number;
-  /** Running work that finishes until then. */
+  /** Running work expected to finish by then. */
   readonly finishing: number;
   /**
-   * The most recently submitted of the jobs that arrived recently, or null. Machines are requested in advance as if for
-   * it.
+   * The most recently submitted of the uncancelled jobs that became ready in the counted periods, or null if there is
+   * none. Machines are requested in advance as if for tasks of this job.
    */
   readonly sampleJob: Job | null;
 }
@@ -28,16 +28,16 @@
 /** Number of past periods in which arrivals are counted. */
 const PERIODS = 12;
 
-/** With fewer periods than this, the arrival rate is taken as 0. */
+/** If fewer periods than this have passed since the earliest arrival, the arrival rate is taken as 0. */
 const MIN_PERIODS = 6;
 
 /** Number of periods with the most arrivals that are left out. */
 const EXCLUDED_PERIODS = 2;
 
 /**
- * Forecasts demand. The arrival rate is derived from the times of submission, because a new leader has these as well.
- * The periods with the most arrivals are left out, because jobs that arrive all at once, as at the start of a day, say
- * nothing about what arrives next.
+ * Forecasts demand. The arrival rate is derived from the times at which jobs became ready: for a job without
+ * dependencies the time of its submission, because a new leader has this as well. The periods with the most arrivals
+ * are left out, because jobs that arrive all at once, as at the start of a day, say nothing about what arrives next.
  */
 export function forecastDemand(state: ClusterState, now: Timestamp): DemandForecast {
   const bootS = longestBootSeconds(state);
--- a/src/core/capacity/draining.ts
+++ b/src/core/capacity/draining.ts
@@ -21,7 +21,7 @@
 /** Seconds. A task whose remaining run time is longer than this makes its machine hard to drain. */
 const LONG_REMAINING_S = 60;
 
-/** How hard a machine is to drain: replicas never finish, long tasks finish late, other tasks finish soon. */
+/** How hard a machine is to drain: service replicas never finish, long tasks finish late, other tasks finish soon. */
 const DRAIN_EFFORT = { replica: 3, longTask: 2, none: 0 } as const;
 
 interface DrainCandidate {
@@ -53,8 +53,8 @@
   candidates.sort(byDrainOrder);
 
   const keepCount = inUse.count + Math.max(reserveSize(inUse.count, state.settings.reserveShare), 1);
-  // Only a lack of capacity is a reason to drain no machine. When every pending reason was one, a single job that was
-  // pending for another reason kept the whole fleet from being drained.
+  // Only a lack of capacity is a reason to drain no machine. When every pending reason counted as such, a single job
+  // that was pending for another reason kept the whole fleet from being drained.
   const capacityLacking = blocked.some(lacksCapacity);
   candidates.forEach(({ machine }, index) => {
     machine.draining = !capacityLacking && index >= keepCount;
@@ -67,8 +67,8 @@
 /**
  * Counts how many whole machines the work in use amounts to, by the resource that is scarcest in the fleet. When this
  * was counted by the scarcest resource of each machine, a machine full of work without GPUs and a machine with all its
- * GPUs in use counted as two, although the work of both fits little more than one. The reserve was then also computed
- * for capacity that was not in use.
+ * GPUs in use counted as two, although the work of both fits on little more than one. The reserve was then also
+ * computed for capacity that was not in use.
  */
 class MachinesInUse {
   private cpus = 0;
@@ -93,7 +93,7 @@
 
 /**
  * Returns the number of machines to keep beyond those in use. The more work there is, the more its fluctuations even
- * out, so that the share that is needed falls with the size of the fleet.
+ * out, so that the share that is needed falls as the fleet grows.
  */
 function reserveSize(inUse: number, reserveShare: number): number {
   if (inUse <= LINEAR_RESERVE_LIMIT) return inUse * reserveShare;
--- a/src/core/capacity/expected-machines.ts
+++ b/src/core/capacity/expected-machines.ts
@@ -8,9 +8,9 @@
 import type { ClusterState } from '../state/cluster-state.js';
 import type { MachineKind } from './machine-kind.js';
 
-/** A machine that exists, is booting, or is to be requested. */
+/** A machine that is usable, is booting, has been requested, or is planned to be requested in this round. */
 export interface ExpectedMachine extends MachineKind {
-  /** Free capacity, minus the tasks that are planned on the machine. */
+  /** Free capacity, plus that of tasks being stopped, minus the tasks that are planned on the machine. */
   readonly free: Resources;
 }
 
--- a/src/core/capacity/fleet-sizing.ts
+++ b/src/core/capacity/fleet-sizing.ts
@@ -21,8 +21,8 @@
 }
 
 /**
- * Returns the jobs of replicas that may have to start elsewhere, with these replicas as unassigned tasks, so that
- * machines are requested before it is certain.
+ * Returns the jobs of service replicas that may have to start elsewhere, with only these replicas as unassigned tasks,
+ * so that machines are requested before the loss of the replicas is certain.
  */
 const displacedJobs = (state: ClusterState, now: Timestamp): Job[] =>
   displacedReplicas(state, now).map(({ job, tasks }) => ({ ...job, unassignedTasks: new Set(tasks) }));
--- a/src/core/capacity/machine-choice.ts
+++ b/src/core/capacity/machine-choice.ts
@@ -49,7 +49,7 @@
     return { ...best.kind, free: copyResources(best.type) };
   }
 
-  /** Returns the requests, each as large as the cloud accepts. */
+  /** Returns the requests, each no larger than the cloud accepts. */
   requests(): ScaleOutRequest[] {
     const requests: ScaleOutRequest[] = [];
     for (const { kind, count } of this.counts.values())
--- a/src/core/capacity/machine-release.ts
+++ b/src/core/capacity/machine-release.ts
@@ -13,8 +13,8 @@
 const MAX_MACHINES_PER_SCALE_IN = 100;
 
 /**
- * Number of worker leases after which an unreachable or unresponsive machine is released: a short partition has ended
- * by then.
+ * Number of worker lease durations after which a machine is released that is unreachable (commands do not reach its
+ * worker) or unresponsive (its worker sends no heartbeats): a short partition has ended by then.
  */
 const MIN_OUTAGE_LEASES = 2n;
 
@@ -28,8 +28,8 @@
 }
 
 /**
- * Returns machines without tasks and assignments that are idle or cannot run tasks, in requests as large as the cloud
- * accepts.
+ * Returns machines without tasks and assignments that are idle or cannot run tasks, in requests no larger than the
+ * cloud accepts. Also updates since when each machine is idle.
  */
 export function machinesToRelease(state: ClusterState, now: Timestamp): MachineRelease[] {
   const namesByReason = new Map<string, string[]>();
--- a/src/core/capacity/scale-in-requests.ts
+++ b/src/core/capacity/scale-in-requests.ts
@@ -1,4 +1,4 @@
-/** @file Scale-in requests to the cloud and their answers. A machine's `releasing` flag is set and cleared here. */
+/** @file Scale-in requests to the cloud and their responses. A machine's `releasing` flag is set and cleared here. */
 import type { Timestamp } from '../model/time.js';
 import { onMachinesReleased } from '../reconciliation/instance-inventory.js';
 import type { ClusterState } from '../state/cluster-state.js';
@@ -10,7 +10,7 @@
   state.effects.push({ kind: 'scale-in', machineNames: names, reason });
 }
 
-/** Handles the answer to a scale-in request. Machines that were not released may be used again. */
+/** Handles the response to a scale-in request, or its absence. Machines that were not released may be used again. */
 export function onScaleInAnswered(
   state: ClusterState,
   names: readonly string[],
--- a/src/core/capacity/scale-out-planning.ts
+++ b/src/core/capacity/scale-out-planning.ts
@@ -20,10 +20,10 @@
 } from './capacity-reuse.js';
 import { usedShare } from './utilization.js';
 
-/** Upper bound on the new machines requested in one round. The answers arrive before the next round. */
+/** Upper bound on the new machines requested in one round. The responses arrive before the next round. */
 const MAX_NEW_MACHINES_PER_ROUND = 400;
 
-/** Returns requests for the machines that the blocked jobs need, in their order, and then the forecast. */
+/** Returns requests for the machines that the blocked jobs need, in the order of the jobs, then for the forecast. */
 export function planScaleOut(
   state: ClusterState,
   blocked: readonly Job[],
--- a/src/core/capacity/scale-out-requests.ts
+++ b/src/core/capacity/scale-out-requests.ts
@@ -1,4 +1,4 @@
-/** @file Scale-out requests to the cloud, their answers, and the kinds of machines that the cloud recently refused. */
+/** @file Scale-out requests to the cloud, their responses, and the machine kinds that the cloud recently refused. */
 import { getOrAddMachine } from '../machines/machine-registry.js';
 import type { ScaleOutRequest } from '../model/scale-out.js';
 import { type Timestamp, seconds } from '../model/time.js';
@@ -16,7 +16,7 @@
   state.effects.push({ kind: 'scale-out', request });
 }
 
-/** Records that a request is sent, under its unique name. */
+/** Adds a request, which is sent next, to the pending ones under its unique name. */
 export function onScaleOutStarted(
   state: ClusterState,
   name: string,
@@ -26,7 +26,7 @@
   state.scaling.pending.set(name, { request, requestedAt: now.monotonic });
 }
 
-/** Handles the answer to a request. `machines` names the new machines; null if the cloud refused. */
+/** Handles the response to a request. `machines` are the names of the new machines, or null if the cloud refused. */
 export function onScaleOutAnswered(
   state: ClusterState,
   name: string,
@@ -41,7 +41,7 @@
     state.scaling.refusedAt.set(machineKindKey(pending.request), now.monotonic);
   for (const machineName of machines ?? []) {
     const machine = getOrAddMachine(state, machineName, now.monotonic);
-    // The worker's heartbeat arrived before the cloud's answer.
+    // The worker's heartbeat arrived before the cloud's response.
     if (machine.agentEpoch > 0) continue;
     machine.type = type;
     machine.zone = zone;
