--- a/src/core/records/atomic-page-groups.ts
+++ b/src/core/records/atomic-page-groups.ts
@@ -7,7 +7,7 @@
 export const isInAtomicGroup = (records: RecordState, page: RecordPage): boolean =>
   records.atomicPageGroups.some((group) => group.includes(page.id));
 
-/** Whether a chunk of the job is in such a page. No task of the job is assigned until the page is written. */
+/** Whether a chunk of the job is in a page of an atomic group. No task of the job is assigned until it is written. */
 export function hasPageInAtomicGroup(records: RecordState, job: Job): boolean {
   if (records.atomicPageGroups.length === 0) return false;
   for (const chunk of job.chunks.values())
--- a/src/core/records/page-size.ts
+++ b/src/core/records/page-size.ts
@@ -23,7 +23,7 @@
 /** Machine names are not known in advance. A machine with a longer name raises the bound. */
 const MIN_NAME_BYTES = 10;
 
-/** Number of compare conditions per operation of a transaction that the jobs starting in one page may use. */
+/** Compare conditions that the jobs starting in one page may use, for each operation that a transaction allows. */
 const JOB_CONDITIONS_PER_OPERATION = 3.5;
 const RESERVED_CONDITIONS = 2;
 
@@ -58,13 +58,13 @@
 /**
  * Upper bound on the number of chunks in a page. A transaction compares the key of each job whose assignments it
  * commits. After an outage or a loss of machines, all jobs of a page may start at once, and a page must be written as a
- * whole. If it held more jobs than a transaction allows conditions, in addition to those on the page, the leader key
- * and a few completed jobs, it could never be written again.
+ * whole. If the conditions on its jobs exceeded what a transaction allows in addition to those on the page, the leader
+ * key and a few completed jobs, the page could never be written again.
  */
 export const maxChunksPerPage = (config: ClusterConfig): number =>
   Math.floor(JOB_CONDITIONS_PER_OPERATION * config.maxTransactionOperations) - RESERVED_CONDITIONS;
 
-/** Returns the sum of the size bounds of a page's entries in bytes, computed again after chunks or results changed. */
+/** Returns the sum of the size bounds of a page's entries in bytes, computed again once chunks are added or removed. */
 export function reservedBytesOf(state: ClusterState, page: RecordPage): number {
   if (page.reservedBytes === null) {
     page.reservedBytes = 0;
--- a/src/core/records/record-pages.ts
+++ b/src/core/records/record-pages.ts
@@ -10,7 +10,10 @@
 import { isInAtomicGroup } from './atomic-page-groups.js';
 import { maxEntryBytes, maxChunksPerPage, pageCapacityBytes, reservedBytesOf } from './page-size.js';
 
-/** Services run for hours and hardly change. In a page shared with arrays they would be rewritten again and again. */
+/**
+ * Returns the pool of pages for a job. Services have their own, because they run for hours and hardly change: in a page
+ * shared with arrays they would be rewritten again and again.
+ */
 export const poolOf = (job: Job): PagePool => (job.spec.kind === 'service' ? 'service' : 'batch');
 
 /** Adds a page without chunks to the table and returns it. */
