--- a/src/core/persistence/cancellations.ts
+++ b/src/core/persistence/cancellations.ts
@@ -1,7 +1,7 @@
 /**
  * @file Transactions that record cancellations through a dependency. They are separate from all other transactions,
- * because a user may cancel one of the jobs at the same time, and a rejected transaction would then reject the
- * assignments of other jobs too.
+ * because a user may cancel one of the jobs at the same time. The transaction is then rejected, and would reject any
+ * assignments of other jobs in it too.
  */
 import { seconds, type MonotonicTime } from '../model/time.js';
 import type { ClusterState } from '../state/cluster-state.js';
@@ -11,7 +11,7 @@
 /** How often cancelled dependents are recorded, regardless of how many other changes wait for a commit. */
 const CANCELLATION_INTERVAL = seconds(5);
 
-/** Whether cancellations must be committed before everything else. */
+/** Whether cancellations, if there are any, must be committed before all other changes except atomic page groups. */
 export const isCancellationOverdue = (records: RecordState, now: MonotonicTime): boolean =>
   now - records.cancellationsBuiltAt >= CANCELLATION_INTERVAL;
 
--- a/src/core/persistence/finished-jobs.ts
+++ b/src/core/persistence/finished-jobs.ts
@@ -1,4 +1,4 @@
-/** @file Finished jobs: how they leave the queues and when they are evicted from memory. */
+/** @file Finished jobs: how they leave the queues and when they are removed from memory. */
 import { onJobFinished } from '../jobs/dependencies.js';
 import type { Job, JobStatus } from '../model/job.js';
 import { seconds, type MonotonicTime, type Timestamp } from '../model/time.js';
@@ -17,8 +17,9 @@
 }
 
 /**
- * Evicts jobs that finished some time ago and have no assignments left. If a worker still reports tasks of such a job,
- * they are handled as for any job that is not open: running tasks are stopped, and results are forgotten.
+ * Removes from memory the jobs that finished at least `FINISHED_JOB_RETENTION` ago and have neither assignments nor an
+ * unrecorded cancellation. If a worker still reports tasks of such a job, they are handled as for any job that is not
+ * open: running tasks are stopped, and results are forgotten.
  */
 export function evictFinishedJobs(state: ClusterState, now: MonotonicTime): void {
   for (const [id, finishedAt] of state.jobs.finished) {
--- a/src/core/persistence/recovery.ts
+++ b/src/core/persistence/recovery.ts
@@ -1,6 +1,6 @@
 /**
- * @file Restores pages of records at the beginning of a term. The tasks of their assignments may be running until the
- * opposite is proven, no matter which leader sent the start commands.
+ * @file Restores pages of records at the beginning of a term. The tasks of their assignments are assumed to be running
+ * until it is proven that they are not, no matter which leader sent the start commands.
  */
 import { restoreAssignment, stopAllAssignments } from '../assignments/assignments.js';
 import { requestCompletionIfAllDone } from '../assignments/job-completion.js';
@@ -11,7 +11,7 @@
 import { addPage, poolOf, addToPage } from '../records/record-pages.js';
 import type { ClusterState } from '../state/cluster-state.js';
 
-/** Restores a page. All jobs are loaded before any page. */
+/** Restores a page. The caller must have loaded all jobs. */
 export function onPageLoaded(
   state: ClusterState,
   id: number,
--- a/src/core/persistence/transaction-builder.ts
+++ b/src/core/persistence/transaction-builder.ts
@@ -36,7 +36,7 @@
   }
   const draft = newDraft(state);
   // A job must not be committed as done before its results are committed. Jobs whose results are already committed come
-  // first: placed after the pages, they would wait as long as pages keep changing.
+  // first, with up to half of the operations: placed after the pages, they would wait as long as pages keep changing.
   addCompletedJobs(state, draft, draft.maxOperations / 2);
   addPages(state, draft, pagesToCommit(state, now));
   addCompletedJobs(state, draft, draft.maxOperations);
@@ -79,7 +79,7 @@
   };
 }
 
-/** Returns the urgent pages, then the pages that have been dirty for the batching delay, oldest first. */
+/** Returns the urgent pages, then those that have been dirty for the batching delay, in the order of `dirtyPages`. */
 function pagesToCommit(state: ClusterState, now: MonotonicTime): number[] {
   const { urgentPages, dirtyPages } = state.records;
   const pageIds = [...urgentPages];
@@ -90,9 +90,9 @@
 }
 
 /**
- * Returns how long ended assignments are delayed so that they are committed together: no task or user waits for them,
- * and each write of a page costs an operation. If more pages change than fit into one transaction, the delay is longer,
- * so that urgent changes do not queue behind them.
+ * Returns how long changes that are not urgent, such as ended assignments, are delayed so that they are committed
+ * together: no task or user waits for them, and each write of a page costs an operation. If more pages change than fit
+ * into one transaction, the delay is longer, so that urgent changes do not queue behind them.
  */
 function batchingDelay(state: ClusterState): Duration {
   const transactions = Math.ceil(state.records.dirtyPages.size / state.config.maxTransactionOperations);
