--- a/packages/zone-recovery/src/zone-health.ts
+++ b/packages/zone-recovery/src/zone-health.ts
@@ -14,7 +14,7 @@
   readonly phase: ZonePhase;
   /** Start of this phase. */
   readonly since: MonotonicTime;
-  /** Number of times the zone was lost, reduced again while it is healthy. */
+  /** Number of times the zone was lost. Decreases while the zone is healthy. */
   readonly losses: number;
   /** Time of the last change of `losses`. */
   readonly lossesChangedAt: MonotonicTime;
@@ -32,7 +32,7 @@
   readonly otherZonesResponsive: boolean;
   /** The state store has recently confirmed the leader. */
   readonly leadershipConfirmed: boolean;
-  /** Service replicas that are wanted and not running. */
+  /** Number of service replicas that should run but do not. */
   readonly replicasMissing: number;
   /** Duration of the slowest task start in progress, with its image fetch. */
   readonly slowestStart: Duration;
@@ -63,7 +63,10 @@
 export const MAX_HOLD_DOWN: Duration = 120n * SECOND;
 /** Upper bound on the doublings of the hold-down, one per further loss. More would make no difference. */
 const MAX_DOUBLINGS = 16;
-/** A healthy zone drops one loss this many worker leases after the last change of the count, at least `MIN_DECAY`. */
+/**
+ * The loss count of a healthy zone decreases by one after this many worker leases without a change of the count, but not
+ * before `MIN_DECAY` has passed.
+ */
 const DECAY_LEASES = 12n;
 const MIN_DECAY: Duration = 120n * SECOND;
 
@@ -132,8 +135,9 @@
 }
 
 /**
- * Starts the next step of a return as soon as the task starts of the current step should be finished and no service
- * replica is missing, or else after two worker leases.
+ * Starts the next step of a return, or ends the return if all responsive machines are admitted. Does so as soon as no
+ * service replica is missing and the task starts of the current step should be finished, or else after two worker
+ * leases.
  */
 function continueReturn(
   health: ZoneHealth,
--- a/packages/zone-recovery/src/zone-record.ts
+++ b/packages/zone-recovery/src/zone-record.ts
@@ -51,7 +51,7 @@
   return { version: 1, zones: encoded };
 }
 
-/** Decodes the record that an earlier leader stored. Returns null if it is malformed. */
+/** Decodes the record that a previous leader stored. Returns null if it is malformed. */
 export function decodeZones(value: unknown, now: Timestamp): Map<string, ZoneHealth> | null {
   const record = recordSchema.safeParse(value);
   if (!record.success) return null;
--- a/packages/zone-recovery/src/zone-recovery.ts
+++ b/packages/zone-recovery/src/zone-recovery.ts
@@ -40,7 +40,7 @@
   private zones = new Map<string, ZoneHealth>();
   /** Names of the machines that accept ordinary tasks, by returning zone. */
   private readonly admittedMachines = new Map<string, ReadonlySet<string>>();
-  /** The last state that was to be stored or was restored, as JSON for comparison. */
+  /** The zone state that was last marked as unsaved or was restored, as JSON for comparison. */
   private recordedState = '[]';
   private hasUnsavedRecord = false;
   private lastObservedAt: Timestamp | null = null;
@@ -116,7 +116,7 @@
   }
 
   private updateRecord(now: Timestamp): void {
-    // Compared without times, because each conversion to wall time yields slightly different values.
+    // States are compared without their times, because each conversion to wall time yields slightly different values.
     const state = JSON.stringify(
       encodeZones(this.zones, now).zones.map(({ zone, phase, losses, admitted }) => [
         zone,
--- a/packages/zone-recovery/test/history-checker.ts
+++ b/packages/zone-recovery/test/history-checker.ts
@@ -7,7 +7,7 @@
   readonly duplicates: readonly string[];
   /** Service replicas that were stopped by a command. */
   readonly evicted: readonly string[];
-  /** Seconds from the end of each lost replica to its next start, in ascending order. Infinity if it never started again. */
+  /** Seconds from each end of a service replica to its next start, ascending. Infinity if it never started again. */
   readonly replacedAfter: readonly number[];
   readonly finished: number;
   readonly maxFetchesPerSecond: number;
--- a/packages/zone-recovery/test/loopback.test.ts
+++ b/packages/zone-recovery/test/loopback.test.ts
@@ -1,4 +1,8 @@
-/** @file Zone loss and return, with three controllers and three zones of workers on loopback. */
+/**
+ * @file Zone loss and return, with three controllers, three zones of stand-in workers, a state store and a cloud on
+ * loopback. Durations are a tenth of those of an ordinary deployment: 30 s become 3 s. The worker lease is 4 s, because a
+ * shorter one would expire before another controller can become leader.
+ */
 import assert from 'node:assert/strict';
 import { after, before, test } from 'node:test';
 import type { Subscription } from 'rxjs';
@@ -16,11 +20,6 @@
 import { StateStoreStandIn, type StoreEndpoint } from '../../../test/standins/state-store.js';
 import { TaskHistory, WorkerStandIn } from '../../../test/standins/worker.js';
 
-/**
- * Three controllers, three zones of stand-in workers, a state store and a cloud on loopback. A zone is lost and returns.
- * Durations are a tenth of those of an ordinary deployment: 30 s become 3 s. The lease is 4 s, because a shorter one would
- * expire before another controller can become leader.
- */
 const ZONES = ['east', 'north', 'west'];
 const WORKERS_PER_ZONE = 4;
 const LEASE_S = 4;
@@ -123,7 +122,7 @@
   }
 }
 
-/** Returns the zone with the most replicas, whose partition affects most of them. */
+/** Returns the zone with the most service replicas, so that its partition affects most of them. */
 function busiestZone(): string {
   const count = (zone: string): number =>
     [...replicas().values()].filter((name) => workers.find((worker) => worker.name === name)?.zone === zone)
@@ -131,7 +130,10 @@
   return [...ZONES].sort((a, b) => count(b) - count(a))[0] ?? '';
 }
 
-/** Partitions a zone for longer than a lease. Returns the replicas in other zones, which must keep running. */
+/**
+ * Partitions a zone for longer than a worker lease, and checks that its service replicas are replaced in time. Returns
+ * the service replicas that ran in other zones, which must keep running there.
+ */
 async function loseZone(zone: string): Promise<Map<string, string>> {
   const elsewhere = new Map(
     [...replicas()].filter(([, name]) => workers.find((worker) => worker.name === name)?.zone !== zone),
@@ -141,7 +143,10 @@
   const startedAt = process.hrtime.bigint();
   await waitForReplicas('outside the lost zone', REPLACED_WITHIN_MS + 4000);
   const tookMs = Number(process.hrtime.bigint() - startedAt) / 1e6;
-  assert.ok(tookMs <= REPLACED_WITHIN_MS, `replaced ${tookMs} ms after the leases`);
+  assert.ok(
+    tookMs <= REPLACED_WITHIN_MS,
+    `service replicas replaced only ${tookMs} ms after the worker leases expired`,
+  );
   return elsewhere;
 }
 
--- a/packages/zone-recovery/test/scenario.ts
+++ b/packages/zone-recovery/test/scenario.ts
@@ -39,7 +39,7 @@
 /** The simulation after a scenario, and what was measured besides its history. */
 export interface ScenarioResult {
   readonly simulation: ZoneSimulation;
-  /** Lowest share of replicas running in any second after the first minute. */
+  /** Lowest share of the service replicas that ran in any second after the first minute. */
   readonly lowestShare: number;
   /** Start of the first partition in seconds. */
   readonly partitionedAt: number;
--- a/packages/zone-recovery/test/zone-health.test.ts
+++ b/packages/zone-recovery/test/zone-health.test.ts
@@ -18,7 +18,10 @@
 } from '../src/index.js';
 import { timeAt } from '../../../test/fixtures/clock.js';
 
-/** Runs over sequences of losses, partial returns, flaps and failovers. The seed is fixed, so every run checks the same. */
+/**
+ * Parameters of the property tests, which generate sequences of losses, partial returns, flaps and failovers. The seed is
+ * fixed, so every run checks the same sequences.
+ */
 const RUNS = { seed: 20300101, numRuns: Number(process.env['ZONE_RUNS'] ?? 300) };
 const TIMING = { workerLease: seconds(24), heartbeatInterval: seconds(4) };
 const MACHINES = 40;
--- a/packages/zone-recovery/test/zone-return.test.ts
+++ b/packages/zone-recovery/test/zone-return.test.ts
@@ -12,7 +12,7 @@
 } from './scenario.js';
 import type { HistoryEntry } from './zone-simulation.js';
 
-/** The operators' requirement: upper bound in seconds from the end of a replica's worker lease to its next start. */
+/** The operators' requirement: upper bound in seconds from the end of a service replica's lease to its next start. */
 const REPLACED_WITHIN_S = 30;
 
 function check(result: ScenarioResult, findings: Findings): void {
--- a/packages/zone-recovery/test/zone-simulation.ts
+++ b/packages/zone-recovery/test/zone-simulation.ts
@@ -58,7 +58,7 @@
   sequence = 0;
   fencingToken = 0;
   reachable = true;
-  /** Time of the last heartbeat that was answered. */
+  /** Simulated time of the last answered heartbeat, in seconds. */
   lastRenewedAt: number;
   tasks: SimulatedTask[] = [];
   readonly images = new Set<string>();
@@ -66,7 +66,7 @@
   constructor(
     readonly name: string,
     readonly zone: string,
-    /** End of the boot. The machine runs from this time on. */
+    /** End of the boot, in simulated seconds. The machine runs from this time on. */
     readonly bootedAt: number,
   ) {
     this.lastRenewedAt = bootedAt;
