--- a/test/standins/cluster.ts
+++ b/test/standins/cluster.ts
@@ -120,8 +120,8 @@
 }
 
 /**
- * A fault of scale-out requests; the response is a 504 in both cases. `lost`: executed at once. `late`: executed only
- * after `LATE_SCALE_OUT_MS`.
+ * A fault of scale-out requests, which are answered with 504 in both cases. With `lost`, the request is executed at once;
+ * with `late`, only after `LATE_SCALE_OUT_MS`.
  */
 export type ScaleOutFault = 'lost' | 'late';
 
@@ -237,4 +237,7 @@
 
 /** Waits until a controller's health check succeeds. */
 export const waitUntilHealthy = (api: string): Promise<true> =>
-  waitUntil('healthy', async () => (await call(api, 'GET', '/healthz').catch(() => null))?.status === 200);
+  waitUntil(
+    'the health check succeeds',
+    async () => (await call(api, 'GET', '/healthz').catch(() => null))?.status === 200,
+  );
--- a/test/standins/production-version.ts
+++ b/test/standins/production-version.ts
@@ -1,15 +1,15 @@
-/** @file The record codec of the version in production. */
+/**
+ * @file The record codec of the version in production: copies of the formats that the version named as `production` in
+ * `deploy/service.toml` writes to the state store and accepts from it. They must not change while that version may run
+ * beside newer ones, because tests let each version read the other's records. That version does not support dependencies,
+ * and drops fields that it does not define.
+ */
 import * as z from 'zod';
 import type { JobRecord } from '../../src/core/model/job.js';
 import type { PageEntry } from '../../src/core/model/records.js';
 import { seconds, toSeconds } from '../../src/core/model/time.js';
 import type { RecordCodec } from './simulated-fleet.js';
 
-/**
- * Copies of the formats that the version named as `production` in `deploy/service.toml` writes to the state store and
- * accepts from it. They must not change while that version may run beside newer ones: tests let each version read the
- * other's records. That version does not support dependencies, and drops fields that it does not define.
- */
 const jobRecordSchema = z.object({
   st: z.enum(['open', 'cancelled', 'done']),
   at: z.string(),
--- a/test/standins/recorder.ts
+++ b/test/standins/recorder.ts
@@ -8,7 +8,7 @@
   readonly body: Buffer;
 }
 
-/** Starts a server on loopback that records each request's bytes. A request is never answered if its reply is null. */
+/** Starts a server on loopback that records the bytes of each request. Answers none for which `reply` returns null. */
 export async function startRecorder(
   reply: (line: string) => { status: number; body: unknown } | null,
 ): Promise<{ address: string; requests: RecordedRequest[]; close: () => void }> {
--- a/test/standins/simulated-fleet.ts
+++ b/test/standins/simulated-fleet.ts
@@ -12,7 +12,7 @@
 import { DEFAULT_SETTINGS } from '../../src/edge/config/operator-settings.js';
 import { CLUSTER_CONFIG, jobSpec } from '../fixtures/cluster-config.js';
 
-/** How often each machine sends a heartbeat. */
+/** Seconds between two heartbeats of a machine. */
 const HEARTBEAT_INTERVAL_S = 4;
 
 const LARGE_MACHINE: MachineType = {
@@ -201,7 +201,7 @@
     }
   }
 
-  /** Stores the final status of a job, whose record the leader writes from its memory. */
+  /** Stores the final status of a job. Like the leader, it writes the record from the scheduler's memory. */
   private finishJob(id: string, status: 'done' | 'cancelled', modRevision: number): void {
     const job = this.scheduler.state.jobs.byId.get(id);
     if (job === undefined) return;
--- a/test/standins/state-store.ts
+++ b/test/standins/state-store.ts
@@ -22,9 +22,9 @@
 }
 
 /**
- * A fault of transactions. `lost`: committed at once, but answered with 504. `late`: answered with 504, and committed
- * after `LATE_COMMIT_MS`. `late-response`: committed at once, but answered only after `lateResponseMs`. `slow`:
- * committed and answered only after `slowCommitMs`.
+ * A fault of a transaction. With `lost`, it is committed at once, but answered with 504. With `late`, it is answered with
+ * 504, and committed after `LATE_COMMIT_MS`. With `late-response`, it is committed at once, but answered only after
+ * `lateResponseMs`. With `slow`, it is committed and answered only after `slowCommitMs`.
  */
 export type TransactionFault = 'lost' | 'late' | 'late-response' | 'slow';
 
@@ -53,9 +53,9 @@
   lateResponseMs = 1400;
   /** If true, watches return no changes, as on a connection that hangs. */
   watchesHang = false;
-  /** How many requests of all kinds were received. */
+  /** Number of requests of all kinds that were received. */
   requestCount = 0;
-  /** How many lease renewals were received. */
+  /** Number of lease renewals that were received. */
   renewalCount = 0;
   /** If true, lease renewals are executed but never answered. */
   renewalsHang = false;
--- a/test/standins/worker.ts
+++ b/test/standins/worker.ts
@@ -21,7 +21,7 @@
 export class TaskHistory {
   /** The machine of each running task. */
   readonly running = new Map<string, string>();
-  /** One line for each task that started while it ran on another machine or on the same; must stay empty. */
+  /** One line for each start of a task that was already running, on the same or another machine. Must stay empty. */
   readonly conflicts: string[] = [];
   /** Tasks that were running when a command stopped them. */
   readonly stopped: string[] = [];
@@ -44,7 +44,7 @@
   address = '';
   /** The highest fencing token that it has received. */
   fencingToken = 0;
-  /** The length of its lease, at whose end all tasks end and the next agent epoch begins; null for no lease. */
+  /** Duration of its worker lease, or null for none. When it expires, all tasks end and the next agent epoch begins. */
   leaseMs: number | null = null;
   /** If true, its heartbeats arrive, but responses and commands to it are lost. */
   inboundLost = false;
@@ -69,7 +69,7 @@
     readonly zone: string,
     private readonly controllers: readonly string[],
     private readonly history: TaskHistory,
-    /** Returns how long a task runs, or null if it runs until it is stopped. */
+    /** Returns how long a task runs in milliseconds, or null if it runs until it is stopped. */
     private readonly taskDurationMs: (task: string) => number | null,
   ) {}
 
@@ -87,7 +87,7 @@
     this.closeServer();
   }
 
-  /** How many tasks have not ended. */
+  /** Number of tasks that have not ended. */
   get runningTasks(): number {
     return [...this.tasks.values()].filter((task) => task.standing !== 'exited').length;
   }
