--- a/test/trace-runner.ts
+++ b/test/trace-runner.ts
@@ -1,7 +1,7 @@
 /**
  * @file Runs a trace against the scheduler's core: one line per event, `>` lines for the effects that must follow, `=`
- * lines for the state that must hold. Each effect must be expected by exactly one line; the language is described in
- * `test/traces/README.md`.
+ * lines for the state that must hold. Each effect that has a notation must be expected by exactly one line. The language
+ * is described in `test/traces/README.md`.
  */
 import assert from 'node:assert/strict';
 import type { ClusterScheduler } from '../src/core/cluster-scheduler.js';
