--- a/deploy/stand-ins.mjs
+++ b/deploy/stand-ins.mjs
@@ -39,7 +39,7 @@
   });
 }
 
-/** Sends one request. Returns the response, or null if there was none. */
+/** Sends one request. Returns the response, or null if there was none or its body could not be read. */
 export function sendRequest(address, method, path, body, agent = false) {
   return new Promise((resolve) => {
     const [host, port] = address.split(':');
--- a/eslint.config.mjs
+++ b/eslint.config.mjs
@@ -9,14 +9,14 @@
 /* ---- Settings that change with the sources ---- */
 
 /**
- * The folders to which the strict rules apply (sizes, names of one letter, typed errors, file comments). Tests and tools
- * are exempt, because a scenario is read from top to bottom and may be long.
+ * The folders to which the strict rules apply (sizes, complexity, names of one letter, typed errors, file comments).
+ * Tests and tools are exempt, because a scenario is read from top to bottom and may be long.
  */
 const STRICT_FOLDERS = ['src', 'packages/*/src'];
 
 /**
  * The layers of the sources: a folder or file may import itself and the entries of earlier rows of its list. Entries of
- * one row may not import each other. An entry that is in no row may import nothing.
+ * one row may not import each other. An entry that is in no row may import only itself.
  */
 const LAYERS = {
   'src/core': [
--- a/lint-rules/short-names.mjs
+++ b/lint-rules/short-names.mjs
@@ -16,8 +16,8 @@
 }
 
 /**
- * Reports each parameter and variable of one letter whose function, block or loop spans more than `maxLines` lines.
- * `_` is always allowed, because it marks an unused value.
+ * Reports each parameter, variable and caught error of one letter whose scope (module, function, block or loop) spans
+ * more than `maxLines` lines. `_` is always allowed, because it marks an unused value.
  *
  * @type {import('eslint').Rule.RuleModule}
  */
--- a/measure/cost.ts
+++ b/measure/cost.ts
@@ -1,10 +1,11 @@
-/** @file Cost of events in the scheduler, by the number of machines and tasks. */
-import { SimulatedFleet } from '../test/standins/simulated-fleet.js';
-
 /**
- * Measures what events cost the scheduler with increasing numbers of machines and tasks. Run by hand: `npm run cost`.
- * Absolute times depend on the machine, so compare the ratio of each column to the smallest size, and the counts.
+ * @file Measures what events cost the scheduler with increasing numbers of machines and tasks. Run by hand:
+ * `npm run cost`. Absolute times depend on the machine, so compare the ratio of each column to the smallest size, and the
+ * counts.
  */
+import { SimulatedFleet } from '../test/standins/simulated-fleet.js';
+
+/** Returns the mean duration of `run` in microseconds. */
 const averageMicros = (iterations: number, run: (k: number) => void): number => {
   const startedAt = process.hrtime.bigint();
   for (let k = 0; k < iterations; k++) run(k);
--- a/measure/load.ts
+++ b/measure/load.ts
@@ -102,7 +102,7 @@
 
 /** Seconds for which the new leader is observed. */
 const TAKEOVER_S = 20;
-/** The startup profile is logged 20 s after the term starts, which may be some seconds after the old leader's exit. */
+/** The startup profile is logged 20 s after the term starts, possibly some seconds after the previous leader's exit. */
 const STARTUP_PROFILE_TIMEOUT_MS = 10_000;
 
 const folder = mkdtempSync(join(tmpdir(), 'load-'));
--- a/measure/memory.ts
+++ b/measure/memory.ts
@@ -55,7 +55,7 @@
   previousUsage = usage;
 }
 
-/** A replica without a state store. */
+/** A replica of the state store that is filled without one. */
 class ReplicaStandIn {
   readonly replica = new Map<string, ReplicaEntry>();
   readonly changes = new Subject<KeyChange>();
--- a/measure/startup.ts
+++ b/measure/startup.ts
@@ -1,14 +1,14 @@
-/** @file Processor time of each step of the startup. */
+/**
+ * @file Measures each step of the startup by the processor time of a process that exits after it. Run by hand after a
+ * build: `npm run startup`.
+ */
 import { spawnSync } from 'node:child_process';
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { reserveAddress, platformSettings } from '../test/standins/cluster.js';
 
-/**
- * Measures each step of the startup by the processor time of a process that exits after it. Run by hand after a build:
- * `npm run startup`. The result is the median of several runs.
- */
+/** Number of runs of each step, of which the median is printed. */
 const RUNS = 9;
 
 const folder = mkdtempSync(join(tmpdir(), 'startup-'));
