--- a/src/edge/http/http-server.ts
+++ b/src/edge/http/http-server.ts
@@ -37,7 +37,7 @@
       if (listener.reopen())
         logger.info({ openConnections: connections.open }, 'connection backlog stale, listener reopened');
     }, coreShare);
-    const server = new Subscription();
+    const subscriptions = new Subscription();
     const readerOptions: HeartbeatReaderOptions = {
       maxBodyBytes: MAX_BODY_BYTES,
       queue,
@@ -46,12 +46,12 @@
       rotatesConnections: () => connections.rotatesWorkerConnections(),
     };
     const listener = new Listener(parseHostAndPort(address), (socket) =>
-      acceptConnection(socket, connections, readerOptions, server),
+      acceptConnection(socket, connections, readerOptions, subscriptions),
     );
-    server.add(listener.open().subscribe(subscriber));
-    server.add(() => queue.stop());
-    server.add(() => userServer.closeAllConnections());
-    return server;
+    subscriptions.add(listener.open().subscribe(subscriber));
+    subscriptions.add(() => queue.stop());
+    subscriptions.add(() => userServer.closeAllConnections());
+    return subscriptions;
   });
 }
 
@@ -71,7 +71,7 @@
   socket: Socket,
   connections: InboundConnections,
   readerOptions: HeartbeatReaderOptions,
-  server: Subscription,
+  subscriptions: Subscription,
 ): void {
   if (!connections.admit()) {
     socket.destroy();
@@ -82,9 +82,9 @@
   socket.once('close', () => {
     connections.release();
     connection.unsubscribe();
-    server.remove(connection);
+    subscriptions.remove(connection);
   });
-  server.add(connection);
+  subscriptions.add(connection);
 }
 
 function handOver(socket: Socket, userServer: Server, connections: InboundConnections): void {
