--- a/src/edge/http/heartbeat-queue.ts
+++ b/src/edge/http/heartbeat-queue.ts
@@ -75,9 +75,9 @@
   private runBatch(): void {
     this.nextBatch = null;
     const startedAt = this.clock();
-    for (const [entry, pushedBeforeBatch] of this.waiting) {
+    for (const [entry, batchesCompletedAtPush] of this.waiting) {
       // Heartbeats pushed since the last batch wait for the next one: by then a closed connection has been detected.
-      if (pushedBeforeBatch === this.completedBatches) break;
+      if (batchesCompletedAtPush === this.completedBatches) break;
       this.waiting.delete(entry);
       entry();
       if (this.clock() - startedAt >= this.maxBatchNs) break;
