--- a/src/edge/http/health.ts
+++ b/src/edge/http/health.ts
@@ -6,7 +6,7 @@
 /** A controller whose replica is older than this is unhealthy, regardless of the other controllers. */
 const MAX_REPLICA_AGE_MS = 15_000;
 /**
- * Limit while another controller has a current replica: then only this controller is cut off, and users are better
+ * Limit while the state store serves another controller: then only this controller is cut off, and users are better
  * served by the other one.
  */
 const MAX_REPLICA_AGE_WITH_PEERS_MS = 3000;
@@ -33,8 +33,8 @@
  * Returns whether the load balancer should send users to this controller. Only the leader answers workers and assigns
  * tasks. If all other controllers can serve users, and there are enough of them, the leader leaves users to them from
  * the start instead of only once it is overloaded. A controller is also unhealthy if only its own replica is old,
- * because it is then of no use to users. If no other controller can serve users, reporting unhealthy would only keep
- * users out for longer.
+ * because it is then of no use to users. If no other controller can serve users, a ready controller is unhealthy only
+ * once its replica is `MAX_REPLICA_AGE_MS` old, because reporting unhealthy would only keep users out for longer.
  */
 export function isHealthy(inputs: HealthInputs): boolean {
   if (!inputs.ready) return false;
--- a/src/edge/http/heartbeat-endpoint.ts
+++ b/src/edge/http/heartbeat-endpoint.ts
@@ -10,11 +10,11 @@
 import { errorMessage } from '../runtime/supervised-task.js';
 import type { HeartbeatResponse } from './heartbeat-response.js';
 
-/** The dependencies of the endpoint: the log and the state of the leadership. */
+/** The dependencies of the endpoint: the log, the state of the leadership and the processing of heartbeats. */
 export interface HeartbeatEndpointDependencies {
   readonly logger: Logger;
   readonly isLeader: () => boolean;
-  /** Processes a heartbeat. Returns null if this controller is not the leader or may not answer. */
+  /** Processes a heartbeat. Returns null if this controller is not the leader or may no longer answer. */
   readonly onHeartbeat: (heartbeat: Heartbeat) => HeartbeatAnswer | null;
   /** Returns the label of another controller that is the leader, or null if none is known. */
   readonly leaderLabel: () => string | null;
--- a/src/edge/http/heartbeat-head.ts
+++ b/src/edge/http/heartbeat-head.ts
@@ -8,7 +8,8 @@
 const REQUEST_LINE = `POST ${API_PATHS.heartbeat} HTTP/1.1\r\n`;
 const HEAD_END = Buffer.from('\r\n\r\n');
 /**
- * No worker sends a longer head. A request with a longer one is left to the general server, which has its own limit.
+ * No worker sends a longer head. A request whose head is still incomplete after more bytes than this is left to the
+ * general server, which has its own limit.
  */
 export const MAX_HEAD_BYTES = 8 * 1024;
 
--- a/src/edge/http/heartbeat-queue.ts
+++ b/src/edge/http/heartbeat-queue.ts
@@ -4,7 +4,10 @@
  */
 import { monotonicNow } from '../runtime/clock.js';
 
-/** After this time a batch of responses ends and returns to the event loop, if the controller has a whole core. */
+/**
+ * A batch of responses ends once it has taken this long (10 ms), so that the event loop continues. With less than a
+ * whole core the time is proportionally shorter.
+ */
 const MAX_BATCH_NS = 10_000_000;
 /**
  * If this many consecutive new connections are closed by their workers before it is their turn, the kernel's backlog is
--- a/src/edge/http/heartbeat-reader.ts
+++ b/src/edge/http/heartbeat-reader.ts
@@ -11,7 +11,10 @@
 import type { HeartbeatQueue } from './heartbeat-queue.js';
 import { encodeResponse, type HeartbeatResponse } from './heartbeat-response.js';
 
-/** A request must be complete within this time after its first bytes. The check runs at the same interval. */
+/**
+ * A request must be complete within this time after its first bytes. The check runs at the same interval, so a
+ * connection may be closed up to twice this time after the first bytes.
+ */
 const REQUEST_TIMEOUT_MS = 15_000;
 const REQUEST_TIMEOUT_NS = BigInt(REQUEST_TIMEOUT_MS) * 1_000_000n;
 const IDLE_TIMEOUT_MS = 120_000;
--- a/src/edge/http/http-server.ts
+++ b/src/edge/http/http-server.ts
@@ -66,7 +66,7 @@
   return server;
 }
 
-/** Reads a connection until it is closed, or `server` is unsubscribed from. */
+/** Reads a connection until it is closed, or `subscriptions` is unsubscribed from. */
 function acceptConnection(
   socket: Socket,
   connections: InboundConnections,
--- a/src/edge/http/inbound-connections.ts
+++ b/src/edge/http/inbound-connections.ts
@@ -1,13 +1,13 @@
 /**
- * @file Counts inbound connections and decides which ones are rotated or refused when there are more than the settings
- * allow. It does not open or close connections itself.
+ * @file Counts inbound connections and decides which ones are rotated or refused as their number approaches what the
+ * settings allow. It does not open or close connections itself.
  */
 import type { Socket } from 'node:net';
 import type { ConnectionLimits } from '../config/connection-limits.js';
 import { monotonicNow } from '../runtime/clock.js';
 import type { Logger } from '../runtime/logger.js';
 
-/** How long worker connections are rotated after the limit was last exceeded. */
+/** How long worker connections are rotated after `rotateWorkersAbove` was last exceeded. */
 const WORKER_ROTATION_NS = 60_000_000_000n;
 
 /**
@@ -16,7 +16,7 @@
  */
 export class InboundConnections {
   private count = 0;
-  /** The last time when there were too many connections to keep worker connections open; null if there never were. */
+  /** The last time when there were more than `rotateWorkersAbove` connections, or null if there never were. */
   private overLimitAt: bigint | null = null;
   /** User connections that were opened above the limit. */
   private readonly overUserLimit = new WeakSet<Socket>();
@@ -31,7 +31,7 @@
     return this.count;
   }
 
-  /** Counts a new connection. Returns false if there is no socket for it. */
+  /** Counts a new connection. Returns false, and does not count it, if there is no socket for it. */
   admit(): boolean {
     if (this.count >= this.limits.inbound) return false;
     this.count += 1;
@@ -63,7 +63,7 @@
 
   /**
    * Returns true if worker connections are closed after each response, so that more workers than there are sockets can
-   * be served one after the other. Rotation continues for a while after the limit was last exceeded. If it stopped at
+   * be served one after the other. Rotation continues for 60 s after the limit was last exceeded. If it stopped at
    * once, connections would fill up to the limit again, and each scheduling cycle, during which no connection is
    * accepted, would then leave a burst of workers without a socket.
    */
--- a/src/edge/http/listener.ts
+++ b/src/edge/http/listener.ts
@@ -13,9 +13,9 @@
 /**
  * Accepts connections. Waiting connections are in the kernel's backlog, a first-in, first-out queue from which Node.js
  * accepts one in each iteration of the event loop. Once the wait exceeds the clients' timeout, every accepted
- * connection has already been given up by its client, and this does not recover, because the client connects again at
- * the end of the backlog. Reopening the socket resets all waiting connections, whose clients then connect again to a
- * short backlog. Accepted connections are not affected.
+ * connection has already been given up by its client, and this state persists, because the client connects again at the
+ * end of the backlog. Reopening the socket resets all waiting connections, whose clients then connect again to a short
+ * backlog. Accepted connections are not affected.
  */
 export class Listener {
   private server: Server | null = null;
--- a/src/edge/http/request-admission.ts
+++ b/src/edge/http/request-admission.ts
@@ -1,6 +1,6 @@
 /**
- * @file Decides which user requests are served: none while the state store is unreachable, and only a limited number at
- * once, because each one waits for the state store and holds memory in the meantime.
+ * @file Decides which of the user requests that need the state store are served: none while it is unreachable, and only
+ * a limited number at once, because each one waits for the state store and holds memory in the meantime.
  */
 import { millisecondsSince } from '../runtime/clock.js';
 import type { StateStore } from '../state-store/state-store.js';
--- a/src/edge/http/request-handler.ts
+++ b/src/edge/http/request-handler.ts
@@ -1,7 +1,7 @@
 /**
  * @file Handles user requests on any controller, leader or not: submissions, cancellations and status queries. It
- * connects the modules for these and owns what they share. Everything is read from the replica and written by
- * compare-and-swap.
+ * connects the modules for these and owns the objects that they share. Jobs are read from the replica, or from the
+ * state store if the replica does not contain a dependency, and written by compare-and-swap.
  */
 import type { JobSpec } from '../../core/model/job.js';
 import type { MachineType } from '../../core/model/machine.js';
@@ -58,7 +58,7 @@
     return this.queries.status(id);
   }
 
-  /** Accepts or refuses a job. If the body of the request could not be read, `spec` is the reason. */
+  /** Accepts or refuses a job. If the body of the request is not a valid submission, `spec` is the reason. */
   submit(id: string, spec: JobSpec | string): Promise<RequestResult<JobView>> {
     return this.submissions.submit(id, spec);
   }
--- a/src/edge/http/request-result.ts
+++ b/src/edge/http/request-result.ts
@@ -1,4 +1,7 @@
-/** @file The result of a user request. Only responses.ts derives HTTP statuses and bodies from it. */
+/**
+ * @file The result of a user request. Only responses.ts derives HTTP statuses and bodies from it, except that
+ * user-app.ts answers a malformed submission with status 400.
+ */
 import type { UserJobStatus } from '../../wire/user-protocol.js';
 
 /** A job as its user sees it. */
@@ -29,7 +32,7 @@
   changedByRequest: false,
 });
 
-/** The result for a job whose status this request has just set. No tasks of it are running. */
+/** The result for a job whose status this request has just set. It reports no completed and no running tasks. */
 export const changedJob = (id: string, status: UserJobStatus): RequestResult<JobView> => ({
   kind: 'ok',
   changedByRequest: true,
@@ -49,7 +52,7 @@
 export const STATE_STORE_UNAVAILABLE = unavailable(1, 'the state service does not answer');
 /** Too many requests are being served, or too little memory is left. */
 export const OVERLOADED = unavailable(1, 'too many requests');
-/** The cloud has not listed its machine types since this controller started. */
+/** The cloud has not listed its machine types since this controller started, or the replica is not loaded yet. */
 export const MACHINE_TYPES_UNKNOWN = unavailable(2, 'machine types are not known yet');
 /** A controller still runs an older version, which would start a job without waiting for its dependencies. */
 export const UPGRADE_IN_PROGRESS = unavailable(
--- a/src/edge/http/responses.ts
+++ b/src/edge/http/responses.ts
@@ -1,4 +1,7 @@
-/** @file Maps the results of requests to HTTP responses: status, `Retry-After` and body. No other module does so. */
+/**
+ * @file Maps the results of requests to HTTP responses: status, `Retry-After` and body. No other module does so, except
+ * that user-app.ts answers a malformed submission with status 400 instead of 422.
+ */
 import type { ServerResponse } from 'node:http';
 import { encode } from '../../wire/cbor.js';
 import { encodeJobStatus } from '../../wire/user-protocol.js';
--- a/src/edge/http/status-queries.ts
+++ b/src/edge/http/status-queries.ts
@@ -41,7 +41,7 @@
     return { id, status, completedTasks: completed, runningTasks: assigned };
   }
 
-  /** Returns a job's status: immediately if it is final, otherwise after a linearizable read. */
+  /** Returns a job's status: immediately if it is final in the replica, otherwise after a linearizable read. */
   async status(id: string, syncTimeoutMs = SYNC_TIMEOUT_MS): Promise<RequestResult<JobView>> {
     const view = this.view(id);
     if (view !== null && isFinal(view)) return existingJob(view);
--- a/src/edge/http/submissions.ts
+++ b/src/edge/http/submissions.ts
@@ -44,7 +44,7 @@
     private readonly machineTypes: () => readonly MachineType[],
   ) {}
 
-  /** Accepts or refuses a job. If the body of the request could not be read, `spec` is the reason. */
+  /** Accepts or refuses a job. If the body of the request is not a valid submission, `spec` is the reason. */
   async submit(id: string, spec: JobSpec | string): Promise<RequestResult<JobView>> {
     if (this.stateStore.replica.has(jobKey(id))) return this.queries.status(id, SUBMISSION_TIMEOUT_MS);
     if (typeof spec === 'string') return this.reject(id, spec);
@@ -72,7 +72,8 @@
   }
 
   /**
-   * Reads a dependency from the replica or, if another controller accepted it only a moment ago, from the state store.
+   * Reads a dependency from the replica or, if the replica does not contain it, from the state store, because another
+   * controller may have accepted it only a moment ago.
    */
   private async readDependency(id: string): Promise<ReadResult> {
     const entry = this.stateStore.replica.get(jobKey(id));
--- a/src/edge/http/user-app.ts
+++ b/src/edge/http/user-app.ts
@@ -1,7 +1,7 @@
 /**
  * @file The express application: user requests, the load balancer's health check, and heartbeats that are not in the
- * plain form. It passes requests to the request handler and maps results to responses. It must not make decisions about
- * jobs itself.
+ * plain form that heartbeat-head.ts accepts. It passes requests to the request handler and maps results to responses.
+ * It must not make decisions about jobs itself.
  */
 import express, { type Express, type NextFunction, type Request, type Response } from 'express';
 import { decode } from '../../wire/cbor.js';
@@ -49,12 +49,13 @@
 
 function addConnectionRules(app: Express, connections: InboundConnections, isHealthy: () => boolean): void {
   app.use((_request: Request, response: Response, next: NextFunction) => {
-    // Users keep their connections open. Closing a connection lets the user's next request reach a healthy controller.
+    // Users keep their connections open. Closing a connection frees its socket for another user, and lets the user's
+    // next request reach a healthy controller.
     if (connections.rotatesUserConnections || !isHealthy()) response.setHeader('connection', 'close');
     next();
   });
-  // Requests on refused connections are rejected before the body is read. The load balancer's health check is still
-  // answered.
+  // Requests on connections above the user limit are refused before the body is read. The load balancer's health check
+  // is still answered.
   app.use((request: Request, response: Response, next: NextFunction) => {
     if (!connections.isOverUserLimit(request.socket) || request.path === API_PATHS.health) return next();
     response.setHeader('retry-after', '1');
@@ -119,8 +120,8 @@
 }
 
 /**
- * Returns whether an error is the client's. The errors of the body parser have a status: a body that is too large or
- * cannot be read is the client's mistake.
+ * Returns whether the client caused an error. The errors of the body parser have a status; it is from 400 to 499 if the
+ * body is too large or cannot be read.
  */
 function isClientError(error: unknown): boolean {
   const status = (error as { status?: unknown }).status;
