--- a/src/edge/net/host-and-port.ts
+++ b/src/edge/net/host-and-port.ts
@@ -1,6 +1,6 @@
 /** @file Parses the addresses in the settings and in messages from workers. */
 
-/** An IPv4 address and port. */
+/** A host name or IPv4 address, and a port. */
 export interface HostAndPort {
   readonly host: string;
   readonly port: number;
--- a/src/edge/net/http-client.ts
+++ b/src/edge/net/http-client.ts
@@ -26,9 +26,12 @@
     this.target = parseHostAndPort(address);
   }
 
-  /** Closes all connections. The requests in flight on them get an unknown outcome. */
+  /**
+   * Closes all connections. A request on one of them gets an unknown outcome, or the outcome `unsent` if the connection
+   * was not established yet.
+   */
   close(): void {
-    for (const connection of [...this.openConnections]) connection.fail('closed');
+    for (const connection of [...this.openConnections]) connection.fail('the client was closed');
   }
 
   /** Sends a request. `timeoutMs` bounds the whole request, including the wait for a connection. */
@@ -50,7 +53,7 @@
         },
       };
       const abort = (): void => this.abandon(pending, 'cancelled');
-      const timer = setTimeout(() => this.abandon(pending, 'no answer in time'), timeoutMs);
+      const timer = setTimeout(() => this.abandon(pending, 'no response in time'), timeoutMs);
       if (signal?.aborted === true) return pending.settle({ kind: 'unsent', reason: 'cancelled' });
       signal?.addEventListener('abort', abort);
       this.dispatch(pending);
--- a/src/edge/net/http-connection.ts
+++ b/src/edge/net/http-connection.ts
@@ -8,7 +8,8 @@
 import type { HostAndPort } from './host-and-port.js';
 
 /**
- * The outcome of a request. `unsent` means that no connection was established, so the request can never be executed.
+ * The outcome of a request. `unsent` means that the request was never written to an established connection, so it can
+ * never be executed; `unknown` means that it may have been executed.
  */
 export type RequestOutcome =
   | { readonly kind: 'response'; readonly status: number; readonly body: unknown }
@@ -34,7 +35,7 @@
     const body = response.body.length === 0 ? null : decode(response.body);
     return { kind: 'response', status: response.status, body };
   } catch {
-    return { kind: 'unknown', reason: 'the answer is not CBOR' };
+    return { kind: 'unknown', reason: 'the response is not CBOR' };
   }
 }
 
@@ -73,7 +74,7 @@
     if (this.connected) this.write();
   }
 
-  /** Closes the connection and settles the request that it carries. */
+  /** Closes the connection and settles the request that it carries, if any. */
   fail(reason: string): void {
     const { request } = this;
     this.request = null;
--- a/src/edge/net/http-response.ts
+++ b/src/edge/net/http-response.ts
@@ -100,7 +100,7 @@
 
   /**
    * Adds received bytes. Returns the response once it is complete, and null before that. Throws a
-   * MalformedResponseError.
+   * MalformedResponseError if the bytes are not a response.
    */
   push(data: Buffer): HttpResponse | null {
     this.received.push(data);
