--- a/src/edge/peers/peer-dialer.ts
+++ b/src/edge/peers/peer-dialer.ts
@@ -12,7 +12,7 @@
 const STATUS_INTERVAL_MS = 400;
 const CONNECT_TIMEOUT_MS = 1000;
 const REDIAL_DELAY_MS = 1000;
-/** If a peer leaves more than this many bytes unread, it is stalled or its connection is half-open. */
+/** If more bytes than this wait to be sent to a peer, the peer is stalled or its connection is half-open. */
 const MAX_UNSENT_BYTES = 4096;
 
 /** Sends statuses to a peer until the signal is aborted, and reconnects whenever the connection ends. */
--- a/src/edge/peers/peer-links.ts
+++ b/src/edge/peers/peer-links.ts
@@ -1,7 +1,7 @@
 /**
- * @file The links between controllers. It owns the latest status received from each of the other controllers. Nothing
- * that must be safe may depend on these statuses, because a peer may refuse contact, send false values, stall or be
- * partitioned from this controller.
+ * @file The links between controllers. It owns the latest status received from each of the other controllers. Safety
+ * must not depend on these statuses, because a peer may refuse contact, send false values, stall or be partitioned from
+ * this controller.
  */
 import { Subscription } from 'rxjs';
 import type { ControllerStatus } from '../../wire/controller-status-frame.js';
--- a/src/edge/peers/peer-listener.ts
+++ b/src/edge/peers/peer-listener.ts
@@ -52,6 +52,7 @@
   const connection = new Subscription(() => socket.destroy());
   const closed = fromEvent(socket, 'close');
   socket.setTimeout(IDLE_TIMEOUT_MS, () => socket.destroy());
+  // Without a subscription to `error`, a broken connection would end the process. `close` follows each error.
   connection.add(
     fromEvent(socket, 'error')
       .pipe(takeUntil(closed))
