--- a/src/edge/config/feature-loader.ts
+++ b/src/edge/config/feature-loader.ts
@@ -19,8 +19,8 @@
 }
 
 /**
- * Returns a function that creates the policy for lost and returning zones, called once per leadership term; null if the
- * feature is disabled.
+ * Returns a function that creates the policy for lost and returning zones, or null if the feature is disabled. The
+ * function is called once per leadership term.
  */
 export function zonePolicyFactory(features: Features, config: ClusterConfig): (() => ZonePolicy) | null {
   if (!features.has('zone-recovery')) return null;
--- a/src/edge/config/features.ts
+++ b/src/edge/config/features.ts
@@ -14,7 +14,10 @@
 /** The enabled features. */
 export type Features = ReadonlySet<Feature>;
 
-/** Parses features from text such as `(features zone-recovery)`. Throws a SettingsError with the line of a mistake. */
+/**
+ * Parses features from text such as `(features zone-recovery)`. Throws a SettingsError with the line of a mistake, or
+ * without it for a mistake in the syntax.
+ */
 export function parseFeatures(text: string, sourceName: string): Features {
   const features = new Set<Feature>();
   for (const form of readForms(text, sourceName)) {
--- a/src/edge/config/operator-settings.ts
+++ b/src/edge/config/operator-settings.ts
@@ -53,7 +53,10 @@
   },
 };
 
-/** Parses operators' settings from text. Throws a SettingsError with the line of a mistake. */
+/**
+ * Parses operators' settings from text. Throws a SettingsError with the line of a mistake, or without it for a mistake
+ * in the syntax.
+ */
 export function parseOperatorSettings(text: string, sourceName: string): OperatorSettings {
   const settings: Mutable<OperatorSettings> = { ...DEFAULT_SETTINGS };
   for (const form of readForms(text, sourceName)) {
--- a/src/edge/config/sexpr.ts
+++ b/src/edge/config/sexpr.ts
@@ -1,8 +1,13 @@
-/** @file Parses S-expressions. Every mistake throws a SettingsError with its line. */
+/**
+ * @file Parses S-expressions. Every mistake throws a SettingsError, with its line unless it is a mistake in the syntax.
+ */
 import { parse, type Node } from 'sexpr-plus';
 import { SettingsError } from './settings-error.js';
 
-/** Parses a text into its forms; `sourceName` names the text in error messages. */
+/**
+ * Parses a text into its forms; `sourceName` names the text in error messages. Throws a SettingsError, without the
+ * line, for a mistake in the syntax.
+ */
 export function readForms(text: string, sourceName: string): Node[] {
   try {
     return parse(text);
