--- a/src/edge/runtime/memory-monitor.ts
+++ b/src/edge/runtime/memory-monitor.ts
@@ -13,7 +13,10 @@
 const COLLECT_SHARE = 0.8;
 const SHED_SHARE = 0.9;
 const CHECK_INTERVAL_MS = 500;
-/** A collection stops the process for some tens of milliseconds, so it is repeated only after this growth. */
+/**
+ * A collection stops the process for some tens of milliseconds, so it is repeated only after usage has grown by this
+ * share of the limit.
+ */
 const MIN_GROWTH_SHARE = 0.03;
 /** How far the heap may grow between two collections, in percent of the memory that survived the last one. */
 const HEAP_GROWING_PERCENT = 35;
--- a/src/edge/runtime/rate-limiter.ts
+++ b/src/edge/runtime/rate-limiter.ts
@@ -13,7 +13,9 @@
     this.tokens = burst;
   }
 
-  /** Takes `count` tokens and returns how many milliseconds the caller must wait before using them (0: not at all). */
+  /**
+   * Takes `count` tokens. Returns how many milliseconds the caller must wait before using them, or 0 if it need not.
+   */
   take(count: number): number {
     const now = monotonicNow();
     const refill = (Number(now - this.refilledAt) / 1e9) * this.perSecond;
