--- a/src/edge/leadership/zone-record-writer.ts
+++ b/src/edge/leadership/zone-record-writer.ts
@@ -13,7 +13,7 @@
 /**
  * The record is written at most once per interval, because each write counts against the state store's write rate.
  */
-const MIN_WRITE_INTERVAL_MS = 1000;
+const WRITE_INTERVAL_MS = 1000;
 
 /** Writes the latest zone record, on condition that this process is the leader. */
 export class ZoneRecordWriter {
@@ -39,7 +39,7 @@
   private async run(signal: AbortSignal): Promise<void> {
     const { stateStore, partition } = this.term.dependencies;
     while (!signal.aborted) {
-      await this.wakeSignal.wait(MIN_WRITE_INTERVAL_MS, signal);
+      await this.wakeSignal.wait(WRITE_INTERVAL_MS, signal);
       const next = this.unwritten;
       if (next === null || isAborted(signal)) continue;
       const result = await stateStore.commit(
@@ -48,7 +48,7 @@
       );
       // A newer record may have been saved while this one was being written.
       if (result.kind === 'committed' && this.unwritten === next) this.unwritten = null;
-      await sleep(jittered(MIN_WRITE_INTERVAL_MS), signal);
+      await sleep(jittered(WRITE_INTERVAL_MS), signal);
     }
   }
 }
