--- a/src/wire/page-record.ts
+++ b/src/wire/page-record.ts
@@ -38,8 +38,8 @@
 function unescapeName(text: string): string {
   try {
     return decodeURIComponent(text);
-  } catch (e) {
-    throw new MalformedRecordError('page', `name "${text.slice(0, MAX_SHOWN_CHARACTERS)}"`, { cause: e });
+  } catch (error) {
+    throw new MalformedRecordError('page', `name "${text.slice(0, MAX_SHOWN_CHARACTERS)}"`, { cause: error });
   }
 }
 
