--- a/src/edge/leadership/cloud-poller.ts
+++ b/src/edge/leadership/cloud-poller.ts
@@ -54,8 +54,8 @@
   }
 
   /**
-   * Dispatches the images that this controller observed as a standby: once, as soon as the image fetch rates are
-   * available.
+   * Dispatches the images that this controller observed as a standby: once, when the first list of machine types with
+   * their image fetch rates arrives. The slowest rate counts. If no rate is known, nothing is dispatched.
    */
   private reportCachedImages(types: readonly MachineType[]): void {
     this.imagesReported = true;
--- a/src/edge/leadership/commit-loop.ts
+++ b/src/edge/leadership/commit-loop.ts
@@ -108,7 +108,10 @@
     this.term.dispatch({ kind: 'transaction-committed', transaction, modRevision });
   }
 
-  /** After a refusal for too many writes, lowers the write limit to the announced one, if that one is lower. */
+  /**
+   * After a refusal for too many requests or writes, lowers the write limit to the announced one, if that one is
+   * lower.
+   */
   private onRefused(reason: string): void {
     if (reason === RATE_LIMITED)
       this.budget.lowerMaxWrites(this.term.dependencies.announcedMaxWritesPerSecond);
--- a/src/edge/leadership/conflict-resolution.ts
+++ b/src/edge/leadership/conflict-resolution.ts
@@ -13,7 +13,9 @@
 export interface TransactionConflict {
   readonly transaction: Transaction;
   readonly failedKeys: readonly string[];
-  /** True if an earlier attempt had no usable answer: if it was committed, the retry conflicts with it. */
+  /**
+   * True if the outcome of an earlier attempt is unknown. If that attempt was committed, the retry conflicts with it.
+   */
   readonly earlierOutcomeUnknown: boolean;
 }
 
@@ -34,7 +36,8 @@
 ): ConflictResolution {
   const { transaction, failedKeys, earlierOutcomeUnknown } = conflict;
   const changedPage = transaction.pages.find((page) => failedKeys.includes(pageKey(partition, page.id)));
-  // Pages have a single writer, so a page that changed was written by an earlier attempt of the same transaction.
+  // Pages have a single writer, so a page that changed was written by an earlier attempt of the same transaction, if
+  // there was one whose outcome is unknown. Otherwise another process wrote it.
   if (changedPage !== undefined) {
     const entry = stateStore.replica.get(pageKey(partition, changedPage.id));
     return earlierOutcomeUnknown && entry !== undefined
--- a/src/edge/leadership/effect-executor.ts
+++ b/src/edge/leadership/effect-executor.ts
@@ -31,7 +31,7 @@
     private readonly signal: AbortSignal,
   ) {}
 
-  /** Executes one effect; answers are dispatched to the core as events. */
+  /** Executes one effect; responses to it are dispatched to the core as events. */
   execute(effect: Effect): void {
     switch (effect.kind) {
       case 'log':
--- a/src/edge/leadership/leader-election.ts
+++ b/src/edge/leadership/leader-election.ts
@@ -1,6 +1,7 @@
 /**
- * @file Leader election: claims the leader key when it is free and then starts a term. It owns this process's current
- * term; it must never start a term while another term of this process is running.
+ * @file Leader election: claims the leader key when it is free, or when an earlier process with the same label wrote
+ * it, and then starts a term. It owns this process's current term; it must never start a term while another term of
+ * this process is running.
  */
 import type { Subscription } from 'rxjs';
 import type { ClusterConfig } from '../../core/model/cluster-config.js';
@@ -115,8 +116,9 @@
   }
 
   /**
-   * Writes the leader key on condition that it still has the state of `currentEntry`. Returns the key's new mod
-   * revision, or null if this process did not become the leader.
+   * Writes the leader key on condition that its mod revision is still that of `currentEntry`, or that the key still
+   * does not exist if `currentEntry` is undefined. Returns the key's new mod revision, which is the fencing token, or
+   * null if this process did not become the leader.
    */
   private async claim(
     currentEntry: ReplicaEntry | undefined,
--- a/src/edge/leadership/leader-key.ts
+++ b/src/edge/leadership/leader-key.ts
@@ -15,14 +15,13 @@
   constructor(private readonly term: TermContext) {}
 
   /**
-   * Returns the condition that lets a transaction commit only while this process is the leader under the given
-   * fencing token.
+   * Returns the condition that lets a transaction commit only while this process is the leader under the given token.
    */
   condition(fencingToken: number = this.term.scheduler.state.term.fencingToken): CompareCondition {
     return { key: leaderKey(this.term.dependencies.partition), modRevision: fencingToken };
   }
 
-  /** Returns a write of the key with its own value, which advances its mod revision, the fencing token. */
+  /** Returns a write that puts the key again with the same value, which advances its mod revision, the token. */
   rewrite(): WriteOperation {
     const { partition, leaderRecord } = this.term.dependencies;
     return { kind: 'put', key: leaderKey(partition), value: leaderRecord, leaseId: this.term.leaseId };
@@ -35,8 +34,10 @@
   }
 
   /**
-   * Ends the term after a conflict on the key if the leadership is lost. Otherwise an advance of the fencing token by
-   * this process has just been committed. Returns true if the leadership was lost.
+   * Called after a conflict of a transaction that is conditioned on the key. Ends the term and returns true if the
+   * leadership is lost. Otherwise returns false; if the key's mod revision has increased, an advance of the token by
+   * this process was committed, and it is dispatched to the core. If the replica cannot be synced, the term continues
+   * and the result is false.
    */
   async endTermIfLost(): Promise<boolean> {
     if (await this.isStillLeader()) return false;
--- a/src/edge/leadership/leader-term.ts
+++ b/src/edge/leadership/leader-term.ts
@@ -114,12 +114,12 @@
     onEnd();
   }
 
-  /** Handles a worker's heartbeat. Returns the answer, or null if this process may no longer acknowledge it. */
+  /** Handles a worker's heartbeat. Returns the response, or null if this process may no longer acknowledge it. */
   onHeartbeat(heartbeat: Heartbeat): HeartbeatAnswer | null {
     const { signal } = this.termination;
     if (signal.aborted || !this.mayAcknowledgeHeartbeats()) return null;
     this.dispatch({ kind: 'heartbeat', heartbeat });
-    // The heartbeat itself may have ended the term by reporting a higher fencing token.
+    // The heartbeat itself may have ended the term by reporting a higher token.
     if (isAborted(signal)) return null;
     const startedAt = currentTime();
     const commands = this.scheduler.answerHeartbeat(heartbeat, startedAt);
--- a/src/edge/leadership/leadership-lease.ts
+++ b/src/edge/leadership/leadership-lease.ts
@@ -30,9 +30,10 @@
   }
 
   /**
-   * Sends renewals at a fixed interval, whether or not earlier ones were answered. In a process whose event loop lags
-   * by a second, each step of a request takes that long, and a lease of three seconds expired although its leader
-   * could reach the state store.
+   * Sends renewals at a fixed interval, whether or not earlier ones were answered, as long as fewer than
+   * `MAX_RENEWALS_IN_FLIGHT` are unanswered. The reason is that in a process whose event loop lags by a second, each
+   * step of a request takes that long, and a lease of three seconds expired although its leader could reach the state
+   * store.
    */
   private async renewLease(signal: AbortSignal): Promise<void> {
     const { stateStore } = this.term.dependencies;
@@ -50,8 +51,9 @@
   }
 
   /**
-   * Compares the leader key's mod revision at an interval, which proves that this process was the leader when the
-   * compare was sent.
+   * Checks at an interval that the mod revision of the leader key is still the fencing token. If so, this process was
+   * the leader when the check was sent. The core receives this confirmation only if the replica reaches the revision
+   * of the check in time.
    */
   private async confirmLeadership(signal: AbortSignal): Promise<void> {
     const { stateStore } = this.term.dependencies;
--- a/src/edge/leadership/replica-loader.ts
+++ b/src/edge/leadership/replica-loader.ts
@@ -35,7 +35,7 @@
 }
 
 function loadJob(term: TermContext, id: string, { value, modRevision }: ReplicaEntry): void {
-  // Only the status of a finished job without assignments may still be needed, by its dependents.
+  // Of a finished job without assignments, only the status may still be needed, by the jobs that depend on it.
   if (value instanceof FinishedJobSummary) term.dispatch({ kind: 'job-finished', id, status: value.status });
   else term.dispatch({ kind: 'job-changed', id, record: decodeJob(value), modRevision });
 }
--- a/src/edge/leadership/replica-watcher.ts
+++ b/src/edge/leadership/replica-watcher.ts
@@ -33,14 +33,15 @@
   private onJobChange(id: string, { value, modRevision }: ReplicaEntry): void {
     if (value instanceof FinishedJobSummary) return;
     const record = decodeJob(value);
-    // Only the leader itself records jobs as done.
+    // Only the leader itself records jobs as done. All other changes count as users' writes, including the leader's
+    // own record of a job that was cancelled through a dependency.
     if (record.status !== 'done') this.onUserWrite();
     this.term.dispatch({ kind: 'job-changed', id, record, modRevision });
   }
 
   private onLeaderKeyChange(entry: ReplicaEntry | null): void {
     if (entry !== null && this.key.isOwn(entry)) return;
-    // The claim that started this term may reach the replica late, after an earlier leader's record. The term ends
+    // The claim that started this term may reach the replica late, after a previous leader's record. The term ends
     // only if the key was deleted, or if another process wrote it after the claim.
     if (entry === null || entry.modRevision > this.term.scheduler.state.term.firstFencingToken)
       this.term.end({ kind: 'leader-key-replaced' });
--- a/src/edge/leadership/term-context.ts
+++ b/src/edge/leadership/term-context.ts
@@ -1,6 +1,6 @@
 /**
- * @file Types of what a leader's term and its components receive: the components of the process, and the term as its
- * own components use it.
+ * @file Types of the dependencies of a leader's term and of its components: a term receives the components of the
+ * process, and its components receive the term as a context.
  */
 import type { ClusterConfig } from '../../core/model/cluster-config.js';
 import type { OperatorSettings } from '../../core/model/operator-settings.js';
@@ -59,7 +59,7 @@
 export interface TermContext {
   readonly dependencies: TermDependencies;
   readonly scheduler: ClusterScheduler;
-  /** The lease in the state store to which the leader key is attached, and how often it is renewed. */
+  /** The lease in the state store to which the leader key is attached; it is renewed every `renewIntervalMs`. */
   readonly leaseId: number;
   readonly renewIntervalMs: number;
   /** Passes an event to the core and executes the resulting effects. */
--- a/src/edge/leadership/term-end-reason.ts
+++ b/src/edge/leadership/term-end-reason.ts
@@ -11,11 +11,11 @@
   | { readonly kind: 'leader-key-conflict' }
   /** The watch showed that the leader key was deleted or belongs to another process. */
   | { readonly kind: 'leader-key-replaced' }
-  /** A page has a mod revision that was not written by this term. */
+  /** A page has a mod revision that does not come from a write of this term. */
   | { readonly kind: 'foreign-page-write' }
   /** A worker has received a higher fencing token. */
   | { readonly kind: 'superseded'; readonly seenFencingToken: number }
-  /** The leader stepped down in favor of another controller, which may reach what this one cannot. */
+  /** The leader stepped down in favor of another controller, which may reach workers that this one cannot. */
   | { readonly kind: 'stepped-down'; readonly cause: string };
 
 /** Returns the reason as the fields of a log line: `reason` is the kind, and all other fields keep their names. */
--- a/src/edge/leadership/write-budget.ts
+++ b/src/edge/leadership/write-budget.ts
@@ -6,8 +6,9 @@
 import { RateLimiter } from '../runtime/rate-limiter.js';
 
 /**
- * Bounds on the leader's share of the write rate. Users' submissions and cancellations take precedence: the rate that
- * they were observed to use is left free, but never so much of it that assignments can no longer be recorded.
+ * Bounds on the leader's share of the write rate. Users' submissions and cancellations take precedence: the leader
+ * leaves free the rate that they were observed to use, but always keeps the minimum share, so that assignments can
+ * still be recorded.
  */
 const MAX_SHARE = 0.8;
 const MIN_SHARE = 0.5;
@@ -18,7 +19,7 @@
 /** The newest interval's weight in the moving average of users' writes. */
 const NEWEST_WEIGHT = 0.5;
 const REBALANCE_INTERVAL_MS = 1000;
-/** The limiter's burst, in seconds of the full write rate. */
+/** The limiter's burst, in seconds of the full write rate; it is at least as large as the largest transaction. */
 const BURST_SECONDS = 0.5;
 
 /** Divides the state store's write rate between users' writes and the leader's transactions. */
@@ -28,7 +29,7 @@
   private userWritesPerSecond = 0;
 
   constructor(
-    /** The state store's write limit per second; lowered after it has refused a transaction for too many writes. */
+    /** The state store's write limit per second; lowered after a refusal for too many requests or writes. */
     private maxWritesPerSecond: number,
     maxTransactionOperations: number,
   ) {
--- a/src/edge/leadership/zone-record-writer.ts
+++ b/src/edge/leadership/zone-record-writer.ts
@@ -11,7 +11,8 @@
 import type { TermContext } from './term-context.js';
 
 /**
- * The record is written at most once per interval, because each write counts against the state store's write rate.
+ * The pause after a write, because each write counts against the state store's write rate. It varies randomly between
+ * 0.5 and 1.5 times this value.
  */
 const WRITE_INTERVAL_MS = 1000;
 
