--- a/src/edge/state-store/coalesced-read.ts
+++ b/src/edge/state-store/coalesced-read.ts
@@ -23,7 +23,7 @@
   }
 
   private async run(): Promise<T> {
-    // Always waits for a turn of the event loop, even if no interval is left. If `unsent` were cleared before
+    // Always yields to the event loop, even if the interval has already elapsed. If `unsent` were cleared before
     // `request` has stored it, the finished read would stay there permanently, and every later request would receive
     // its old result.
     const pauseMs = this.intervalMs - millisecondsSince(this.lastSentAt);
--- a/src/edge/state-store/controller-versions.ts
+++ b/src/edge/state-store/controller-versions.ts
@@ -13,7 +13,7 @@
 /** DAG dependencies between jobs. */
 export const DEPENDENCIES_FEATURE = 'dependencies';
 
-/** The features that this version has beyond versions that announced nothing. */
+/** The features that this version has and that versions without an announcement lack. */
 const FEATURES: readonly string[] = [DEPENDENCIES_FEATURE];
 
 const RETRY_DELAY_MS = 1000;
--- a/src/edge/state-store/dependency-index.ts
+++ b/src/edge/state-store/dependency-index.ts
@@ -1,4 +1,7 @@
-/** @file Determines from the replica which jobs are cancelled because a job that they depend on was cancelled. */
+/**
+ * @file Determines from the replica which jobs are cancelled, by their users or because a job that they depend on was
+ * cancelled.
+ */
 import { DependencyGraph } from '../../core/state/dependency-graph.js';
 import { FinishedJobSummary } from '../../wire/finished-job-summary.js';
 import { decodeJob } from '../../wire/job-record.js';
--- a/src/edge/state-store/finished-job-compactor.ts
+++ b/src/edge/state-store/finished-job-compactor.ts
@@ -16,9 +16,10 @@
  * the replica then keeps a summary. The summary is never older than the full record was, because a finished job does
  * not change.
  *
- * A finished job gets no new assignments, because assignments are committed under its mod revision. A replica of a
- * single revision that shows no assignments of the job therefore proves that there are none. While the replica is
- * being loaded again, it proves nothing.
+ * A finished job gets no new assignments, because assignments are committed on condition that the job's mod revision
+ * is unchanged. Therefore, if all entries of the replica are from a single revision and show no assignments of the
+ * job, there are none. While the replica is being loaded, its entries are not from a single revision and prove
+ * nothing.
  */
 export class FinishedJobCompactor {
   /** Finished jobs whose full record the replica still holds. */
--- a/src/edge/state-store/image-cache-observer.ts
+++ b/src/edge/state-store/image-cache-observer.ts
@@ -22,13 +22,13 @@
 const FETCH_STARTUP_MS = 2000;
 const FETCH_SAFETY_FACTOR = 1.5;
 /**
- * How long an assignment must have existed, in milliseconds, for its machine to have the image at the slowest likely
- * fetch.
+ * Returns how long an assignment must have existed, in milliseconds, for its machine to have the image even after the
+ * slowest likely fetch.
  */
 const expectedFetchMs = (sizeGb: number, fetchGbPerS: number): number =>
   FETCH_STARTUP_MS + (1000 * FETCH_SAFETY_FACTOR * sizeGb) / fetchGbPerS;
 
-/** A machine is removed if nothing was assigned to it for this long. */
+/** An image or machine is no longer reported if no changed page has shown it in an assignment for this long. */
 const RETENTION_MS = 20 * 60_000;
 
 /** When an image was first and last seen assigned to a machine, in nanoseconds of the monotonic clock. */
--- a/src/edge/state-store/state-store-client.ts
+++ b/src/edge/state-store/state-store-client.ts
@@ -46,7 +46,7 @@
 export type ReadResult =
   | { readonly kind: 'found'; readonly value: unknown }
   | { readonly kind: 'absent' }
-  /** There was no answer, or it could not be decoded. */
+  /** There was no successful response, or it could not be decoded. */
   | { readonly kind: 'unread' };
 
 /** The result of renewing a lease. */
@@ -117,7 +117,7 @@
 
   private conflictResult(body: unknown): CommitResult {
     const conflict = parseConflict(body);
-    if (!conflict.ok) return this.malformedResult('conflict without keys');
+    if (!conflict.ok) return this.malformedResult('conflict without failed keys or revision');
     const { failedKeys, revision } = conflict.value;
     return { kind: 'conflict', failedKeys, revision };
   }
@@ -165,7 +165,8 @@
 
   /**
    * Returns the page of this cluster's keys that follows the key `after`, or the first page if `after` is null.
-   * Returns null if there was no successful answer. Throws {@link MalformedMessageError} if the answer is malformed.
+   * Returns null if there was no successful response. Throws {@link MalformedMessageError} if the response is
+   * malformed.
    */
   async listKeys(after: string | null): Promise<KeyRangePage | null> {
     const path = keyRangePath(KEY_PREFIX, KEYS_PER_PAGE, after);
@@ -175,8 +176,8 @@
   }
 
   /**
-   * Waits for changes of this cluster's keys since a revision. Throws {@link MalformedMessageError} if the answer is
-   * malformed.
+   * Waits for changes of this cluster's keys since a revision. Throws {@link MalformedMessageError} if the response
+   * is malformed.
    */
   async watch(sinceRevision: number, signal: AbortSignal): Promise<WatchResult> {
     const path = watchPath(KEY_PREFIX, sinceRevision, WATCH_WAIT_MS);
--- a/src/edge/state-store/state-store.ts
+++ b/src/edge/state-store/state-store.ts
@@ -21,7 +21,7 @@
 const BARRIER_INTERVAL_MS = 200;
 const BARRIER_TIMEOUT_MS = 1000;
 
-/** The state store's revision at some moment between sending a request and receiving its answer. */
+/** The state store's revision at some moment between sending a request and receiving its response. */
 interface RevisionBarrier {
   readonly revision: number;
   readonly sentAt: bigint;
@@ -82,7 +82,7 @@
     return this.syncedAt;
   }
 
-  /** See {@link WatchedReplica.replaceWithSummary}. */
+  /** See {@link ReplicaView.replaceWithSummary}. */
   replaceWithSummary(key: string, summary: FinishedJobSummary): void {
     this.watchedReplica.replaceWithSummary(key, summary);
   }
