--- a/src/edge/workers/worker-command-sender.ts
+++ b/src/edge/workers/worker-command-sender.ts
@@ -25,7 +25,7 @@
   readonly batch: CommandBatch;
   readonly fencingToken: number;
   readonly outcome: CommandOutcome;
-  /** The heartbeat in the worker's response, or null if there was none. */
+  /** The heartbeat in the worker's response; null if there was no response, it had none or the outcome is unknown. */
   readonly heartbeat: Heartbeat | null;
 }
 
@@ -99,7 +99,7 @@
 
   private async send(batch: CommandBatch): Promise<CommandResult> {
     // Each unresponsive machine holds a connection until the timeout. To leave room for commands, probes are refused
-    // here; they are repeated anyway. Commands wait for a free slot.
+    // while at least half of the slots are in use; they are repeated anyway. Commands wait for a free slot.
     if (isProbe(batch) && this.connections.isHalfFull)
       return { batch, fencingToken: this.currentFencingToken(), outcome: 'refused', heartbeat: null };
     return this.connections.withSlot(() => this.request(batch));
