--- a/src/edge/cloud/cloud-client.ts
+++ b/src/edge/cloud/cloud-client.ts
@@ -71,8 +71,8 @@
 
   /**
    * Scales out under a request name that is never used again, which makes the request idempotent: it is retried until
-   * its answer is available or the attempts are used up. Returns the names of the new machines, or null if the cloud
-   * refused the request or no answer could be read.
+   * its response is available, the attempts are used up or the signal is aborted. Returns the names of the new
+   * machines, or null if the cloud refused the request or no response could be read.
    */
   async scaleOut(name: string, request: ScaleOutRequest, signal: AbortSignal): Promise<string[] | null> {
     const machines = await this.withRetries(signal, async () => {
