--- a/src/wire/controller-status-frame.ts
+++ b/src/wire/controller-status-frame.ts
@@ -1,9 +1,9 @@
 /**
  * @file The binary frames that controllers exchange, encoded without a library. A frame consists of the magic number
- * `PR` (16 bits), version, kind, length of the payload (16 bits) and payload. There is one kind so far, a
- * controller's status: flags (8 bits), milliseconds since the state store last confirmed its replica (32 bits),
- * fencing token (64 bits), length of the label (8 bits) and label. Controllers of several versions exchange these
- * frames during an upgrade, so their bytes must never change.
+ * `PR` (16 bits), version (8 bits), kind (8 bits), length of the payload (16 bits) and payload. There is one kind so
+ * far, a controller's status: flags (8 bits), milliseconds since the state store last confirmed the controller's
+ * replica (32 bits), fencing token (64 bits), length of the label (8 bits) and label. Controllers of several versions
+ * exchange these frames during an upgrade, so their bytes must never change.
  */
 import { MalformedFrameError } from './errors.js';
 
@@ -13,7 +13,7 @@
   readonly isLeader: boolean;
   /** Milliseconds since the state store last confirmed the controller's replica, or null if it never has. */
   readonly stateStoreContactMs: number | null;
-  /** The fencing token under which the controller acts. */
+  /** The token under which the controller acts as leader; 0 on a standby. */
   readonly fencingToken: bigint;
 }
 
--- a/src/wire/errors.ts
+++ b/src/wire/errors.ts
@@ -17,7 +17,7 @@
   }
 }
 
-/** Bytes from another controller that are not a frame, or a frame whose payload contradicts its header. */
+/** Bytes from another controller that are not a frame, or a frame that is too long or whose payload is too short. */
 export class MalformedFrameError extends Error {
   override readonly name = 'MalformedFrameError';
 
--- a/src/wire/job-record.ts
+++ b/src/wire/job-record.ts
@@ -1,7 +1,7 @@
 /**
  * @file The record of a job: its spec, its submission time and its status. Every stored field is named here, in the
- * order of the stored bytes. Stored names must not follow the names in the code, because controllers of several
- * versions share the records during an upgrade.
+ * order of the stored bytes. Stored names must not change when names in the code change, because controllers of
+ * several versions share the records during an upgrade.
  */
 import * as z from 'zod';
 import type { JobRecord, JobSpec } from '../core/model/job.js';
--- a/src/wire/keys.ts
+++ b/src/wire/keys.ts
@@ -1,6 +1,7 @@
 /**
  * @file The keys of the controllers' records in the state store. All keys start with a tenant, so that one state
- * store may hold several clusters later. Keys are stored, so they must never follow names in the code.
+ * store may hold several clusters later. Keys are stored, so they must not change when
+ * names in the code change.
  */
 
 const TENANT = 'main';
@@ -21,7 +22,7 @@
  */
 export const versionKey = (label: string): string => `${TENANT}/version/${label}`;
 
-/** A parsed key. `other` stands for the keys that no replica interprets, including keys of later versions. */
+/** A parsed key. `other` stands for all other keys, including those of zone records and of later versions. */
 export type Key =
   | { readonly kind: 'leader'; readonly partition: string }
   | { readonly kind: 'job'; readonly id: string }
--- a/src/wire/leader-record.ts
+++ b/src/wire/leader-record.ts
@@ -1,5 +1,6 @@
 /**
- * @file The record that names the leader of a partition. It is stored with the leader's lease and expires with it.
+ * @file The record that names the leader of a partition. It is stored with the leadership lease and is deleted when
+ * the lease expires.
  */
 import * as z from 'zod';
 import { MalformedRecordError } from './errors.js';
--- a/src/wire/page-record.ts
+++ b/src/wire/page-record.ts
@@ -39,7 +39,11 @@
   try {
     return decodeURIComponent(text);
   } catch (error) {
-    throw new MalformedRecordError('page', `name "${text.slice(0, MAX_SHOWN_CHARACTERS)}"`, { cause: error });
+    throw new MalformedRecordError(
+      'page',
+      `cannot unescape the name "${text.slice(0, MAX_SHOWN_CHARACTERS)}"`,
+      { cause: error },
+    );
   }
 }
 
@@ -103,7 +107,8 @@
 
 function decodeRow(row: string, zones: readonly string[]): PageEntry {
   const match = ROW.exec(row);
-  if (match === null) throw new MalformedRecordError('page', `row "${row.slice(0, MAX_SHOWN_CHARACTERS)}"`);
+  if (match === null)
+    throw new MalformedRecordError('page', `cannot parse the row "${row.slice(0, MAX_SHOWN_CHARACTERS)}"`);
   const [, jobId = '', chunk, attempt, runs = '', assigned = ''] = match;
   return {
     jobId,
--- a/src/wire/schema-parts.ts
+++ b/src/wire/schema-parts.ts
@@ -1,7 +1,10 @@
 /** @file Field schemas that the protocols of several external systems share. */
 import * as z from 'zod';
 
-/** More than any amount or duration can be: beyond it a duration in nanoseconds would not be a number any more. */
+/**
+ * More than any amount or duration in seconds can be. Without a bound, a huge number of seconds would become infinite
+ * when it is converted to nanoseconds, and would no longer be a valid duration.
+ */
 export const MAX_AMOUNT = 1e9;
 
 /** A quantity, price or duration in seconds. */
--- a/src/wire/state-store-protocol.ts
+++ b/src/wire/state-store-protocol.ts
@@ -64,7 +64,8 @@
 const conflictResponse = z.object({ failed: z.array(z.string()), ledgerRev: count });
 
 /**
- * The keys whose conditions failed, which is why a transaction was not carried out, and the revision of that check.
+ * The response to a transaction that was not carried out: the keys whose conditions failed, and the revision at which
+ * the conditions were checked.
  */
 export interface Conflict {
   readonly failedKeys: readonly string[];
--- a/src/wire/user-protocol.ts
+++ b/src/wire/user-protocol.ts
@@ -53,7 +53,7 @@
 
 /**
  * Returns the job id of a submission whose other fields may be malformed, or null if it has none. For an existing
- * job, the answer is the job's state, whatever else the submission contains.
+ * job, the response is the job's state, whatever else the submission contains.
  */
 export function jobIdOf(body: unknown): string | null {
   if (body === null || typeof body !== 'object') return null;
--- a/src/wire/worker-protocol.ts
+++ b/src/wire/worker-protocol.ts
@@ -142,7 +142,7 @@
 
 const COMMAND_VERBS = { start: 'run', stop: 'halt', forget: 'forget' } as const;
 
-/** Encodes commands for one worker. Without an agent epoch, they are meant for whichever agent process runs there. */
+/** Encodes commands for one worker. Without an agent epoch, they apply to any agent process that runs there. */
 export function encodeCommands(
   fencingToken: number,
   commands: readonly WorkerCommand[],
@@ -160,6 +160,6 @@
   };
 }
 
-/** Encodes which controller leads and accepts heartbeats; an empty object if `leaderLabel` is null. */
+/** Encodes a redirect to the leader, which accepts heartbeats; returns an empty object if `leaderLabel` is null. */
 export const encodeRedirect = (leaderLabel: string | null): unknown =>
   leaderLabel === null ? {} : { foreman: leaderLabel };
