--- a/src/core/assignments/assignments.ts
+++ b/src/core/assignments/assignments.ts
@@ -169,7 +169,7 @@
   const machine = state.machines.byName.get(assignment.machineName);
   if (machine === undefined) return;
   machine.resources = null;
-  if (machine.agentEpoch !== assignment.agentEpoch || !machine.fenced) return;
+  if (machine.agentEpoch !== assignment.agentEpoch || !machine.hasShownTermToken) return;
   // The answer to the worker's next heartbeat also carries the command.
   if (!isOverloaded(state.term)) sendStop(state, machine, assignment, gracePeriodS);
 }
--- a/src/core/capacity/machine-release.ts
+++ b/src/core/capacity/machine-release.ts
@@ -62,7 +62,7 @@
   const idleLongEnough =
     now.monotonic - machine.idleSince >= state.settings.idleTimeout &&
     now.monotonic - machine.firstSeenAt >= MIN_BILLED_TIME;
-  return machine.draining && machine.fenced && idleLongEnough ? 'idle' : null;
+  return machine.draining && machine.hasShownTermToken && idleLongEnough ? 'idle' : null;
 }
 
 function unusableReason(
--- a/src/core/commands/forgets.ts
+++ b/src/core/commands/forgets.ts
@@ -48,7 +48,7 @@
   const key = attemptKey(forget.jobId, forget.taskIndex, forget.attempt);
   // A worker that has forgotten an attempt would start it again if a delayed start command arrived.
   if (attemptMayStillStart(state.commands, machine.name, key)) return false;
-  if (!machine.fenced) return false;
+  if (!machine.hasShownTermToken) return false;
   const job = state.jobs.byId.get(forget.jobId);
   // A finished job needs no more results.
   if (job === undefined || forget.chunkIndex === null || job.status !== 'open') return true;
--- a/src/core/commands/heartbeat-commands.ts
+++ b/src/core/commands/heartbeat-commands.ts
@@ -96,7 +96,7 @@
  */
 function stopsForOrphanedTasks(state: ClusterState, machine: Machine): WorkerCommand[] {
   const stops: WorkerCommand[] = [];
-  if (!machine.fenced) return stops;
+  if (!machine.hasShownTermToken) return stops;
   for (const [key, task] of machine.reportedTasks) {
     if (machine.assignments.get(key)?.attempt === task.attempt) continue;
     emitLog(
--- a/src/core/commands/start-conditions.ts
+++ b/src/core/commands/start-conditions.ts
@@ -29,7 +29,11 @@
   const job = state.jobs.byId.get(assignment.jobId);
   if (job === undefined || job.status !== 'open' || assignment.stopRequest !== null) return false;
   if (state.jobs.dependencies.isWaiting(assignment.jobId)) return false;
-  if (assignment.agentEpoch !== machine.agentEpoch || !machine.fenced || assignment.phase !== 'assigned')
+  if (
+    assignment.agentEpoch !== machine.agentEpoch ||
+    !machine.hasShownTermToken ||
+    assignment.phase !== 'assigned'
+  )
     return false;
   if (!isAssignmentCommitted(job, assignment) || !mayStartTasks(state.term.confirmedAt, now)) return false;
   return job.spec.kind !== 'gang' || isGangTaskStartable(state, job, machine, assignment, now);
--- a/src/core/machines/free-resources.ts
+++ b/src/core/machines/free-resources.ts
@@ -23,7 +23,7 @@
 
 /** Whether the worker has reported this term's fencing token and its agent epoch has not expired. */
 const hasCurrentAgent = (machine: Machine): boolean =>
-  machine.fenced && machine.agentEpoch !== 0 && machine.agentEpoch > machine.lastExpiredEpoch;
+  machine.hasShownTermToken && machine.agentEpoch !== 0 && machine.agentEpoch > machine.lastExpiredEpoch;
 
 const isInService = (machine: Machine): boolean =>
   !machine.quarantined &&
--- a/src/core/machines/lease-expiry.ts
+++ b/src/core/machines/lease-expiry.ts
@@ -11,7 +11,7 @@
 export function leaseExpiry(state: ClusterState, machine: Machine): MonotonicTime {
   // Until the worker reports this term's token, a previous leader may have acknowledged a heartbeat after this leader.
   const acknowledgedAt =
-    machine.fenced || machine.lastAcknowledgedAt > state.term.previousLeadersDeadline
+    machine.hasShownTermToken || machine.lastAcknowledgedAt > state.term.previousLeadersDeadline
       ? machine.lastAcknowledgedAt
       : state.term.previousLeadersDeadline;
   return acknowledgedAt + withClockDrift(state.config.workerLease) + LEASE_EXPIRY_MARGIN;
--- a/src/core/machines/machine-registry.ts
+++ b/src/core/machines/machine-registry.ts
@@ -30,7 +30,7 @@
   lastAcknowledgedAt: previousLeadersDeadline,
   lastHeartbeatAt: 0n,
   firstHeartbeatAt: null,
-  fenced: false,
+  hasShownTermToken: false,
   lastExpiredEpoch: 0,
   assignments: new Map(),
   reportedTasks: new Map(),
--- a/src/core/model/machine.ts
+++ b/src/core/model/machine.ts
@@ -52,7 +52,7 @@
    * True once the worker has reported this term's fencing token. It then accepts answers from this leader alone, and
    * the absence of a task from its heartbeats counts.
    */
-  fenced: boolean;
+  hasShownTermToken: boolean;
   /** Agent epochs up to and including this one have ended: their tasks are gone, and no task starts in them. */
   lastExpiredEpoch: number;
   readonly assignments: Map<string, Assignment>;
--- a/src/core/reconciliation/agent-epochs.ts
+++ b/src/core/reconciliation/agent-epochs.ts
@@ -52,7 +52,7 @@
   return (
     machine.agentEpoch > 0 &&
     machine.lastExpiredEpoch < machine.agentEpoch &&
-    machine.fenced &&
+    machine.hasShownTermToken &&
     now < earlyThreshold
   );
 }
--- a/src/core/reconciliation/assignment-reconciliation.ts
+++ b/src/core/reconciliation/assignment-reconciliation.ts
@@ -47,7 +47,7 @@
   // The heartbeat lists this attempt as exited, and its exit has already been handled.
   if (listedAttempts.has(attemptKey(jobId, taskIndex, attempt))) return;
   // Absence is proof only if the worker has shown this term's fencing token and no start command can still arrive.
-  if (!machine.fenced || startMayStillArrive(state.commands, assignment)) return;
+  if (!machine.hasShownTermToken || startMayStillArrive(state.commands, assignment)) return;
   // A heartbeat that is no newer than the one whose response carried the start command cannot show the task.
   if (assignment.startSentInSequence !== null && heartbeat.sequence <= assignment.startSentInSequence) return;
   onTaskAbsent(state, machine, heartbeat, assignment, now);
--- a/src/core/reconciliation/failure-detector.ts
+++ b/src/core/reconciliation/failure-detector.ts
@@ -83,7 +83,10 @@
 const fencedMachines = (state: ClusterState): Machine[] =>
   [...state.machines.byName.values()].filter(
     (machine) =>
-      machine.fenced && !machine.releasing && machine.instanceState !== 'failed' && machine.agentEpoch > 0,
+      machine.hasShownTermToken &&
+      !machine.releasing &&
+      machine.instanceState !== 'failed' &&
+      machine.agentEpoch > 0,
   );
 
 const countSuspected = (state: ClusterState, machines: readonly Machine[], now: Timestamp): number =>
--- a/src/core/reconciliation/fencing.ts
+++ b/src/core/reconciliation/fencing.ts
@@ -58,7 +58,7 @@
 }
 
 function needsProbe(machine: Machine, now: Timestamp): boolean {
-  if (machine.fenced || machine.endpoint === '') return false;
+  if (machine.hasShownTermToken || machine.endpoint === '') return false;
   if (machine.instanceState === 'booting' || machine.instanceState === 'failed') return false;
   if (machine.probedAt !== null && now.monotonic - machine.probedAt < PROBE_INTERVAL) return false;
   return machine.firstHeartbeatAt === null || now.monotonic - machine.firstHeartbeatAt >= TOKEN_ECHO_TIMEOUT;
@@ -69,7 +69,7 @@
  */
 export function retryFencing(state: ClusterState, machineName: string): void {
   const machine = state.machines.byName.get(machineName);
-  if (machine === undefined || machine.fenced || machine.agentEpoch === 0) return;
+  if (machine === undefined || machine.hasShownTermToken || machine.agentEpoch === 0) return;
   requestProbe(state, machine);
 }
 
--- a/src/core/reconciliation/heartbeat-intake.ts
+++ b/src/core/reconciliation/heartbeat-intake.ts
@@ -95,5 +95,5 @@
   machine.lastHeartbeatAt = now.monotonic;
   machine.preemptionAt =
     heartbeat.preemptionNotice === null ? null : now.monotonic + heartbeat.preemptionNotice;
-  if (heartbeat.fencingToken >= state.term.firstFencingToken) machine.fenced = true;
+  if (heartbeat.fencingToken >= state.term.firstFencingToken) machine.hasShownTermToken = true;
 }
--- a/src/core/reconciliation/preemption-notices.ts
+++ b/src/core/reconciliation/preemption-notices.ts
@@ -18,7 +18,7 @@
  */
 export function handlePreemptionNotices(state: ClusterState, now: Timestamp): void {
   for (const machine of state.machines.byName.values()) {
-    if (machine.preemptionAt === null || !machine.fenced) continue;
+    if (machine.preemptionAt === null || !machine.hasShownTermToken) continue;
     const remainingS = toSeconds(machine.preemptionAt - now.monotonic);
     for (const assignment of [...machine.assignments.values()]) {
       const job = state.jobs.byId.get(assignment.jobId);
