--- a/src/core/periodic/maintenance.ts
+++ b/src/core/periodic/maintenance.ts
@@ -9,7 +9,7 @@
 import { type Duration, type MonotonicTime, type Timestamp, seconds } from '../model/time.js';
 import { evictFinishedJobs } from '../persistence/finished-jobs.js';
 import { findUnresponsiveMachines, isCutOffFromWorkers } from '../reconciliation/failure-detector.js';
-import { fenceMachines, requestTokenAdvance } from '../reconciliation/fencing.js';
+import { probeForTermToken, requestTokenAdvance } from '../reconciliation/fencing.js';
 import { handlePreemptionNotices } from '../reconciliation/preemption-notices.js';
 import { probeUnreachableMachines } from '../reconciliation/reachability.js';
 import { expireLeases } from '../reconciliation/worker-leases.js';
@@ -61,7 +61,7 @@
       this.fleetSummaryAt = now.monotonic;
       logFleetSummary(this.state, now);
     }
-    fenceMachines(this.state, now);
+    probeForTermToken(this.state, now);
     if (now.monotonic - this.slowChecksAt >= SLOW_CHECK_INTERVAL) this.runSlowChecks(now);
   }
 
--- a/src/core/reconciliation/command-outcomes.ts
+++ b/src/core/reconciliation/command-outcomes.ts
@@ -3,7 +3,7 @@
 import type { Machine } from '../model/machine.js';
 import type { Timestamp } from '../model/time.js';
 import type { WorkerCommand } from '../model/worker-command.js';
-import { retryFencing } from '../reconciliation/fencing.js';
+import { retryTokenProbe } from '../reconciliation/fencing.js';
 import { applyHeartbeat } from '../reconciliation/heartbeat-intake.js';
 import { markReachable } from '../reconciliation/reachability.js';
 import type { ClusterState } from '../state/cluster-state.js';
@@ -20,7 +20,7 @@
     if (command.op === 'start') recordStartOutcome(state, machine, answer, command);
   if (answer.heartbeat === null) return;
   applyHeartbeat(state, answer.heartbeat, now);
-  if (answer.outcome === 'refused') retryFencing(state, answer.machineName);
+  if (answer.outcome === 'refused') retryTokenProbe(state, answer.machineName);
 }
 
 function recordStartOutcome(
--- a/src/core/reconciliation/failure-detector.ts
+++ b/src/core/reconciliation/failure-detector.ts
@@ -23,7 +23,7 @@
 
 /** True if so many machines are suspected at once that none of them may be released for being suspected. */
 export function manySuspected(state: ClusterState, now: Timestamp): boolean {
-  const machines = fencedMachines(state);
+  const machines = machinesWithTermToken(state);
   return isLargeShare(countSuspected(state, machines, now), machines.length);
 }
 
@@ -34,7 +34,7 @@
  */
 export function isCutOffFromWorkers(state: ClusterState, now: Timestamp): boolean {
   if (now.monotonic - state.term.startedAt < state.config.workerLease / 2n) return false;
-  const machines = fencedMachines(state);
+  const machines = machinesWithTermToken(state);
   const suspected = countSuspected(state, machines, now);
   return machines.length >= MIN_MACHINES_FOR_CUT_OFF && suspected * 4 >= machines.length * 3;
 }
@@ -52,7 +52,7 @@
   const unresponsive = machinesWithoutHeartbeat(state);
   if (manySuspected(state, now)) return unresponsive;
   const releaseAfter = suspicionTimeout(state.config) + PROBE_RESPONSE_TIMEOUT;
-  for (const machine of fencedMachines(state)) {
+  for (const machine of machinesWithTermToken(state)) {
     if (machine.agentEpoch <= machine.lastExpiredEpoch || !isSuspected(state.config, machine, now.monotonic))
       continue;
     if (!holdsReplica(state, machine)) continue;
@@ -80,7 +80,7 @@
   return withoutHeartbeat.filter((machine) => holdsReplica(state, machine)).map((machine) => machine.name);
 }
 
-const fencedMachines = (state: ClusterState): Machine[] =>
+const machinesWithTermToken = (state: ClusterState): Machine[] =>
   [...state.machines.byName.values()].filter(
     (machine) =>
       machine.hasShownTermToken &&
--- a/src/core/reconciliation/fencing.ts
+++ b/src/core/reconciliation/fencing.ts
@@ -43,14 +43,15 @@
  * machine that sends heartbeats shows the token in the heartbeat after the first acknowledged one. It is probed only if
  * it does not, because a direct call costs several times as much as a heartbeat. Machines with assignments come first.
  */
-export function fenceMachines(state: ClusterState, now: Timestamp): void {
-  const unfenced: Machine[] = [];
-  for (const machine of state.machines.byName.values()) if (needsProbe(machine, now)) unfenced.push(machine);
+export function probeForTermToken(state: ClusterState, now: Timestamp): void {
+  const machinesToProbe: Machine[] = [];
+  for (const machine of state.machines.byName.values())
+    if (needsProbe(machine, now)) machinesToProbe.push(machine);
   const workersStillJoining = now.monotonic - state.term.lastWorkerJoinedAt < JOIN_QUIET_PERIOD;
   const limit =
     workersStillJoining || isOverloaded(state.term) ? MAX_PROBES_PER_SWEEP_WHEN_BUSY : MAX_PROBES_PER_SWEEP;
-  if (unfenced.length > limit) unfenced.sort((a, b) => b.assignments.size - a.assignments.size);
-  for (const machine of unfenced.slice(0, limit)) {
+  if (machinesToProbe.length > limit) machinesToProbe.sort((a, b) => b.assignments.size - a.assignments.size);
+  for (const machine of machinesToProbe.slice(0, limit)) {
     machine.probedAt = now.monotonic;
     // The agent epoch of a machine that has sent no heartbeat is unknown; the worker's refusal reports the right one.
     requestProbe(state, machine, Math.max(machine.agentEpoch, 1));
@@ -67,7 +68,7 @@
 /**
  * Probes a machine again at once after its worker refused a direct call: the refusal has reported its agent epoch.
  */
-export function retryFencing(state: ClusterState, machineName: string): void {
+export function retryTokenProbe(state: ClusterState, machineName: string): void {
   const machine = state.machines.byName.get(machineName);
   if (machine === undefined || machine.hasShownTermToken || machine.agentEpoch === 0) return;
   requestProbe(state, machine);
