--- a/src/core/reconciliation/failure-detector.ts
+++ b/src/core/reconciliation/failure-detector.ts
@@ -55,7 +55,7 @@
   for (const machine of machinesWithTermToken(state)) {
     if (machine.agentEpoch <= machine.lastExpiredEpoch || !isSuspected(state.config, machine, now.monotonic))
       continue;
-    if (!holdsReplica(state, machine)) continue;
+    if (!holdsServiceReplica(state, machine)) continue;
     if (now.monotonic - machine.lastHeartbeatAt > releaseAfter) unresponsive.push(machine.name);
     else requestProbe(state, machine);
   }
@@ -77,7 +77,9 @@
     if (machine.lastHeartbeatAt === 0n && !machine.releasing) withoutHeartbeat.push(machine);
   }
   if (isLargeShare(withoutHeartbeat.length, withAssignments)) return [];
-  return withoutHeartbeat.filter((machine) => holdsReplica(state, machine)).map((machine) => machine.name);
+  return withoutHeartbeat
+    .filter((machine) => holdsServiceReplica(state, machine))
+    .map((machine) => machine.name);
 }
 
 const machinesWithTermToken = (state: ClusterState): Machine[] =>
@@ -92,7 +94,7 @@
 const countSuspected = (state: ClusterState, machines: readonly Machine[], now: Timestamp): number =>
   machines.filter((machine) => isSuspected(state.config, machine, now.monotonic)).length;
 
-const holdsReplica = (state: ClusterState, machine: Machine): boolean =>
+const holdsServiceReplica = (state: ClusterState, machine: Machine): boolean =>
   [...machine.assignments.values()].some(
     (assignment) => state.jobs.byId.get(assignment.jobId)?.spec.kind === 'service',
   );
