--- a/src/core/reconciliation/task-exits.ts
+++ b/src/core/reconciliation/task-exits.ts
@@ -13,7 +13,7 @@
 import { emitLog } from '../state/log-effects.js';
 
 /** A job that fails on more machines than this is considered to be at fault itself. */
-const MAX_SUSPECT_MACHINES_OF_JOB = 2;
+const MANY_MACHINES_THRESHOLD = 2;
 
 /** Retry delay of a job that has failed on few machines. */
 const RETRY_DELAY_S = 0.2;
@@ -113,7 +113,7 @@
   return seconds(Math.min(2 ** Math.min(job.failureCount, MAX_BACKOFF_EXPONENT), MAX_RETRY_DELAY_S));
 }
 
-const failsOnManyMachines = (job: Job): boolean => job.failuresByMachine.size > MAX_SUSPECT_MACHINES_OF_JOB;
+const failsOnManyMachines = (job: Job): boolean => job.failuresByMachine.size > MANY_MACHINES_THRESHOLD;
 
 /**
  * Quarantines a machine on which enough different jobs have failed, because that indicates a faulty machine. Jobs that
