--- a/src/core/model/assignment.ts
+++ b/src/core/model/assignment.ts
@@ -32,7 +32,10 @@
   phase: AssignmentPhase;
   /** The stop request for this attempt, or null if it is not to be stopped. */
   stopRequest: StopRequest | null;
-  /** Sequence number of the heartbeat whose answer last carried the start command, or null if no answer did. */
+  /**
+   * Sequence number of the heartbeat whose response last carried the start command, 0 if the command was sent directly
+   * or may have been sent by a previous leader, or null if it was never sent.
+   */
   startSentInSequence: number | null;
   /** When the start command was first sent in this term, or null if it was not. */
   startSentAt: MonotonicTime | null;
--- a/src/core/model/events.ts
+++ b/src/core/model/events.ts
@@ -1,6 +1,6 @@
 /**
- * @file Types of the events that a leader handles. Events are the core's only input besides direct calls for answers.
- * They are handled one at a time, in the order in which the edge dispatches them.
+ * @file Types of the events that a leader handles. Events are the core's only input besides direct calls of the other
+ * methods of `ClusterScheduler`. They are handled one at a time, in the order in which the edge dispatches them.
  */
 import type { Heartbeat } from './heartbeat.js';
 import type { JobRecord } from './job.js';
@@ -23,7 +23,7 @@
   readonly fencingToken: number;
   readonly commands: readonly WorkerCommand[];
   readonly outcome: CommandOutcome;
-  /** The heartbeat in the worker's answer, or null if the worker itself did not answer. */
+  /** The heartbeat in the worker's response, or null if the worker itself did not answer. */
   readonly heartbeat: Heartbeat | null;
 }
 
@@ -54,7 +54,7 @@
     }
   /** All records written before the term are loaded. */
   | { readonly kind: 'load-completed' }
-  /** A worker sent a heartbeat as a separate request; `answerHeartbeat` returns the answer to it. */
+  /** A worker sent a heartbeat as a separate request; `answerHeartbeat` returns the commands for the response. */
   | { readonly kind: 'heartbeat'; readonly heartbeat: Heartbeat }
   | CommandsAnswered
   /** A transaction was committed. */
@@ -83,7 +83,7 @@
       readonly name: string;
       readonly machines: readonly string[] | null;
     }
-  /** The cloud answered a scale-in request, or did not answer it. */
+  /** A scale-in request has ended; `succeeded` is true if the cloud released the machines. */
   | { readonly kind: 'scale-in-answered'; readonly machines: readonly string[]; readonly succeeded: boolean }
   /** A source other than heartbeats shows that images are cached on machines. */
   | { readonly kind: 'images-observed'; readonly sightings: readonly ImageSighting[] }
--- a/src/core/model/heartbeat.ts
+++ b/src/core/model/heartbeat.ts
@@ -13,7 +13,7 @@
   readonly checkpointed: boolean;
 }
 
-/** A worker's heartbeat, sent by the worker on its own or in its answer to commands sent directly. */
+/** A worker's heartbeat, sent by the worker on its own or in its response to commands sent directly. */
 export interface Heartbeat {
   readonly machineName: string;
   readonly endpoint: string;
@@ -22,6 +22,7 @@
   readonly spot: boolean;
   /** Counts the agent's restarts. A new epoch begins without tasks. */
   readonly agentEpoch: number;
+  /** Sequence number, which increases with each heartbeat of an agent epoch. */
   readonly sequence: number;
   /** Highest fencing token that the worker has received. */
   readonly fencingToken: number;
--- a/src/core/model/job.ts
+++ b/src/core/model/job.ts
@@ -41,7 +41,7 @@
   readonly checkpointDuration: Duration;
   /** Deadline counted from the submission, or null if there is none. */
   readonly deadline: Duration | null;
-  /** Jobs that must be done before any task of this job starts. */
+  /** Ids of the jobs that must be done before any task of this job starts. */
   readonly dependencies: readonly string[];
 }
 
@@ -77,10 +77,10 @@
   /** Indexes of the tasks that have neither a result nor an assignment, in insertion order. */
   readonly unassignedTasks: Set<number>;
   firstSeenAt: MonotonicTime;
-  /** When a running service replica was last lost and became unavailable to its users, or null if none was. */
+  /** When a service replica last lost its assignment and with it became unavailable to users, or null if none did. */
   replicaLostAt: MonotonicTime | null;
   pendingReason: PendingReason;
-  /** When the job became pending: at its submission or the end of its last dependency. Null while one is open. */
+  /** When the job became ready: at its submission or the end of its last dependency; null while a dependency is open. */
   readySince: Date | null;
   /** Higher of its own priority and the priorities of the jobs that depend on it. */
   priority: Priority;
--- a/src/core/model/machine.ts
+++ b/src/core/model/machine.ts
@@ -43,13 +43,16 @@
   fencingToken: number;
   /** When the cloud will preempt the spot machine, according to its preemption notice, or null if it has none. */
   preemptionAt: MonotonicTime | null;
-  /** When this leader last answered a heartbeat, or the latest time at which a previous leader may have done so. */
+  /**
+   * Beginning of the worker lease: when this leader last answered a heartbeat or the agent epoch began, or the latest
+   * time at which a previous leader may have answered a heartbeat.
+   */
   lastAcknowledgedAt: MonotonicTime;
   lastHeartbeatAt: MonotonicTime;
   /** When the worker first sent a heartbeat on its own in this term, or null if it has not. */
   firstHeartbeatAt: MonotonicTime | null;
   /**
-   * True once the worker has reported this term's fencing token. It then accepts answers from this leader alone, and
+   * True once the worker has reported this term's fencing token. It then accepts responses from this leader alone, and
    * the absence of a task from its heartbeats counts.
    */
   hasShownTermToken: boolean;
@@ -59,6 +62,7 @@
   /** Tasks in the last heartbeat that have not exited, by task key. */
   reportedTasks: Map<string, ReportedTask>;
   readonly cachedImages: Map<string, { gb: number; lastUsedAt: MonotonicTime }>;
+  /** When a task of each job last failed on this machine, by job id. */
   failuresByJob: Map<string, MonotonicTime>;
   quarantined: boolean;
   quarantinedSince: MonotonicTime | null;
@@ -66,15 +70,16 @@
   /** State in the cloud's last inventory that listed the machine, or null if none has listed it. */
   instanceState: CloudInstance['state'] | null;
   lastListedAt: MonotonicTime | null;
-  /** True once the scale-in of the machine was requested. */
+  /** True while a scale-in request for the machine is in progress. */
   releasing: boolean;
   /** True if the machine is preferred for scale-in: it takes new tasks only when no other machine fits. */
   draining: boolean;
   firstSeenAt: MonotonicTime;
   /** Sequence numbers of recently answered heartbeats in this agent epoch, to detect duplicates. */
   answeredSequences: number[];
-  /** Number of consecutive answers with a start command that had no effect in the following heartbeats. */
+  /** Number of consecutive responses with a start command that had no effect in the following heartbeats. */
   unacknowledgedStarts: number;
+  /** Sequence number of the heartbeat that last increased `unacknowledgedStarts`. */
   unacknowledgedSequence: number;
   /** Since when heartbeats arrive but nothing shows that commands reach the worker, or null if commands reach it. */
   unreachableSince: MonotonicTime | null;
--- a/src/core/model/worker-command.ts
+++ b/src/core/model/worker-command.ts
@@ -1,4 +1,4 @@
-/** @file Commands to workers, and answers to heartbeats. */
+/** @file Commands to workers, and responses to heartbeats. */
 import type { MonotonicTime } from './time.js';
 
 /** A command to a worker about one attempt of a task. */
@@ -11,7 +11,7 @@
   readonly gracePeriodS?: number;
 }
 
-/** The answer to a heartbeat: it renews the worker's lease and carries commands to the worker. */
+/** The response to a heartbeat: it renews the worker's lease and carries commands to the worker. */
 export interface HeartbeatAnswer {
   readonly fencingToken: number;
   readonly commands: readonly WorkerCommand[];
--- a/src/core/model/zone-policy.ts
+++ b/src/core/model/zone-policy.ts
@@ -18,7 +18,7 @@
 /** The leader's observation of all zones at one time. */
 export interface FleetObservation {
   readonly zones: readonly ZoneObservation[];
-  /** True if the state store has recently confirmed the leadership. */
+  /** True if the state store has recently confirmed the leadership and workers have had time to find this leader. */
   readonly leadershipConfirmed: boolean;
   /** Number of service replicas that should be running and are not. */
   readonly replicasMissing: number;
@@ -52,7 +52,10 @@
   admits(zone: string, machine: string, request: ZoneAdmissionRequest): boolean;
   /** Whether the scheduler should neither wait for machines in the zone nor request any there. */
   isUnavailable(zone: string): boolean;
-  /** Whether replacements for the zone's replicas should be prepared in other zones, because they may be lost. */
+  /**
+   * Whether replacements for the zone's service replicas should be prepared in other zones, because those replicas may
+   * be lost.
+   */
   isEvacuating(zone: string): boolean;
   /** Returns the record to store for the next leader, or null if nothing has changed since the last call. */
   takeUnsavedRecord(): unknown;
