--- a/src/core/state/command-state.ts
+++ b/src/core/state/command-state.ts
@@ -1,4 +1,4 @@
-/** @file Start commands of unknown outcome, and results that workers must keep for now. */
+/** @file Start commands that may still arrive, and exited tasks that workers must not forget yet. */
 import type { Assignment } from '../model/assignment.js';
 import { attemptKey } from '../model/assignment.js';
 import type { PendingForget } from '../model/worker-command.js';
@@ -9,7 +9,7 @@
   readonly pendingForgets: Map<string, Map<string, PendingForget>>;
   /** Fencing tokens of start commands that have an unknown outcome and may still arrive, by attempt key. */
   readonly unresolvedStarts: Map<string, Map<string, number>>;
-  /** Number of start commands sent directly to a worker that have no answer yet, by attempt key. */
+  /** Number of start commands sent directly to a worker that have no response yet, by attempt key. */
   readonly startsInFlight: Map<string, Map<string, number>>;
 }
 
--- a/src/core/state/dependency-graph.ts
+++ b/src/core/state/dependency-graph.ts
@@ -3,7 +3,7 @@
  * must visit only the edges of that job, never other jobs.
  */
 
-/** Changes to other jobs when a job is added or finishes. */
+/** Jobs that become ready or cancelled when a job is added or finishes. */
 export interface GraphChange {
   /** Jobs whose last dependency is now done. */
   readonly ready: readonly string[];
--- a/src/core/state/job-table.ts
+++ b/src/core/state/job-table.ts
@@ -15,7 +15,7 @@
   readonly active: Set<string>;
   /** Active jobs that have tasks without an assignment. */
   readonly pending: Set<string>;
-  /** Jobs that are done or cancelled, in the order in which the leader learned it, with the time. */
+  /** Jobs that are done or cancelled, in the order in which the leader recorded this, with the time. */
   readonly finished: Map<string, MonotonicTime>;
   readonly dependencies: DependencyGraph;
   /** Deadlines of unfinished jobs that were not logged as missed yet, in seconds of wall time. */
--- a/src/core/state/leadership-timing.ts
+++ b/src/core/state/leadership-timing.ts
@@ -8,7 +8,11 @@
 
 /** Allowance for delays between a decision and its effect. */
 const ACKNOWLEDGEMENT_MARGIN = seconds(2);
+
+/** Added to the latest time at which a previous leader can acknowledge heartbeats. */
 const PREVIOUS_LEADER_MARGIN = seconds(0.5);
+
+/** How long after its leadership was last confirmed a leader may start tasks. */
 const START_WINDOW = seconds(3);
 
 /**
@@ -22,7 +26,10 @@
   return span > 0n ? span : 0n;
 }
 
-/** The time after which no previous leader acknowledges heartbeats: each lost contact before this term began. */
+/**
+ * Returns the time after which no previous leader acknowledges heartbeats, because each one lost contact with the state
+ * store before this term began.
+ */
 export function previousLeadersDeadlineFrom(config: ClusterConfig, startedAt: MonotonicTime): MonotonicTime {
   return startedAt + withClockDrift(acknowledgementWindow(config)) + PREVIOUS_LEADER_MARGIN;
 }
--- a/src/core/state/record-state.ts
+++ b/src/core/state/record-state.ts
@@ -5,7 +5,10 @@
 /** Pages of records, and changes that wait for a transaction. */
 export interface RecordState {
   readonly pages: Map<number, RecordPage>;
-  /** Groups of pages; each is written in one transaction, because chunks move between its pages. The first is next. */
+  /**
+   * Groups of pages. Each group is written in one transaction, because chunks move between its pages. The first group
+   * is written next.
+   */
   readonly atomicPageGroups: (readonly number[])[];
   /** Incremented with each change that must be recorded. */
   version: number;
--- a/src/core/state/scaling-state.ts
+++ b/src/core/state/scaling-state.ts
@@ -4,9 +4,9 @@
 
 /** The leader's requests to the cloud. */
 export interface ScalingState {
-  /** Requests without an answer yet, by request name. */
+  /** Requests without a response yet, by request name. */
   readonly pending: Map<string, PendingScaleOut>;
-  /** Times at which the cloud refused machines because it had too few, by machine type, zone and kind. */
+  /** When the cloud last refused a request or granted too few machines, by `machineKindKey` (type, zone, spot). */
   readonly refusedAt: Map<string, MonotonicTime>;
 }
 
--- a/src/core/state/scheduling-state.ts
+++ b/src/core/state/scheduling-state.ts
@@ -14,7 +14,7 @@
   /** True if something has changed that a cycle may act on. */
   cycleNeeded: boolean;
   lastCycleAt: MonotonicTime;
-  /** Moving average, measured by the caller because the core reads no clock. */
+  /** Moving average of cycle durations, which the caller measures because the core reads no clock. */
   averageCycleDuration: Duration;
   starvedGang: StarvedGang | null;
   /** True if an active job has a task that takes most of a machine. */
--- a/src/core/state/term-state.ts
+++ b/src/core/state/term-state.ts
@@ -18,7 +18,7 @@
 export interface TermState {
   /** The current fencing token. It advances within a term. */
   fencingToken: number;
-  /** The fencing token at the beginning of the term. A worker that reports it, or a higher one, obeys this term. */
+  /** The fencing token at the beginning of the term. A worker that reports at least this one has adopted it. */
   readonly firstFencingToken: number;
   readonly startedAt: MonotonicTime;
   readonly previousLeadersDeadline: MonotonicTime;
