--- a/src/core/machines/image-cache.ts
+++ b/src/core/machines/image-cache.ts
@@ -20,7 +20,7 @@
   evictImages(machine, state.machines.types.get(machine.type)?.cacheGb ?? Infinity, now);
 }
 
-/** Evicts images until the rest fit into the cache. The last image stays, whatever its size. */
+/** Evicts images until the remaining ones fit into the cache. One image always remains, whatever its size. */
 function evictImages({ cachedImages }: Machine, cacheGb: number, now: MonotonicTime): void {
   let usedGb = 0;
   for (const { gb } of cachedImages.values()) usedGb += gb;
@@ -32,7 +32,7 @@
   }
 }
 
-/** Returns the least recently used image, the first of equals, or null if all were used later than `now`. */
+/** Returns the least recently used image (on a tie, the first one added), or null if all were used after `now`. */
 function leastRecentlyUsed(images: Machine['cachedImages'], now: MonotonicTime): string | null {
   let oldest: string | null = null;
   let oldestUseAt = now + 1n;
