--- a/src/core/assignments/assignments.ts
+++ b/src/core/assignments/assignments.ts
@@ -19,7 +19,7 @@
 import { isOverloaded } from '../state/overload.js';
 import { requestCompletionIfAllDone } from './job-completion.js';
 
-/** Represents a heartbeat before this term: a previous leader may have sent the start command in any answer. */
+/** Represents a heartbeat before this term: a previous leader may have sent the start command in any response. */
 const SENT_BEFORE_TERM = 0;
 
 /** Assigns a task to a machine. No command is sent before the assignment is committed. */
@@ -170,7 +170,7 @@
   if (machine === undefined) return;
   machine.resources = null;
   if (machine.agentEpoch !== assignment.agentEpoch || !machine.hasShownTermToken) return;
-  // The answer to the worker's next heartbeat also carries the command.
+  // The response to the worker's next heartbeat also carries the command.
   if (!isOverloaded(state.term)) sendStop(state, machine, assignment, gracePeriodS);
 }
 
