--- a/src/core/commands/forgets.ts
+++ b/src/core/commands/forgets.ts
@@ -55,7 +55,7 @@
   return (job.chunks.get(forget.chunkIndex)?.committedVersion ?? 0) >= forget.recordVersion;
 }
 
-/** Drops the pending forgets that the worker has executed, as a heartbeat shows. */
+/** Drops the pending forgets whose attempts the heartbeat does not list as exited: the worker has executed them. */
 export function dropCompletedForgets(commands: CommandState, heartbeat: Heartbeat): void {
   const pending = commands.pendingForgets.get(heartbeat.machineName);
   if (pending === undefined) return;
