--- a/src/core/jobs/deadline-slack.ts
+++ b/src/core/jobs/deadline-slack.ts
@@ -4,14 +4,15 @@
 import { type Timestamp, seconds, toSeconds, wallSecondsBetween } from '../model/time.js';
 import type { ClusterState } from '../state/cluster-state.js';
 
-/** How long a job may wait if its class has no objective. */
+/** How long a job may wait if neither an objective of its class nor a deadline bounds its wait. */
 const DEFAULT_START_WITHIN_S = 120;
 
-/** Upper bound on the wait of a job while a machine that fits is empty, however late its deadline. */
+/** Upper bound on the wait of a job while a machine that fits is empty, regardless of how late its deadline is. */
 const MAX_SLACK_WAIT_S = 45;
 
 /**
- * How long a job counts as urgent after its start deadline or the loss of a replica. After that, any capacity will do.
+ * How long a job counts as urgent after its start deadline or the loss of a service replica. After that, any capacity
+ * will do.
  */
 const URGENT_AFTER_DEADLINE_S = 5;
 
@@ -54,7 +55,7 @@
   return startWithin;
 }
 
-/** True if the job need not start within the time that new machines take to boot twice. */
+/** True if the job need not start within twice the longest boot time of a machine type. */
 export function hasDeadlineSlack(state: ClusterState, job: Job, now: Timestamp): boolean {
   if (job.spec.kind === 'service' || pendingSeconds(job, now) > MAX_SLACK_WAIT_S) return false;
   const twoBootsSeconds = 2 * slowestBootSeconds(state);
@@ -74,10 +75,10 @@
 const requiresStartWithin = ({ kind, threshold }: ServiceLevelObjective, limitSeconds: number): boolean =>
   kind === 'wait' && threshold !== null && toSeconds(threshold) < limitSeconds;
 
-/** True if the job should start before its image could be fetched. */
+/** True if a production job should start before its image could be fetched, or has just lost a service replica. */
 export function isUrgent(state: ClusterState, job: Job, now: Timestamp): boolean {
   if (job.spec.priority !== 'production') return false;
-  // A lost replica is missed at once, regardless of when its job was submitted.
+  // A lost service replica is missed at once, regardless of when its job was submitted.
   if (job.replicaLostAt !== null && now.monotonic - job.replicaLostAt < seconds(URGENT_AFTER_DEADLINE_S))
     return true;
   let fastestGbPerS = 0;
