--- a/src/core/reconciliation/failure-detector.ts
+++ b/src/core/reconciliation/failure-detector.ts
@@ -66,7 +66,7 @@
  * Returns the names of machines with recorded service replicas that have sent no heartbeat in this term, if nearly all
  * other machines with assignments have. A previous leader may have acknowledged their heartbeats until shortly before
  * it ended, so their leases prove nothing for most of a minute. For that time, a machine that was cut off around a
- * failover would leave its users without replicas.
+ * failover would leave its users without service replicas.
  */
 function machinesWithoutHeartbeat(state: ClusterState): string[] {
   let withAssignments = 0;
@@ -82,6 +82,7 @@
     .map((machine) => machine.name);
 }
 
+/** Returns the machines that have shown this term's fencing token, without those being released and failed ones. */
 const machinesWithTermToken = (state: ClusterState): Machine[] =>
   [...state.machines.byName.values()].filter(
     (machine) =>
--- a/src/core/reconciliation/fencing.ts
+++ b/src/core/reconciliation/fencing.ts
@@ -1,6 +1,6 @@
 /**
- * @file Fences workers, so that they accept commands from this term only, and detects when only a higher fencing token
- * allows progress.
+ * @file Probes workers that have not shown this term's fencing token, so that they adopt it and accept commands from
+ * this term only, and detects when only a higher token allows progress.
  */
 import { startNeverSent } from '../assignments/assignments.js';
 import { requestProbe } from '../commands/probes.js';
@@ -32,7 +32,7 @@
  */
 const TOKEN_ECHO_TIMEOUT = seconds(1.5);
 
-/** How often an unfenced machine is probed. */
+/** How often a machine that has not shown this term's fencing token is probed. */
 const PROBE_INTERVAL = seconds(2);
 
 /** A worker that has sent no heartbeat for more than this many intervals would not show a higher token either. */
