--- a/src/core/cluster-scheduler.ts
+++ b/src/core/cluster-scheduler.ts
@@ -74,7 +74,7 @@
     recordEventLoopLag(this.state.term, lag);
   }
 
-  /** Returns the commands for the answer to a heartbeat that was just handled. */
+  /** Returns the commands for the response to a heartbeat that was just handled. */
   answerHeartbeat(heartbeat: Heartbeat, now: Timestamp): WorkerCommand[] {
     return commandsForHeartbeat(this.state, heartbeat, now);
   }
