--- a/src/core/model/job.ts
+++ b/src/core/model/job.ts
@@ -77,10 +77,10 @@
   /** Indexes of the tasks that have neither a result nor an assignment, in insertion order. */
   readonly unassignedTasks: Set<number>;
   firstSeenAt: MonotonicTime;
-  /** When a service replica last lost its assignment and with it became unavailable to users, or null if none did. */
+  /** When a service replica last lost its assignment, and so became unavailable to its users; null if none did. */
   replicaLostAt: MonotonicTime | null;
   pendingReason: PendingReason;
-  /** When the job became ready: at its submission or the end of its last dependency; null while a dependency is open. */
+  /** When the job became ready: at its submission or when its last dependency was done; null until then. */
   readySince: Date | null;
   /** Higher of its own priority and the priorities of the jobs that depend on it. */
   priority: Priority;
