--- a/src/core/model/zone-policy.ts
+++ b/src/core/model/zone-policy.ts
@@ -5,7 +5,7 @@
 /** The leader's observation of the machines in one zone at one time. */
 export interface ZoneObservation {
   readonly zone: string;
-  /** Number of machines that have sent a heartbeat in this term and are not proven terminated. */
+  /** Number of machines, neither being released nor failed, that sent a heartbeat in this term or have assignments. */
   readonly known: number;
   /** Number of those machines whose last heartbeat is recent. */
   readonly responsive: number;
