--- a/test/transactions.test.ts
+++ b/test/transactions.test.ts
@@ -6,8 +6,8 @@
 import { createSchedulerWithType, heartbeatOf, openJob } from './fixtures/scheduler.js';
 
 // After an outage, hundreds of one-task jobs are assigned in one scheduling cycle. Committing an assignment needs a
-// compare condition on the key of its job, so a page with more of these jobs than a transaction takes conditions could
-// never be written.
+// compare condition on the key of its job, so a page could never be written if it had more of these jobs than a
+// transaction may have compare conditions.
 test('however many small jobs are assigned at once, all assignments are committed', () => {
   for (const maxOperations of [4, 8]) {
     const startedAt = timeAt(0).monotonic;
